--- a/src/back/sip_trunk.cpp
+++ b/src/back/sip_trunk.cpp
@@ -14,6 +14,32 @@
 // A leg that is over is kept for what comes late: a success after that would be a repeat of 64 T1 ago.
 constexpr Duration kRemembered = 2 * sip::k64T1;
 constexpr int kNormal = 16;
+// By so much a deadline that is passed on may lie behind the caller's.
+constexpr std::chrono::milliseconds kExpiresSlack{150};
+
+// Tells a server how long the caller still waits. Expires counts whole seconds: rounded up it once gave a
+// server up to a second more than the caller had. Where not one second is left it is not written at all; then
+// the CANCEL at the deadline ends the attempt.
+void put_time_left(sip::Message& m, Duration time_left) {
+  const auto left =
+      std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::milliseconds>(time_left).count());
+  const auto seconds = (left + kExpiresSlack.count()) / 1000;
+  const auto put = [&m](std::string_view name, const std::string& value) {
+    for (auto& [known, old] : m.headers) {
+      if (known == name) {
+        old = value;
+        return;
+      }
+    }
+    m.add(std::string(name), value);
+  };
+  if (seconds > 0) {
+    put("Expires", std::to_string(seconds));
+  } else {
+    std::erase_if(m.headers, [](const auto& header) { return header.first == "Expires"; });
+  }
+  put("Expires-Ms", std::to_string(left));
+}
 
 core::AttemptOver ended_as(Outcome outcome) {
   core::AttemptOver ended;
@@ -102,7 +128,21 @@
 // ---- the runtime's events
 
 void SipTrunk::on(Time, const net::Accepted& e, Outbox&) { transport_.accepted(e.conn.number); }
-void SipTrunk::on(Time, const net::Connected& e, Outbox& out) { transport_.connected(e.conn.number, out); }
+void SipTrunk::on(Time now, const net::Connected& e, Outbox& out) {
+  transport_.connected(e.conn.number, out, [this, now](std::uint64_t ticket, std::string text) {
+    return with_time_left(now, ticket, std::move(text));
+  });
+}
+
+// The text of an INVITE that waited for its connection, with the time that its caller waits from now on.
+std::string SipTrunk::with_time_left(Time now, std::uint64_t ticket, std::string text) {
+  for (auto& [call_id, leg] : legs_) {
+    if (leg.ticket != ticket) continue;
+    put_time_left(leg.invite, leg.give_up_at - now);
+    return leg.invite.text();
+  }
+  return text;
+}
 
 void SipTrunk::on(Time now, const net::ConnectFailed& e, Outbox& out) {
   const std::string peer = transport_.connect_failed(e.conn.number);
@@ -182,6 +222,7 @@
   leg.server = e.server;
   leg.state = State::calling;
   leg.since = now;
+  leg.give_up_at = e.give_up_at;
   leg.flow = {settings_.reliable, 0, host->second.address};
   sip::Message& m = leg.invite;
   m.method = "INVITE";
@@ -194,9 +235,7 @@
   m.add("CSeq", "1 INVITE");
   m.add("Contact", "<sip:graniterun@" + settings_.address + (settings_.reliable ? ";transport=tcp>" : ">"));
   m.add("Priority-Class", r.class_name);
-  const auto left = std::chrono::ceil<std::chrono::milliseconds>(e.give_up_at - now).count();
-  m.add("Expires", std::to_string(std::max<std::int64_t>(1, (left + 999) / 1000)));
-  m.add("Expires-Ms", std::to_string(std::max<std::int64_t>(1, left)));
+  put_time_left(m, e.give_up_at - now);
   if (!r.description.empty()) m.add("Content-Type", "application/sdp");
   m.body = r.description;
   counters_.add("trunk.invites");
--- a/src/back/sip_trunk.h
+++ b/src/back/sip_trunk.h
@@ -54,6 +54,7 @@
     ServerId server{};
     State state{};
     Time since{};
+    Time give_up_at{};  // the INVITE's deadline
     sip::Message invite{};
     std::string transaction{};  // of the INVITE
     sip::Flow flow{};
@@ -76,6 +77,7 @@
   void over(Time now, Leg& leg, core::AttemptOver ended, Outbox& out);
   void cancel(Time now, Leg& leg, Outbox& out);
   void recall(Time now, Legs::iterator it, Outbox& out);
+  std::string with_time_left(Time now, std::uint64_t ticket, std::string text);
   void never_sent(Time now, Legs::iterator it, Outbox& out);
   void erase(Legs::iterator it);
   sip::Message in_dialog(Leg& leg, const std::string& method, std::uint32_t cseq);
--- a/src/sip/transport.cpp
+++ b/src/sip/transport.cpp
@@ -22,13 +22,15 @@
   return host.find(':') == std::string_view::npos ? std::string(host) + ":5060" : std::string(host);
 }
 
-void Transport::connected(std::uint32_t conn, Outbox& out) {
+void Transport::connected(std::uint32_t conn, Outbox& out, const Refresh& refresh) {
   open_.insert(conn);
   for (auto& [peer, dialled] : dialled_) {
     if (dialled.conn != conn) continue;
     dialled.up = true;
-    for (Dialled::Message& m : std::exchange(dialled.waiting, {}))
+    for (Dialled::Message& m : std::exchange(dialled.waiting, {})) {
+      if (refresh && m.ticket != 0) m.text = refresh(m.ticket, std::move(m.text));
       out.send_counted({concern_, conn}, std::move(m.text), m.ticket);
+    }
   }
 }
 
--- a/src/sip/transport.h
+++ b/src/sip/transport.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <set>
 #include <string>
@@ -30,7 +31,9 @@
   Transport(net::Concern concern, Counters& counters) : concern_(concern), counters_(counters) {}
 
   void accepted(std::uint32_t conn) { open_.insert(conn); }
-  void connected(std::uint32_t conn, Outbox& out);
+  // Gives a message that waited for its connection the text that holds now; called with its ticket.
+  using Refresh = std::function<std::string(std::uint64_t ticket, std::string text)>;
+  void connected(std::uint32_t conn, Outbox& out, const Refresh& refresh = {});
   // The peer that could not be reached.
   std::string connect_failed(std::uint32_t conn);
   // The peer that it had been dialled to, if it was.
--- a/tests/trunk_test.cpp
+++ b/tests/trunk_test.cpp
@@ -338,9 +338,40 @@
   }
 }
 
+// Guards the deadline that a server is told: at most what the caller has left, with 0.15 s of slack, in
+// either header, over both transports and after a wait for the connection. Expires was rounded up to whole
+// seconds, and an INVITE that waited for its connection told the time as it was when the wait began.
+void a_server_is_told_no_more_time_than_the_caller_has() {
+  const auto check_time = [](const sip::Message& invite, int left) {
+    const int exact = std::stoi(std::string(invite.header("Expires-Ms")));
+    CHECK(exact <= left + 150 && exact >= left - 150);
+    const std::string expires(invite.header("Expires"));
+    if (left < 850) {
+      CHECK(expires.empty());
+      return;
+    }
+    CHECK(std::stoi(expires) * 1000 <= left + 150);
+    CHECK(std::stoi(expires) * 1000 > left - 1000);
+  };
+  for (const int left : {300, 849, 900, 1000, 1001, 1849, 1850, 2400, 2999}) {
+    TrunkLab udp;
+    udp.call(left);
+    check_time(udp.one(), left);
+    for (const int wait : {0, 40, 250}) {
+      TrunkLab tcp("tcp");
+      tcp.call(left);
+      const ConnId up = tcp.connects.at(0).conn;
+      tcp.pass(Duration(std::chrono::milliseconds(wait)));
+      tcp.tell(net::Connected{up});
+      check_time(tcp.messages(up).at(0), left - wait);
+    }
+  }
+}
+
 }  // namespace
 
 int main() {
+  a_server_is_told_no_more_time_than_the_caller_has();
   an_invite_that_waits_for_its_connection_is_taken_back();
   an_invite_not_written_yet_is_taken_back();
   an_invite_to_a_server_that_drains_is_taken_back();
