--- a/lab/cold_fleet.h
+++ b/lab/cold_fleet.h
@@ -32,8 +32,9 @@
   std::uint64_t seed = 1;
 
   struct Result {
-    double worst = -std::numeric_limits<double>::infinity();  // (sent - N) / (2 sqrt N + 2): over 1 is a fall
-    double of_budget = 0.0;                                   // sent / N, at the most
+    // (sent - N) / tolerance(N): over 1 is a fall.
+    double worst = -std::numeric_limits<double>::infinity();
+    double of_budget = 0.0;  // sent / N, at the most
     std::size_t offered = 0;
     std::size_t stood = 0;
     std::size_t restarts = 0;
@@ -43,6 +44,12 @@
     }
   };
 
+  // What chance may add to a budget of N calls.
+  static double tolerance(double budget) {
+    constexpr double kSmallBudget = 30.0;
+    return budget < kSmallBudget ? 3.0 * std::sqrt(budget) + 3.0 : 2.0 * std::sqrt(budget) + 2.0;
+  }
+
   static Settings settings() {
     using namespace std::chrono_literals;
     Settings s;
@@ -264,7 +271,7 @@
     if (static_cast<double>(told) * 3.0 > count * 2.0) {
       const double n = rules.fall_multiple * capacity(sent[from].at) *
                        std::chrono::duration<double>(rules.fall_window).count();
-      result.worst = std::max(result.worst, (count - n) / (2.0 * std::sqrt(n) + 2.0));
+      result.worst = std::max(result.worst, (count - n) / tolerance(n));
       result.of_budget = std::max(result.of_budget, count / n);
     }
     told -= sent[from].told ? 1 : 0;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -74,6 +74,30 @@
   EXPECT_LE(played(f, 3).worst, 1.0);
 }
 
+// Budgets from a few calls to some hundred, by two processes to thirty, on quiet days and on days of
+// restarts.
+class SmallBudgets : public testing::TestWithParam<std::tuple<double, std::uint32_t>> {};
+
+TEST_P(SmallBudgets, StayWithinChanceOnEveryDay) {
+  ColdFleet quiet;
+  std::tie(quiet.warm_per_s, quiet.senders) = GetParam();
+  quiet.load = 1.0;
+  ColdFleet restarts = quiet;
+  restarts.restarted = 0.7;
+  restarts.uneven = 1.2;
+  restarts.lost = 0.1;
+  ColdFleet crowd = quiet;
+  crowd.load = 2.0;
+  crowd.warm_after = 1h;
+  crowd.restarted = 0.5;
+  crowd.times = 3;
+  for (const ColdFleet& day : {quiet, restarts, crowd}) EXPECT_LE(played(day, 4).worst, 1.0);
+}
+
+INSTANTIATE_TEST_SUITE_P(Budgets, SmallBudgets,
+                         testing::Combine(testing::Values(8.0, 15.0, 22.0, 40.0, 100.0),
+                                          testing::Values(2U, 3U, 5U, 12U, 30U)));
+
 INSTANTIATE_TEST_SUITE_P(Senders, ColdFleetOf, testing::Values(1U, 6U, 20U, 30U, 300U));
 
 }  // namespace
