--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -176,7 +176,7 @@
       todo.pop_front();
       for (const net::Effect& effect : effects) {
         if (const auto* c = std::get_if<net::Connect>(&effect)) {
-          if (c->conn.concern == net::Concern::journal) journal_ = c->conn;
+          if (c->conn.concern == net::Concern::discovery) journal_ = c->conn;
           connects += c->conn.concern == net::Concern::server ? 1 : 0;
           todo.push_back(net::Connected{c->conn});
         } else if (const auto* s = std::get_if<net::Send>(&effect)) {
@@ -346,7 +346,8 @@
         desks_.at(desk)->on(now_, net::Accepted{desk_conn()}, out);
         from_desk(desk, out.net);
         connected_.push_back(net::Connected{c->conn});
-      } else if (auto* s = std::get_if<net::Send>(&effect); s && s->conn.concern == net::Concern::announced) {
+      } else if (auto* s = std::get_if<net::Send>(&effect);
+                 s && s->conn.concern == net::Concern::control_client) {
         ++out_lines;
         out_bytes += s->bytes.size();
         longest_line = std::max(longest_line, s->bytes.size());
@@ -370,7 +371,7 @@
       std::vector<net::Event> events;
       for (const Bytes& b : heard)
         events.push_back(
-            net::Received{{net::Concern::announced, static_cast<std::uint32_t>(b.desk + 1)}, b.bytes});
+            net::Received{{net::Concern::control_client, static_cast<std::uint32_t>(b.desk + 1)}, b.bytes});
       to_announcer(events);
       const double cpu = cpu_us();
       for (const Bytes& b : std::exchange(to_desks_, {})) {
@@ -443,7 +444,7 @@
   s.collector = "127.0.0.1:4318";
   s.host = "127.0.0.1:4318";
   s.service_instance = "gatekeeper-10000";
-  s.every = 5s;
+  s.interval = 5s;
   s.seed = 1;
   return s;
 }
@@ -475,18 +476,18 @@
     for (std::size_t i = 0; i < kBatch; ++i) {
       core::RequestAnswered e;
       auto request = std::make_shared<core::Request>();
-      request->label = "n0-3f2a9c41-" + std::to_string(100'000 + i);
+      request->correlation_id = "n0-3f2a9c41-" + std::to_string(100'000 + i);
       request->class_name = "voice";
       request->team = "trail";
       e.request = request;
-      e.came = now;
+      e.received_at = now;
       e.served = true;
       for (std::size_t a = 0; a < attempts; ++a) {
         const bool last = a + 1 == attempts;
         e.attempts.push_back(
             {ServerId{0}, now, now + 1ms, last ? std::optional<Outcome>() : std::optional(Outcome::full)});
       }
-      exporter.note(now + 2ms, e, [](ServerId) { return std::string("setup-100000"); });
+      exporter.record_request(now + 2ms, e, [](ServerId) { return std::string("setup-100000"); });
     }
     bytes = first_post(exporter, now + 5s, counters);
   }
@@ -513,7 +514,7 @@
 }
 
 void telemetry_at(std::size_t classes) {
-  core::Tallies tallies;
+  core::RequestMetrics tallies;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < classes; ++i) names.push_back("class-" + std::to_string(i));
   tallies.name(names);
--- a/include/graniterun/controller.h
+++ b/include/graniterun/controller.h
@@ -36,16 +36,16 @@
 
 // ---- Settings
 
-enum class Repeatability { idempotent, deduplicated, at_most_once };
+enum class Idempotency { idempotent, keyed, non_idempotent };
 enum class DeduplicationScope { all, zone, cell };
 
 struct CallClass {
-  Duration aim{};             // wanted to stand within this time
-  Duration patience{};        // how long a caller persists, from the first try
-  double worth{};             // of a call that stands to its end
-  double late_worth_share{};  // part of it that a call standing after its aim still earns
-  Duration mean_hold{};
-  Repeatability repeatability{};
+  Duration latency_objective{};   // wanted to stand within this time
+  Duration caller_timeout{};      // how long a caller persists, from the first try
+  double priority_weight{};       // of a call that stands to its end
+  double late_weight_fraction{};  // part of it that a call standing after its aim still earns
+  Duration mean_holding_time{};
+  Idempotency idempotency{};
   DeduplicationScope deduplication_scope{};
   Duration deduplication_window{};
   std::optional<std::vector<Pool>> open_pools{};  // absent: every pool
@@ -61,28 +61,28 @@
   Layout layout{};
   Discovery discovery{};
   ProcessorReports processor_reports{};
-  bool full_tells_wait{};  // a full processor says how long its wait is
+  bool full_server_sends_retry_after{};  // a full processor says how long its wait is
   Zone zone{};
   std::uint32_t own_index{};  // this sender among its peers
   std::uint32_t senders{};    // how many senders share the core servers
   int max_attempts{};         // per call
   bool may_cancel{};
-  bool may_tell_peers{};
-  bool callers_heed_stay_away{};
-  Duration max_stay_away{};
-  bool callers_mark_redials{};
-  Duration repeat_after{};  // a waiting set-up is sent again after this, then at doubling gaps; 0: never
-  Duration round{};         // events arrive at most this often
-  Duration connect_within{std::chrono::milliseconds(500)};  // a connection not made by then is none
+  bool may_notify_peers{};
+  bool callers_honor_retry_after{};
+  Duration max_retry_after{};
+  bool callers_flag_redial{};
+  Duration retransmit_delay{};  // a waiting set-up is sent again after this, then at doubling gaps; 0: never
+  Duration scheduling_interval{};                            // events arrive at most this often
+  Duration connect_timeout{std::chrono::milliseconds(500)};  // a connection not made by then is none
   // The figures of the rules.
   Duration release_guard{};
   Duration drain_grace{};
   Duration answer_slack{};
-  Duration ask_within{};   // with Discovery::on_request
-  double cold_share{};     // a core server starts at this share of its capacity or more
-  Duration cold_time{};    // and is warm after this
-  double fall_multiple{};  // a cold one falls over when sent more than this multiple of what it can do
-  Duration fall_window{};  // for this long
+  Duration poll_interval{};        // with Discovery::on_request
+  double slow_start_fraction{};    // a core server starts at this share of its capacity or more
+  Duration slow_start_duration{};  // and is warm after this
+  double overload_multiple{};  // a cold one falls over when sent more than this multiple of what it can do
+  Duration overload_window{};  // for this long
   // How the operator weighs the outcome.
   double worst_class_weight{};
   double late_fail_price{};
@@ -93,14 +93,14 @@
 // ---- Events
 
 struct LoadReport {  // what a core server tells of itself; late and noisy but for the lines
-  std::optional<double> free_lines{};
-  std::optional<double> lines{};
+  std::optional<double> free_circuits{};
+  std::optional<double> circuits{};
   std::optional<double> messages_active{};
   std::optional<double> messages_waiting{};
   std::optional<double> busy_share{};
-  std::optional<Duration> wait{};           // at its processor
-  std::optional<double> allowed_per_s{};    // new set-ups that it can take from all senders together
-  std::optional<double> hold_back_share{};  // share of new set-ups that it asks each sender to hold back
+  std::optional<Duration> wait{};         // at its processor
+  std::optional<double> allowed_per_s{};  // new set-ups that it can take from all senders together
+  std::optional<double> shed_fraction{};  // share of new set-ups that it asks each sender to hold back
 };
 
 enum class ServerState { in_service, terminating, terminated };
@@ -114,7 +114,7 @@
   std::optional<Time> online_since{};  // absent: long ago
 };
 
-enum class ListKind { changes, all, remembered, refused };
+enum class ListKind { changes, all, cached, rejected };
 
 struct ServerList {
   ListKind kind{};
@@ -126,14 +126,14 @@
   ClassIndex call_class{};
   Number number{};
   Pool destination{};
-  Time deadline{};  // the caller gives this try up then
-  double lines{1};  // lines it occupies
+  Time deadline{};     // the caller gives this try up then
+  double circuits{1};  // lines it occupies
   bool in_transit{};
   bool cut_before{};  // it stood, was cut and arrives again
   bool redial{};      // where callers mark redials
 };
 
-struct CallStands {
+struct CallEstablished {
   CallId call{};
   int attempt{};
   ServerId server{};
@@ -141,7 +141,7 @@
 };
 
 enum class Outcome { ok, busy_or_fault, full, timed_out, no_connection, reset, cancelled, not_sent };
-enum class FullReason { none, no_line, returned, processor, number_busy };
+enum class FullReason { none, no_circuit, returned, processor, number_busy };
 
 struct AttemptEnded {
   CallId call{};
@@ -149,13 +149,13 @@
   ServerId server{};
   Outcome outcome{};
   Duration delay{};
-  bool call_over{};  // nothing is owed for the call any more
+  bool call_finished{};  // nothing is owed for the call any more
   FullReason reason{};
-  std::optional<Duration> told_wait{};  // by a full processor
+  std::optional<Duration> retry_after{};  // by a full processor
   LoadReport report{};
 };
 
-struct CallerLeft {
+struct CallerDisconnected {
   CallId call{};
 };
 
@@ -174,20 +174,20 @@
   Settings settings{};
 };
 
-struct PeerNote {
+struct PeerMessage {
   std::uint32_t from{};
   std::vector<std::uint8_t> bytes{};
 };
 
-using Event = std::variant<ServerList, NewCall, CallStands, AttemptEnded, CallerLeft, TimerDue, ServerReport,
-                           PeerNote, SettingsChanged>;
+using Event = std::variant<ServerList, NewCall, CallEstablished, AttemptEnded, CallerDisconnected, TimerDue,
+                           ServerReport, PeerMessage, SettingsChanged>;
 
 // ---- Actions
 
-struct SendSetUp {  // attempts of a call are numbered 0, 1, 2 ... in this order
+struct SendSetup {  // attempts of a call are numbered 0, 1, 2 ... in this order
   CallId call{};
   ServerId server{};
-  Time give_up_at{};
+  Time deadline{};
 };
 
 struct CancelAttempt {
@@ -195,9 +195,9 @@
   int attempt{};
 };
 
-struct Refuse {  // final answer
+struct Reject {  // final answer
   CallId call{};
-  Duration stay_away{};  // the caller is asked not to dial again before; 0: no advice
+  Duration retry_after{};  // the caller is asked not to dial again before; 0: no advice
 };
 
 struct Fail {  // final answer
@@ -205,17 +205,17 @@
 };
 
 struct SetTimer {
-  Duration after{};
+  Duration delay{};
   TimerId timer{};
 };
 
-struct TellPeers {  // to every other sender; may be lost
+struct NotifyPeers {  // to every other sender; may be lost
   std::vector<std::uint8_t> bytes{};
 };
 
 struct FollowList {};
 
-using Action = std::variant<SendSetUp, CancelAttempt, Refuse, Fail, SetTimer, TellPeers, FollowList>;
+using Action = std::variant<SendSetup, CancelAttempt, Reject, Fail, SetTimer, NotifyPeers, FollowList>;
 
 // ---- Controller
 
@@ -231,7 +231,7 @@
 
   // How many core servers of the list get no new set-ups at `now` but such as try them out: those that drain,
   // that answer faults, and whose wait leaves them no target. Changes nothing.
-  std::size_t avoided(Time now) const;
+  std::size_t ejected(Time now) const;
 
  private:
   class Impl;
--- a/lab/cold_fleet.h
+++ b/lab/cold_fleet.h
@@ -56,20 +56,20 @@
     s.layout = Layout::groups;
     s.max_attempts = 5;
     s.may_cancel = true;
-    s.callers_heed_stay_away = true;
-    s.max_stay_away = 2s;
-    s.round = 5ms;
+    s.callers_honor_retry_after = true;
+    s.max_retry_after = 2s;
+    s.scheduling_interval = 5ms;
     s.release_guard = 200ms;
     s.drain_grace = 2s;
-    s.cold_time = 15s;
-    s.fall_multiple = 2.5;
-    s.fall_window = 1500ms;
+    s.slow_start_duration = 15s;
+    s.overload_multiple = 2.5;
+    s.overload_window = 1500ms;
     CallClass c;
-    c.aim = 1500ms;
-    c.patience = 9s;
-    c.worth = 1.0;
-    c.late_worth_share = 0.1;
-    c.mean_hold = 8s;
+    c.latency_objective = 1500ms;
+    c.caller_timeout = 9s;
+    c.priority_weight = 1.0;
+    c.late_weight_fraction = 0.1;
+    c.mean_holding_time = 8s;
     s.classes.push_back(c);
     return s;
   }
@@ -114,7 +114,7 @@
   constexpr Duration kStep = 5ms;
   Settings rules = settings();
   rules.senders = senders;
-  rules.cold_share = cold_share;
+  rules.slow_start_fraction = cold_share;
   std::mt19937_64 random(seed);
   const auto uniform = [&] { return std::uniform_real_distribution<double>(0.0, 1.0)(random); };
   const ServerEntry old{ServerId{0}, Zone{0}, Pool{0}, ServerState::in_service, 1.0, {}};
@@ -122,10 +122,10 @@
   fresh.online_since = start;
   const double lines_busy = warm_per_s * 8.0 * std::min(load, 1.0);
   LoadReport busy;
-  busy.lines = lines_busy * 1.2;
-  busy.free_lines = lines_busy * 0.2;
+  busy.circuits = lines_busy * 1.2;
+  busy.free_circuits = lines_busy * 0.2;
   LoadReport idle = busy;
-  idle.free_lines = busy.lines;
+  idle.free_circuits = busy.circuits;
 
   std::vector<Sender> fleet(senders);
   double weight = 0.0;
@@ -146,11 +146,11 @@
     std::vector<Action> answer;
     s.controller->handle(start + now, event, answer);
     for (const Action& action : answer) {
-      if (const auto* a = std::get_if<SendSetUp>(&action)) {
+      if (const auto* a = std::get_if<SendSetup>(&action)) {
         if (now >= 0ms) sent.push_back({now, s.knows});
         line.push_back({i, s.life, a->call, attempts[{i, a->call}]++, now});
       } else if (const auto* t = std::get_if<SetTimer>(&action)) {
-        s.timers[static_cast<std::uint64_t>(t->timer)] = now + t->after;
+        s.timers[static_cast<std::uint64_t>(t->timer)] = now + t->delay;
       } else if (const auto* c = std::get_if<CancelAttempt>(&action)) {
         for (Waiting& w : line) {
           if (w.sender == i && w.life == s.life && w.call == c->call) w.cancelled = true;
@@ -179,7 +179,7 @@
     }
     std::sort(s.restarts.rbegin(), s.restarts.rend());
     make(i);
-    tell(i, ServerList{ListKind::remembered, {old}});
+    tell(i, ServerList{ListKind::cached, {old}});
     if (reports) tell(i, ServerReport{ServerId{0}, busy});
   }
   double worked = 0.0;
@@ -214,7 +214,7 @@
         s.up = true;
         make(i);
         s.knows = now >= s.told;
-        tell(i, ServerList{ListKind::remembered, {s.knows ? fresh : old}});
+        tell(i, ServerList{ListKind::cached, {s.knows ? fresh : old}});
         if (reports) tell(i, ServerReport{ServerId{0}, idle});
       }
       if (!s.up) continue;
@@ -256,7 +256,7 @@
         unheard[{w.sender, w.call}] = w;
       } else {
         if (now >= s.told) ++result.stood;
-        tell(w.sender, CallStands{w.call, w.attempt, ServerId{0}, now - w.since});
+        tell(w.sender, CallEstablished{w.call, w.attempt, ServerId{0}, now - w.since});
       }
     }
   }
@@ -264,13 +264,13 @@
   std::size_t to = 0;
   std::size_t told = 0;
   for (std::size_t from = 0; from < sent.size(); ++from) {
-    for (; to < sent.size() && sent[to].at <= sent[from].at + rules.fall_window; ++to)
+    for (; to < sent.size() && sent[to].at <= sent[from].at + rules.overload_window; ++to)
       told += sent[to].told ? 1 : 0;
     const double count = static_cast<double>(to - from);
     // By the rule a fall counts where over two thirds came from senders that had been told.
     if (static_cast<double>(told) * 3.0 > count * 2.0) {
-      const double n = rules.fall_multiple * capacity(sent[from].at) *
-                       std::chrono::duration<double>(rules.fall_window).count();
+      const double n = rules.overload_multiple * capacity(sent[from].at) *
+                       std::chrono::duration<double>(rules.overload_window).count();
       result.worst = std::max(result.worst, (count - n) / tolerance(n));
       result.of_budget = std::max(result.of_budget, count / n);
     }
--- a/lab/hollow.cpp
+++ b/lab/hollow.cpp
@@ -84,7 +84,7 @@
     control::ControlSettings s = *deploy.control;
     s.name = config_.name;
     s.seed = config_.seed;
-    s.longest_wait = config_.settings.max_stay_away;
+    s.longest_wait = config_.settings.max_retry_after;
     control_.emplace(std::move(s), counters_);
   }
   if (deploy.fleet) fleet_.emplace(*deploy.fleet, counters_);
@@ -113,9 +113,9 @@
   if (concern == net::Concern::configuration && subscription_) to(*subscription_);
   if (concern == net::Concern::control && control_) to(*control_);
   if (concern == net::Concern::fleet && fleet_) to(*fleet_);
-  if (concern == net::Concern::journal) {
+  if (concern == net::Concern::discovery) {
     to(journal_);
-    record_.lists += journal_.take_news().size();
+    record_.lists += journal_.take_updates().size();
   }
   if (std::exchange(refused_some_, false)) {  // each refusal is counted once
     for (const auto& [service, held] : subscription_->subscriber().held()) {
--- a/lab/hollow.h
+++ b/lab/hollow.h
@@ -27,7 +27,7 @@
 #include <string>
 #include <vector>
 
-#include "back/journal.h"
+#include "back/discovery.h"
 #include "config/config.h"
 #include "control/control.h"
 #include "control/subscription.h"
@@ -94,7 +94,7 @@
   PlatformConfig config_;
   HollowRecord& record_;
   Counters counters_;
-  back::Journal journal_;
+  back::DiscoveryClient journal_;
   std::optional<control::Subscription> subscription_{};
   std::optional<control::Control> control_{};
   std::optional<fleet::Fleet> fleet_{};
--- a/src/app/gatekeeper.cpp
+++ b/src/app/gatekeeper.cpp
@@ -15,15 +15,15 @@
 // The protocol's words on a planned restart: after SIGTERM new connections keep coming for 0.4 s at most and
 // requests on open ones for 0.2 s more; SIGKILL comes no sooner than the longest deadline, counted as 3 s
 // where it is longer, and 0.7 s more.
-constexpr Duration kStillComing = 900ms;
-constexpr Duration kLook = 50ms;
-constexpr Duration kDeadlineCounted = 3s;
-constexpr Duration kKilledAfter = 700ms;
+constexpr Duration kLateArrivalWindow = 900ms;
+constexpr Duration kShutdownCheckInterval = 50ms;
+constexpr Duration kMaxCountedDeadline = 3s;
+constexpr Duration kKillDelay = 700ms;
 // So long before that, what is still open is given up and answered, and half as long before it ends.
-constexpr Duration kAnswersWithin = 300ms;
+constexpr Duration kFinalAnswerMargin = 300ms;
 // With a successor: the longest deadline counts as 5 s at most; so long after it what stands is left to it.
-constexpr Duration kLatestDeadline = 5s;
-constexpr Duration kAfterDeadlines = 2s;
+constexpr Duration kMaxUpgradeDeadline = 5s;
+constexpr Duration kUpgradeGracePeriod = 2s;
 
 template <class... Fs>
 struct Overloaded : Fs... {
@@ -35,7 +35,7 @@
   front::PlatformFrontSettings s;
   s.classes = classes.classes;
   const std::size_t most = descriptor_shares(config.sockets).callers;
-  s.most_connections = deploy.sip_tcp ? most - most / 2 : most;
+  s.max_connections = deploy.sip_tcp ? most - most / 2 : most;
   return s;
 }
 
@@ -46,16 +46,17 @@
   s.tcp = deploy.sip_tcp;
   s.classes = classes.classes;
   s.seed = config.seed;
-  s.most_connections = descriptor_shares(config.sockets).callers / 2;
+  s.max_connections = descriptor_shares(config.sockets).callers / 2;
   s.load_control_from = deploy.load_control_from;
   return s;
 }
 
 // At the start, with nothing open, every class has its place in the order of the settings.
 core::ClassTable first_classes(const PlatformConfig& config) {
-  auto table = core::placed({}, config.class_names, config.settings.classes, {});
+  auto table = core::assign_places({}, config.class_names, config.settings.classes, {});
   if (!table)
-    throw BadConfig("the settings name more than " + std::to_string(core::ClassTable::kMost) + " classes");
+    throw BadConfig("the settings name more than " + std::to_string(core::ClassTable::kMaxClasses) +
+                    " classes");
   return *table;
 }
 
@@ -63,7 +64,7 @@
   control::ControlSettings s = deploy.control.value_or(control::ControlSettings{});
   s.name = config.name;
   s.seed = config.seed;
-  s.longest_wait = config.settings.max_stay_away;
+  s.longest_wait = config.settings.max_retry_after;
   return s;
 }
 
@@ -81,18 +82,18 @@
       more_counters_(std::move(more_counters)),
       control_(control_settings(config, deploy), counters_),
       fleet_(deploy.fleet.value_or(fleet::FleetSettings{}), counters_),
-      broker_(config.settings, config.seed, core::Contracts(deploy.contracts), counters_, gate()),
+      broker_(config.settings, config.seed, core::Contracts(deploy.contracts), counters_, admission_check()),
       platform_(platform_settings(config, deploy, classes_), counters_),
       sip_(sip_settings(config, deploy, classes_), counters_),
       servers_(config.settings, config.areas, counters_),
       journal_(config.journal, config.known_position, counters_),
       exporter_(exporter_settings(config, deploy), counters_),
       management_(config.management, counters_) {
-  broker_.tallies().name(config.class_names);
+  broker_.metrics().name(config.class_names);
   if (deploy.configuration) {
     subscription_.emplace(*deploy.configuration, counters_,
                           [this](Time now, const std::vector<distribution::Document>& all, Outbox& out) {
-                            return lay(now, all, out);
+                            return apply_overlay(now, all, out);
                           });
   } else {
     config_.text = {};  // nothing is laid over it
@@ -102,11 +103,11 @@
         back::SipTrunkSettings{deploy.sip_server_transport == "tcp", deploy.sip_servers_from, config.seed},
         config.areas, counters_);
   }
-  wire();
+  connect_parts();
 }
 
 // Where no gaps can be announced and nothing is watched, new calls are not looked at.
-core::Broker::Gate Gatekeeper::gate() {
+core::Broker::AdmissionCheck Gatekeeper::admission_check() {
   if (!deploy_.control) return {};
   return
       [this](Time now, const core::Request& r) { return control_.check(now, r.number_text, r.class_name); };
@@ -114,7 +115,7 @@
 
 // A part's step: what it has no handler for is none of its business.
 template <class Part>
-Gatekeeper::Step Gatekeeper::step_of(Part& part) {
+Gatekeeper::Handler Gatekeeper::handler_of(Part& part) {
   return [&part](Time now, const net::Event& event, Outbox& out) {
     std::visit(
         [&](const auto& e) {
@@ -124,22 +125,23 @@
   };
 }
 
-void Gatekeeper::wire() {
-  const auto part = [this](net::Concern concern) -> Step& {
-    return parts_[static_cast<std::size_t>(concern)];
+void Gatekeeper::connect_parts() {
+  const auto part = [this](net::Concern concern) -> Handler& {
+    return handlers_[static_cast<std::size_t>(concern)];
   };
   part(net::Concern::broker) = [](Time, const net::Event& event, Outbox& out) {
-    if (const auto* e = std::get_if<net::TimerFired>(&event)) out.tell(core::TimerRang{e->key.number});
+    if (const auto* e = std::get_if<net::TimerFired>(&event))
+      out.notify_broker(core::TimerExpired{e->key.number});
   };
-  part(net::Concern::platform) = step_of(platform_);
-  part(net::Concern::server) = step_of(servers_);
-  part(net::Concern::sip) = step_of(sip_);
-  if (trunk_) part(net::Concern::trunk) = step_of(*trunk_);
-  part(net::Concern::control) = step_of(control_);
-  part(net::Concern::management) = step_of(management_);
-  part(net::Concern::fleet) = step_of(fleet_);
+  part(net::Concern::platform) = handler_of(platform_);
+  part(net::Concern::server) = handler_of(servers_);
+  part(net::Concern::sip) = handler_of(sip_);
+  if (trunk_) part(net::Concern::trunk) = handler_of(*trunk_);
+  part(net::Concern::control) = handler_of(control_);
+  part(net::Concern::management) = handler_of(management_);
+  part(net::Concern::fleet) = handler_of(fleet_);
   if (subscription_) {
-    part(net::Concern::configuration) = step_of(*subscription_);
+    part(net::Concern::configuration) = handler_of(*subscription_);
     control_.answers("configuration", [this](Time, const nlohmann::json& line, Outbox&) {
       return subscription_->answer(line);
     });
@@ -170,14 +172,14 @@
         {[this](Time now) { return control_.gaps().list(now); }, [this] { return control_.gaps().digest(); },
          [this](Time now, const limits::Announcement& a, Outbox& out) { control_.hold(now, a, out); }});
   }
-  part(net::Concern::journal) = [this, step = step_of(journal_)](Time now, const net::Event& event,
-                                                                 Outbox& out) {
+  part(net::Concern::discovery) = [this, step = handler_of(journal_)](Time now, const net::Event& event,
+                                                                      Outbox& out) {
     step(now, event, out);
-    for (const HostList& list : journal_.take_news())
-      take_list(now, list, list.whole ? ListKind::all : ListKind::changes, out);
+    for (const EndpointList& list : journal_.take_updates())
+      handle_endpoints(now, list, list.complete ? ListKind::all : ListKind::changes, out);
   };
-  part(net::Concern::collector) = [this, step = step_of(exporter_)](Time now, const net::Event& event,
-                                                                    Outbox& out) {
+  part(net::Concern::collector) = [this, step = handler_of(exporter_)](Time now, const net::Event& event,
+                                                                       Outbox& out) {
     if (const auto* e = std::get_if<net::TimerFired>(&event)) {
       std::vector<Gauge> gauges = control_.gauges(now);
       for (Gauge& gauge : fleet_.gauges(now)) gauges.push_back(std::move(gauge));
@@ -189,14 +191,14 @@
     step(now, event, out);
   };
   part(net::Concern::process) = [](Time now, const net::Event&, Outbox& out) {
-    out.arm(net::Concern::process, 0, now + kLook);
+    out.arm(net::Concern::process, 0, now + kShutdownCheckInterval);
   };
 }
 
 void Gatekeeper::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   if (const auto concern = net::concern_of(event)) {
-    if (const Step& part = parts_[static_cast<std::size_t>(*concern)]) part(now, event, out);
+    if (const Handler& part = handlers_[static_cast<std::size_t>(*concern)]) part(now, event, out);
   } else {
     std::visit(
         [&](const auto& e) {
@@ -204,18 +206,18 @@
         },
         event);
   }
-  settle(now, out);
+  drain_broker_events(now, out);
   const bool is_ready = ready(now);
-  if (is_ready && !listening_ && !stop_asked_) listen(out);
+  if (is_ready && !listening_ && !stop_requested_at_) listen(out);
   platform_.ready(is_ready);
   sip_.ready(is_ready);
-  finish_if_drained(now, out);
+  exit_if_drained(now, out);
   effects = std::move(out.net);
 }
 
 // With a successor at work the gatekeeper goes on being ready, though this process is about to end.
 bool Gatekeeper::ready(Time now) const {
-  return (!stop_asked_ || config_.inherited) && control_.ready(now) &&
+  return (!stop_requested_at_ || config_.inherited) && control_.ready(now) &&
          (trunk_ ? trunk_->ready() : servers_.ready()) && (!subscription_ || subscription_->ready());
 }
 
@@ -226,19 +228,19 @@
 }
 
 std::string Gatekeeper::readiness(Time now) const {
-  if (stop_asked_) return "ERR this process was asked to stop\n";
+  if (stop_requested_at_) return "ERR this process was asked to stop\n";
   if (subscription_ && !subscription_->ready()) return "ERR the configuration in force is not told yet\n";
   if (!ready(now)) return "ERR setup servers are not reached yet\n";
   return "OK ready\n";
 }
 
 std::string Gatekeeper::telemetry(Time now) const {
-  management::Figures f{broker_.tallies()};
-  f.tries = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
-                   : all_counters().of("net.counted_written");
-  f.active = broker_.unanswered() + broker_.standing();
+  management::Figures f{broker_.metrics()};
+  f.attempts = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
+                      : all_counters().of("net.counted_written");
+  f.active = broker_.unanswered() + broker_.established();
   f.pool_size = trunk_ ? trunk_->listed() : servers_.listed();
-  f.pool_ejected = broker_.avoided(now);
+  f.pool_ejected = broker_.ejected(now);
   f.config_applied = counters_.of("config.reloads");
   f.config_rejected = counters_.of("config.reloads_bad");
   for (const Gauge& g : fleet_.gauges(now)) {
@@ -265,7 +267,7 @@
   return "OK\n" + management::statsd_text(f) + "END\n";
 }
 
-void Gatekeeper::settle(Time now, Outbox& out) {
+void Gatekeeper::drain_broker_events(Time now, Outbox& out) {
   while (!out.core.empty()) {
     const std::vector<core::Event> events = std::exchange(out.core, {});
     for (const core::Event& event : events) {
@@ -284,11 +286,11 @@
                  [&](const core::StartAttempt& e) { to_servers(e); },
                  [&](const core::AbandonAttempt& e) { to_servers(e); },
                  [&](const core::ReleaseServer& e) { to_servers(e); },
-                 [&](const core::PassOnRelease& e) { platform_.apply(now, e, out); },
-                 [&](const core::SetAlarm& e) { out.arm(net::Concern::broker, e.timer, e.at); },
-                 [&](const core::Note& e) { out.log(net::Level::info, e.text); },
+                 [&](const core::ForwardRelease& e) { platform_.apply(now, e, out); },
+                 [&](const core::ArmTimer& e) { out.arm(net::Concern::broker, e.timer, e.at); },
+                 [&](const core::LogLine& e) { out.log(net::Level::info, e.text); },
                  [&](const core::RequestAnswered& e) {
-                   exporter_.note(now, e, [this](ServerId id) { return name_of(id); });
+                   exporter_.record_request(now, e, [this](ServerId id) { return name_of(id); });
                  },
                  [&](const auto& e) {  // to the caller, by the front that it came by
                    if (core::front_of(e.call) == core::Front::sip) {
@@ -303,8 +305,8 @@
              effect);
 }
 
-void Gatekeeper::take_list(Time now, const HostList& list, ListKind kind, Outbox& out) {
-  trunk_ ? trunk_->take(now, list, kind, out) : servers_.take(now, list, kind, out);
+void Gatekeeper::handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out) {
+  trunk_ ? trunk_->handle_endpoints(now, list, kind, out) : servers_.handle_endpoints(now, list, kind, out);
 }
 
 const std::string& Gatekeeper::name_of(ServerId server) const {
@@ -322,11 +324,11 @@
     servers_.start(now, out);
   }
   bool first = true;
-  for (const HostList& list : config_.known) {
-    const ListKind kind = std::exchange(first, false) ? ListKind::remembered
-                          : list.whole                ? ListKind::all
+  for (const EndpointList& list : config_.known) {
+    const ListKind kind = std::exchange(first, false) ? ListKind::cached
+                          : list.complete             ? ListKind::all
                                                       : ListKind::changes;
-    take_list(now, list, kind, out);
+    handle_endpoints(now, list, kind, out);
   }
   journal_.start(now, out);
   platform_.start(now, out);
@@ -338,23 +340,23 @@
   if (subscription_) subscription_->start(now, out);
 }
 
-void Gatekeeper::on(Time now, const net::StopAsked&, Outbox& out) {
-  if (stop_asked_) return;
-  stop_asked_ = now;
+void Gatekeeper::on(Time now, const net::StopRequested&, Outbox& out) {
+  if (stop_requested_at_) return;
+  stop_requested_at_ = now;
   out.log(net::Level::info, config_.name + " was asked to stop");
   fleet_.leave(now, config_.inherited.has_value(), out);
   if (config_.inherited) {
     out.net.push_back(net::StopListening{net::Concern::platform});
-    platform_.hand_on(out);
+    platform_.hand_over(out);
   }
-  out.arm(net::Concern::process, 0, now + kLook);
+  out.arm(net::Concern::process, 0, now + kShutdownCheckInterval);
 }
 
-void Gatekeeper::on(Time, const net::CountersAsked&, Outbox& out) {
+void Gatekeeper::on(Time, const net::CountersRequested&, Outbox& out) {
   out.net.push_back(net::Print{counters_text()});
 }
 
-void Gatekeeper::on(Time, const net::ReloadAsked&, Outbox& out) {
+void Gatekeeper::on(Time, const net::ReloadRequested&, Outbox& out) {
   out.net.push_back(net::ReadFile{config_.path});
 }
 
@@ -367,12 +369,12 @@
     PlatformConfig file = read_platform_config(*e.text);
     check_keys(config_, file);
     if (documents_.empty()) {
-      retune(now, file, out);
+      replace_settings(now, file, out);
     } else {
       try {
         const PlatformConfig whole = read_platform_config(laid_over(file.text, documents_));
         check_keys(file, whole);
-        retune(now, whole, out);
+        replace_settings(now, whole, out);
       } catch (const BadConfig& trouble) {
         throw BadConfig(std::string("with the documents in force over it: ") + trouble.what());
       }
@@ -399,12 +401,13 @@
 }
 
 // Documents over the file that was last taken, whole or not at all; what is wrong with them.
-std::optional<std::string> Gatekeeper::lay(Time now, const std::vector<distribution::Document>& documents,
-                                           Outbox& out) {
+std::optional<std::string> Gatekeeper::apply_overlay(Time now,
+                                                     const std::vector<distribution::Document>& documents,
+                                                     Outbox& out) {
   try {
     const PlatformConfig whole = read_platform_config(laid_over(config_.text, documents));
     check_keys(config_, whole);
-    retune(now, whole, out);
+    replace_settings(now, whole, out);
   } catch (const BadConfig& trouble) {
     return trouble.what();
   }
@@ -413,46 +416,47 @@
 }
 
 // Throws BadConfig before anything has changed.
-void Gatekeeper::retune(Time now, const PlatformConfig& fresh, Outbox& out) {
-  auto table = core::placed(classes_, fresh.class_names, fresh.settings.classes, broker_.places_in_use());
+void Gatekeeper::replace_settings(Time now, const PlatformConfig& fresh, Outbox& out) {
+  auto table =
+      core::assign_places(classes_, fresh.class_names, fresh.settings.classes, broker_.places_in_use());
   if (!table) throw BadConfig("open calls hold too many classes of before: try again when they are over");
   classes_ = std::move(*table);
   Settings settings = fresh.settings;
   settings.classes = classes_.places;
-  platform_.retune(classes_.classes);
-  sip_.retune(classes_.classes);
-  servers_.retune(settings);
-  broker_.tallies().name(fresh.class_names);
-  out.tell(core::Retuned{std::move(settings)});
-  journal_.move(now, fresh.journal, out);
+  platform_.replace_classes(classes_.classes);
+  sip_.replace_classes(classes_.classes);
+  servers_.replace_settings(settings);
+  broker_.metrics().name(fresh.class_names);
+  out.notify_broker(core::SettingsReplaced{std::move(settings)});
+  journal_.change_address(now, fresh.journal, out);
 }
 
-void Gatekeeper::finish_if_drained(Time now, Outbox& out) {
-  if (!stop_asked_) return;
-  const Duration asked_for = now - *stop_asked_;
+void Gatekeeper::exit_if_drained(Time now, Outbox& out) {
+  if (!stop_requested_at_) return;
+  const Duration asked_for = now - *stop_requested_at_;
   Duration longest{};
-  for (const CallClass& c : classes_.places) longest = std::max(longest, c.patience);
-  const Duration counted = std::min(longest, config_.inherited ? kLatestDeadline : kDeadlineCounted);
-  const Duration answers_due = counted + kKilledAfter - kAnswersWithin;
+  for (const CallClass& c : classes_.places) longest = std::max(longest, c.caller_timeout);
+  const Duration counted = std::min(longest, config_.inherited ? kMaxUpgradeDeadline : kMaxCountedDeadline);
+  const Duration answers_due = counted + kKillDelay - kFinalAnswerMargin;
   // With a successor what stands is served to its end for a while; without one SIGKILL is near.
   const Duration latest =
-      config_.inherited ? kLatestDeadline + kAfterDeadlines : answers_due + kAnswersWithin / 2;
+      config_.inherited ? kMaxUpgradeDeadline + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
   // Nobody is left without an answer, however long the call might still have waited.
   if (broker_.unanswered() > 0 && asked_for >= answers_due) {
     out.log(net::Level::warning, std::to_string(broker_.unanswered()) + " requests are given up at the end");
-    out.tell(core::Stopping{});
-    settle(now, out);
+    out.notify_broker(core::ShutdownStarted{});
+    drain_broker_events(now, out);
   }
-  if (asked_for >= latest) return finish(net::Exit{0}, out);
-  if (asked_for < std::min(kStillComing, answers_due)) return;
+  if (asked_for >= latest) return request_exit(net::Exit{0}, out);
+  if (asked_for < std::min(kLateArrivalWindow, answers_due)) return;
   const bool over = broker_.unanswered() == 0 &&
-                    (!config_.inherited || (broker_.standing() == 0 && platform_.connected() == 0));
+                    (!config_.inherited || (broker_.established() == 0 && platform_.connected() == 0));
   // Where something is left to write, or has come in this instant, it is looked again.
-  if (over) finish(net::ExitIfQuiet{0}, out);
+  if (over) request_exit(net::ExitIfIdle{0}, out);
 }
 
-void Gatekeeper::finish(const net::Effect& end, Outbox& out) {
-  if (!std::exchange(counters_told_, true)) out.net.push_back(net::Print{counters_text()});
+void Gatekeeper::request_exit(const net::Effect& end, Outbox& out) {
+  if (!std::exchange(counters_printed_, true)) out.net.push_back(net::Print{counters_text()});
   out.net.push_back(end);
 }
 
--- a/src/app/gatekeeper.h
+++ b/src/app/gatekeeper.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <optional>
 
-#include "back/journal.h"
+#include "back/discovery.h"
 #include "back/setup_servers.h"
 #include "back/sip_trunk.h"
 #include "config/config.h"
@@ -33,28 +33,29 @@
 
  private:
   void on(Time now, const net::Started& e, Outbox& out);
-  void on(Time now, const net::StopAsked& e, Outbox& out);
-  void on(Time now, const net::CountersAsked& e, Outbox& out);
-  void on(Time now, const net::ReloadAsked& e, Outbox& out);
+  void on(Time now, const net::StopRequested& e, Outbox& out);
+  void on(Time now, const net::CountersRequested& e, Outbox& out);
+  void on(Time now, const net::ReloadRequested& e, Outbox& out);
   void on(Time now, const net::FileRead& e, Outbox& out);
 
-  using Step = std::function<void(Time now, const net::Event& event, Outbox& out)>;
+  using Handler = std::function<void(Time now, const net::Event& event, Outbox& out)>;
   template <class Part>
-  static Step step_of(Part& part);
-  void wire();
+  static Handler handler_of(Part& part);
+  void connect_parts();
   bool ready(Time now) const;
   void listen(Outbox& out);
   std::string readiness(Time now) const;
   std::string telemetry(Time now) const;
-  core::Broker::Gate gate();
-  void retune(Time now, const PlatformConfig& fresh, Outbox& out);
-  std::optional<std::string> lay(Time now, const std::vector<distribution::Document>& documents, Outbox& out);
-  void take_list(Time now, const HostList& list, ListKind kind, Outbox& out);
+  core::Broker::AdmissionCheck admission_check();
+  void replace_settings(Time now, const PlatformConfig& fresh, Outbox& out);
+  std::optional<std::string> apply_overlay(Time now, const std::vector<distribution::Document>& documents,
+                                           Outbox& out);
+  void handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out);
   const std::string& name_of(ServerId server) const;
-  void settle(Time now, Outbox& out);
+  void drain_broker_events(Time now, Outbox& out);
   void apply(Time now, const core::Effect& effect, Outbox& out);
-  void finish_if_drained(Time now, Outbox& out);
-  void finish(const net::Effect& end, Outbox& out);
+  void exit_if_drained(Time now, Outbox& out);
+  void request_exit(const net::Effect& end, Outbox& out);
   Counters all_counters() const;
   std::string counters_text() const;
 
@@ -73,13 +74,13 @@
   // One of them speaks to the setup servers.
   back::SetupServers servers_;
   std::optional<back::SipTrunk> trunk_{};
-  back::Journal journal_;
+  back::DiscoveryClient journal_;
   otlp::Exporter exporter_;
-  std::array<Step, net::kConcerns> parts_{};  // who is told of a concern's events
+  std::array<Handler, net::kConcerns> handlers_{};  // who is told of a concern's events
   management::Management management_;
   bool listening_ = false;  // for callers
-  bool counters_told_ = false;
-  std::optional<Time> stop_asked_{};
+  bool counters_printed_ = false;
+  std::optional<Time> stop_requested_at_{};
 };
 
 }  // namespace graniterun
--- a/src/back/directory.h
+++ b/src/back/directory.h
@@ -17,7 +17,7 @@
   ServerId id_of(const std::string& uid) {
     return ids_.try_emplace(uid, ServerId{static_cast<std::uint32_t>(ids_.size())}).first->second;
   }
-  ServerEntry entry_of(ServerId id, const Host& host) const {
+  ServerEntry entry_of(ServerId id, const Endpoint& host) const {
     const auto area = std::find(areas_.begin(), areas_.end(), host.area);
     return {id,          Zone{static_cast<std::uint32_t>(area - areas_.begin())},
             host.pool,   host.state,
--- a/src/back/sip_trunk.cpp
+++ b/src/back/sip_trunk.cpp
@@ -10,9 +10,9 @@
 constexpr Duration kTick = 50ms;
 constexpr std::uint64_t kTickTimer = ~std::uint64_t{0} >> 1;  // apart from those of the transactions
 // So long the end of an attempt that was given up is awaited before the call may go on elsewhere.
-constexpr Duration kEndAwaited = 120ms;
+constexpr Duration kAbandonTimeout = 120ms;
 // A leg that is over is kept for what comes late: a success after that would be a repeat of 64 T1 ago.
-constexpr Duration kRemembered = 2 * sip::k64T1;
+constexpr Duration kFinishedRetention = 2 * sip::k64T1;
 constexpr int kNormal = 16;
 // By so much a deadline that is passed on may lie behind the caller's.
 constexpr std::chrono::milliseconds kExpiresSlack{150};
@@ -41,8 +41,8 @@
   put("Expires-Ms", std::to_string(left));
 }
 
-core::AttemptOver ended_as(Outcome outcome) {
-  core::AttemptOver ended;
+core::AttemptFinished ended_as(Outcome outcome) {
+  core::AttemptFinished ended;
   ended.outcome = outcome;
   return ended;
 }
@@ -70,7 +70,7 @@
       directory_(std::move(areas)),
       transport_(net::Concern::trunk, counters),
       transactions_(net::Concern::trunk, transport_, counters),
-      words_(settings_.seed * 3 + 1) {}
+      ids_(settings_.seed * 3 + 1) {}
 
 void SipTrunk::start(Time now, Outbox& out) {
   if (settings_.reliable) {
@@ -81,48 +81,49 @@
   out.arm(net::Concern::trunk, kTickTimer, now + kTick);
 }
 
-void SipTrunk::take(Time now, const HostList& list, ListKind kind, Outbox& out) {
+void SipTrunk::handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out) {
   ServerList told;
   told.kind = kind;
   if (kind != ListKind::changes) {
-    for (auto& [id, host] : hosts_) host.state = ServerState::terminated;
+    for (auto& [id, host] : endpoints_) host.state = ServerState::terminated;
   }
-  for (const Host& host : list.hosts) {
+  for (const Endpoint& host : list.endpoints) {
     const ServerId id = directory_.id_of(host.uid);
-    const auto [known, fresh] = hosts_.try_emplace(id, host);
+    const auto [known, fresh] = endpoints_.try_emplace(id, host);
     if (!fresh && host.started && known->second.started != host.started)
       end_calls(now, id, host.started, out);
     known->second = host;
     told.entries.push_back(directory_.entry_of(id, host));
   }
-  out.tell(core::ServersChanged{std::move(told)});
-  for (const auto& [id, host] : hosts_) {
+  out.notify_broker(core::ServersChanged{std::move(told)});
+  for (const auto& [id, host] : endpoints_) {
     if (host.state == ServerState::terminated) end_calls(now, id, {}, out);
   }
   // What is not written yet is not to reach a server that is to get nothing new.
   if (!settings_.reliable) return;
-  for (auto it = legs_.begin(); it != legs_.end();) {
+  for (auto it = attempts_.begin(); it != attempts_.end();) {
     const auto leg = it++;
     if (leg->second.state == State::calling && !leg->second.provisional &&
-        hosts_.at(leg->second.server).state != ServerState::in_service)
-      recall(now, leg, out);
+        endpoints_.at(leg->second.server).state != ServerState::in_service)
+      withdraw_invite(now, leg, out);
   }
 }
 
 std::size_t SipTrunk::listed() const {
-  return static_cast<std::size_t>(std::count_if(
-      hosts_.begin(), hosts_.end(), [](const auto& h) { return h.second.state != ServerState::terminated; }));
+  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& h) {
+    return h.second.state != ServerState::terminated;
+  }));
 }
 
 bool SipTrunk::ready() const {
-  return std::any_of(hosts_.begin(), hosts_.end(),
+  return std::any_of(endpoints_.begin(), endpoints_.end(),
                      [](const auto& h) { return h.second.state == ServerState::in_service; });
 }
 
 const std::string& SipTrunk::name_of(ServerId server) const {
   static const std::string kUnknown = "unknown";
-  const auto it = hosts_.find(server);
-  return it == hosts_.end() ? kUnknown : it->second.uid;
+  const auto it = endpoints_.find(server);
+  return it == endpoints_.end() ? kUnknown : it->second.uid;
 }
 
 // ---- the runtime's events
@@ -136,9 +137,9 @@
 
 // The text of an INVITE that waited for its connection, with the time that its caller waits from now on.
 std::string SipTrunk::with_time_left(Time now, std::uint64_t ticket, std::string text) {
-  for (auto& [call_id, leg] : legs_) {
+  for (auto& [call_id, leg] : attempts_) {
     if (leg.ticket != ticket) continue;
-    put_time_left(leg.invite, leg.give_up_at - now);
+    put_time_left(leg.invite, leg.deadline - now);
     return leg.invite.text();
   }
   return text;
@@ -146,96 +147,98 @@
 
 void SipTrunk::on(Time now, const net::ConnectFailed& e, Outbox& out) {
   const std::string peer = transport_.connect_failed(e.conn.number);
-  for (auto& [id, leg] : legs_) {
-    if (leg.flow.peer == peer && !leg.provisional) over(now, leg, ended_as(Outcome::no_connection), out);
+  for (auto& [id, leg] : attempts_) {
+    if (leg.flow.peer == peer && !leg.provisional)
+      finish_attempt(now, leg, ended_as(Outcome::no_connection), out);
   }
 }
 
 void SipTrunk::on(Time now, const net::Closed& e, Outbox& out) {
   const std::string peer = transport_.closed(e.conn.number);
-  for (auto& [id, leg] : legs_) {
-    if (!peer.empty() && leg.flow.peer == peer) over(now, leg, ended_as(Outcome::reset), out);
+  for (auto& [id, leg] : attempts_) {
+    if (!peer.empty() && leg.flow.peer == peer) finish_attempt(now, leg, ended_as(Outcome::reset), out);
   }
 }
 
 void SipTrunk::on(Time now, const net::Received& e, Outbox& out) {
-  for (sip::Incoming& incoming : transport_.received(e, out)) take_message(now, std::move(incoming), out);
+  for (sip::Incoming& incoming : transport_.received(e, out)) handle_message(now, std::move(incoming), out);
 }
 
 void SipTrunk::on(Time now, const net::Datagram& e, Outbox& out) {
-  take_message(now, transport_.datagram(e), out);
+  handle_message(now, transport_.datagram(e), out);
 }
 
 void SipTrunk::on(Time now, const net::TimerFired& e, Outbox& out) {
   if (e.key.number != kTickTimer) {
-    for (const sip::Lapse& lapse : transactions_.fired(now, e.key.number, out)) {
-      if (lapse.what != sip::Lapse::What::no_answer) continue;
+    for (const sip::TimerExpiry& lapse : transactions_.fired(now, e.key.number, out)) {
+      if (lapse.what != sip::TimerExpiry::What::no_answer) continue;
       const auto own = by_transaction_.find(lapse.key);  // timer B
       if (own == by_transaction_.end()) continue;
-      if (Leg* leg = find(own->second)) over(now, *leg, ended_as(Outcome::timed_out), out);
+      if (UpstreamAttempt* leg = find(own->second))
+        finish_attempt(now, *leg, ended_as(Outcome::timed_out), out);
     }
     return;
   }
   out.arm(net::Concern::trunk, kTickTimer, now + kTick);
-  while (const auto call_id = due_.take(now)) {
-    Leg& leg = legs_.at(*call_id);
-    if (leg.state == State::abandoned && !leg.told) {
-      over(now, leg, ended_as(Outcome::cancelled), out);
+  while (const auto call_id = due_.pop_due(now)) {
+    UpstreamAttempt& leg = attempts_.at(*call_id);
+    if (leg.state == State::abandoned && !leg.broker_notified) {
+      finish_attempt(now, leg, ended_as(Outcome::cancelled), out);
       continue;
     }
-    erase(legs_.find(*call_id));
+    erase(attempts_.find(*call_id));
   }
 }
 
-void SipTrunk::erase(Legs::iterator it) {
+void SipTrunk::erase(Attempts::iterator it) {
   by_transaction_.erase(it->second.transaction);
-  recalls_.erase(it->second.ticket);
+  withdrawals_.erase(it->second.ticket);
   due_.clear(it->first);
-  legs_.erase(it);
+  attempts_.erase(it);
 }
 
 // A leg that is given up or over has an end of its own.
-void SipTrunk::enter(Time now, Leg& leg, State state) {
+void SipTrunk::enter_state(Time now, UpstreamAttempt& leg, State state) {
   leg.state = state;
-  leg.since = now;
+  leg.state_since = now;
   const std::string call_id(leg.invite.header("Call-ID"));
   due_.clear(call_id);
-  if (state == State::over || state == State::abandoned)
-    due_.set(call_id, now + (leg.told ? kRemembered : kEndAwaited) + 1ns);
+  if (state == State::finished || state == State::abandoned)
+    due_.set(call_id, now + (leg.broker_notified ? kFinishedRetention : kAbandonTimeout) + 1ns);
 }
 
 // ---- the broker's effects
 
 std::string SipTrunk::via() {
   return std::string(settings_.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + settings_.address +
-         ";branch=" + std::string(sip::kCookie) + words_.next();
+         ";branch=" + std::string(sip::kCookie) + ids_.next();
 }
 
 void SipTrunk::apply(Time now, const core::StartAttempt& e, Outbox& out) {
-  const auto host = hosts_.find(e.server);
-  if (host == hosts_.end()) return;
+  const auto host = endpoints_.find(e.server);
+  if (host == endpoints_.end()) return;
   const core::Request& r = *e.request;
   const std::string call_id = call_id_of(r, e.attempt);
-  Leg& leg = legs_[call_id];
+  UpstreamAttempt& leg = attempts_[call_id];
   leg.request = e.request;
   leg.attempt = e.attempt;
   leg.server = e.server;
   leg.state = State::calling;
-  leg.since = now;
-  leg.give_up_at = e.give_up_at;
+  leg.state_since = now;
+  leg.deadline = e.deadline;
   leg.flow = {settings_.reliable, 0, host->second.address};
   sip::Message& m = leg.invite;
   m.method = "INVITE";
   m.uri = "sip:" + r.number_text + "@" + host->second.address;
   m.add("Via", via());
   m.add("Max-Forwards", "70");
-  m.add("From", "<sip:graniterun@" + settings_.address + ">;tag=" + words_.next());
+  m.add("From", "<sip:graniterun@" + settings_.address + ">;tag=" + ids_.next());
   m.add("To", "<" + m.uri + ">");
   m.add("Call-ID", call_id);
   m.add("CSeq", "1 INVITE");
   m.add("Contact", "<sip:graniterun@" + settings_.address + (settings_.reliable ? ";transport=tcp>" : ">"));
   m.add("Priority-Class", r.class_name);
-  put_time_left(m, e.give_up_at - now);
+  put_time_left(m, e.deadline - now);
   if (!r.description.empty()) m.add("Content-Type", "application/sdp");
   m.body = r.description;
   counters_.add("trunk.invites");
@@ -245,54 +248,54 @@
 }
 
 void SipTrunk::apply(Time now, const core::AbandonAttempt& e, Outbox& out) {
-  const auto it = legs_.find(call_id_of(*e.request, e.attempt));
-  if (it == legs_.end() || it->second.state != State::calling) return;
-  Leg& leg = it->second;
-  enter(now, leg, State::abandoned);
+  const auto it = attempts_.find(call_id_of(*e.request, e.attempt));
+  if (it == attempts_.end() || it->second.state != State::calling) return;
+  UpstreamAttempt& leg = it->second;
+  enter_state(now, leg, State::abandoned);
   if (leg.provisional) {
     cancel(now, leg, out);
   } else if (leg.flow.reliable) {
-    recall(now, it, out);
+    withdraw_invite(now, it, out);
   } else {
     // A repeat now could begin at the server what has been given up here.
-    transactions_.stop_resending(leg.invite);
+    transactions_.stop_retransmitting(leg.invite);
   }
 }
 
 // An INVITE that waits for its connection, or for a server that reads nothing, is taken back: written later
 // it would begin an attempt for a caller long gone. Where it is too late the CANCEL waits for a provisional
 // answer.
-void SipTrunk::recall(Time now, Legs::iterator it, Outbox& out) {
-  Leg& leg = it->second;
-  if (transport_.recall(leg.flow, leg.ticket, out)) return never_sent(now, it, out);
-  recalls_.insert_or_assign(leg.ticket, it->first);
+void SipTrunk::withdraw_invite(Time now, Attempts::iterator it, Outbox& out) {
+  UpstreamAttempt& leg = it->second;
+  if (transport_.withdraw(leg.flow, leg.ticket, out)) return handle_withdrawn(now, it, out);
+  withdrawals_.insert_or_assign(leg.ticket, it->first);
 }
 
-void SipTrunk::on(Time now, const net::Recalled& e, Outbox& out) {
-  const auto asked = recalls_.find(e.ticket);
-  if (asked == recalls_.end()) return;
-  const auto it = legs_.find(asked->second);
-  recalls_.erase(asked);
-  if (it != legs_.end()) never_sent(now, it, out);
+void SipTrunk::on(Time now, const net::WriteWithdrawn& e, Outbox& out) {
+  const auto asked = withdrawals_.find(e.ticket);
+  if (asked == withdrawals_.end()) return;
+  const auto it = attempts_.find(asked->second);
+  withdrawals_.erase(asked);
+  if (it != attempts_.end()) handle_withdrawn(now, it, out);
 }
 
-void SipTrunk::never_sent(Time now, Legs::iterator it, Outbox& out) {
+void SipTrunk::handle_withdrawn(Time now, Attempts::iterator it, Outbox& out) {
   counters_.add("trunk.invites_recalled");
   transactions_.forget(it->second.transaction);
-  over(now, it->second, ended_as(Outcome::not_sent), out);
+  finish_attempt(now, it->second, ended_as(Outcome::not_sent), out);
   erase(it);
 }
 
 void SipTrunk::apply(Time now, const core::ReleaseServer& e, Outbox& out) {
-  Leg* leg = find(call_id_of(*e.request, e.attempt));
-  if (leg == nullptr || leg->state != State::stands) return;
-  leg->told = true;
+  UpstreamAttempt* leg = find(call_id_of(*e.request, e.attempt));
+  if (leg == nullptr || leg->state != State::established) return;
+  leg->broker_notified = true;
   bye(now, *leg, e.cause, out);
-  enter(now, *leg, State::over);
+  enter_state(now, *leg, State::finished);
 }
 
 // §9.1: the INVITE's own Via, and its number.
-void SipTrunk::cancel(Time now, Leg& leg, Outbox& out) {
+void SipTrunk::cancel(Time now, UpstreamAttempt& leg, Outbox& out) {
   if (std::exchange(leg.cancelled, true)) return;
   sip::Message m;
   m.method = "CANCEL";
@@ -304,7 +307,7 @@
   transactions_.send_request(now, leg.flow, m, out);
 }
 
-sip::Message SipTrunk::in_dialog(Leg& leg, const std::string& method, std::uint32_t cseq) {
+sip::Message SipTrunk::in_dialog(UpstreamAttempt& leg, const std::string& method, std::uint32_t cseq) {
   sip::Message m;
   m.method = method;
   m.uri = leg.target;
@@ -318,7 +321,7 @@
   return m;
 }
 
-void SipTrunk::bye(Time now, Leg& leg, int cause, Outbox& out) {
+void SipTrunk::bye(Time now, UpstreamAttempt& leg, int cause, Outbox& out) {
   sip::Message m = in_dialog(leg, "BYE", ++leg.cseq);
   m.add("Reason", "Q.850;cause=" + std::to_string(cause));
   counters_.add("trunk.byes_out");
@@ -327,12 +330,12 @@
 
 // ---- what servers send
 
-void SipTrunk::take_message(Time now, sip::Incoming incoming, Outbox& out) {
+void SipTrunk::handle_message(Time now, sip::Incoming incoming, Outbox& out) {
   if (incoming.read.state == sip::ReadState::more) return;
   if (incoming.read.state == sip::ReadState::malformed) {
     counters_.add("trunk.malformed");
-    out.log(net::Level::warning, "a setup server's SIP message is refused: " + incoming.read.trouble);
-    if (incoming.flow.reliable && incoming.read.lost) {
+    out.log(net::Level::warning, "a setup server's SIP message is refused: " + incoming.read.error);
+    if (incoming.flow.reliable && incoming.read.unrecoverable) {
       out.close({net::Concern::trunk, incoming.flow.conn});
       on(now, net::Closed{{net::Concern::trunk, incoming.flow.conn}, false}, out);
     }
@@ -346,9 +349,9 @@
 }
 
 void SipTrunk::answered(Time now, const sip::Message& m, Outbox& out) {
-  if (transactions_.take_answer(now, m, out).empty()) return;
+  if (transactions_.receive_response(now, m, out).empty()) return;
   const auto cseq = sip::cseq_of(m);
-  Leg* leg = find(m.header("Call-ID"));
+  UpstreamAttempt* leg = find(m.header("Call-ID"));
   if (leg == nullptr || !cseq || cseq->method != "INVITE") return;
   if (m.status < 200) {
     leg->provisional = true;
@@ -357,22 +360,22 @@
   }
   if (m.status >= 300) {
     counters_.add("trunk.refusals." + std::to_string(m.status));
-    core::AttemptOver ended =
+    core::AttemptFinished ended =
         ended_as(leg->state == State::abandoned ? Outcome::cancelled : outcome_of(m.status));
-    note_refusal(m, ended);
+    read_rejection(m, ended);
     if (ended.outcome == Outcome::full && ended.reason == FullReason::none)
       ended.reason = FullReason::processor;
     if (m.status == 486 || m.status == 600) ended.reason = FullReason::number_busy;
     ended.report = report_of(m);
-    if (leg->state == State::calling || leg->state == State::abandoned) over(now, *leg, ended, out);
+    if (leg->state == State::calling || leg->state == State::abandoned) finish_attempt(now, *leg, ended, out);
     return;
   }
   // Every success is acknowledged, repeats too; a second dialog out of a fork is ended at once.
   const std::string remote(m.header("To"));
-  Leg other = *leg;
+  UpstreamAttempt other = *leg;
   const bool forked =
       !leg->remote.empty() && sip::parameter(leg->remote, "tag") != sip::parameter(remote, "tag");
-  Leg& dialog = forked ? other : *leg;
+  UpstreamAttempt& dialog = forked ? other : *leg;
   dialog.remote = remote;
   const std::string_view contact = m.header("Contact");
   dialog.target = contact.empty() ? leg->invite.uri : std::string(sip::uri_in(contact));
@@ -382,18 +385,18 @@
   if (forked) return bye(now, other, kNormal, out);
   counters_.add("trunk.answers");
   if (leg->state == State::calling) {
-    leg->stood = true;
-    enter(now, *leg, State::stands);
-    out.tell(core::AttemptStood{leg->request->call, leg->attempt, m.body});
-  } else if (!std::exchange(leg->stood, true)) {
+    leg->was_established = true;
+    enter_state(now, *leg, State::established);
+    out.notify_broker(core::AttemptEstablished{leg->request->call, leg->attempt, m.body});
+  } else if (!std::exchange(leg->was_established, true)) {
     // The success crossed our CANCEL, or its connection broke while the INVITE was out: it is acknowledged
     // and ended, and the call is not tried again where its end has not been told.
     counters_.add("trunk.crossed");
-    core::AttemptOver ended = ended_as(Outcome::cancelled);
-    ended.crossed = true;
-    over(now, *leg, ended, out);
+    core::AttemptFinished ended = ended_as(Outcome::cancelled);
+    ended.late_success = true;
+    finish_attempt(now, *leg, ended, out);
     bye(now, *leg, kNormal, out);
-    enter(now, *leg, State::over);
+    enter_state(now, *leg, State::finished);
   }
 }
 
@@ -404,11 +407,12 @@
     return;
   }
   sip::Flow back = flow;
-  if (transactions_.take_request(now, back, m, key, out) != sip::Transactions::Taken::fresh) return;
+  if (transactions_.receive_request(now, back, m, key, out) != sip::Transactions::RequestKind::initial)
+    return;
   const auto answer = [&](int status) {
-    transactions_.respond(now, key, sip::answer_to(m, status, sip::phrase_of(status), words_.next()), out);
+    transactions_.respond(now, key, sip::answer_to(m, status, sip::phrase_of(status), ids_.next()), out);
   };
-  Leg* leg = find(m.header("Call-ID"));
+  UpstreamAttempt* leg = find(m.header("Call-ID"));
   const bool known = leg != nullptr && sip::parameter(m.header("To"), "tag") ==
                                            sip::parameter(leg->invite.header("From"), "tag");
   if (m.method == "OPTIONS") return answer(200);
@@ -418,45 +422,48 @@
   answer(200);
   counters_.add("trunk.byes_in");
   const int cause = cause_in(m.header("Reason"));
-  if (leg->told) {
+  if (leg->broker_notified) {
     // Its attempt was over here before the server said that it had stood: the call may still be open.
-    if (!std::exchange(leg->stood, true)) out.tell(core::ServerReleased{leg->request->label, cause, true});
+    if (!std::exchange(leg->was_established, true))
+      out.notify_broker(core::ServerReleased{leg->request->correlation_id, cause, true});
     return;
   }
-  core::AttemptOver ended = ended_as(cause == kNormal && leg->stood ? Outcome::ok : Outcome::reset);
-  ended.crossed = !std::exchange(leg->stood, true);  // its answer was lost: the callee has been rung
+  core::AttemptFinished ended =
+      ended_as(cause == kNormal && leg->was_established ? Outcome::ok : Outcome::reset);
+  ended.late_success =
+      !std::exchange(leg->was_established, true);  // its answer was lost: the callee has been rung
   ended.cause = cause;
   ended.report = report_of(m);
-  over(now, *leg, ended, out);
+  finish_attempt(now, *leg, ended, out);
 }
 
 // ---- small things
 
-void SipTrunk::over(Time now, Leg& leg, core::AttemptOver ended, Outbox& out) {
-  if (leg.told) return;
+void SipTrunk::finish_attempt(Time now, UpstreamAttempt& leg, core::AttemptFinished ended, Outbox& out) {
+  if (leg.broker_notified) return;
   const bool connection_lost =
-      ended.outcome == Outcome::reset && ended.cause == 0 && leg.state == State::stands;
+      ended.outcome == Outcome::reset && ended.cause == 0 && leg.state == State::established;
   if (connection_lost) return;  // a call that stands belongs to no connection
-  leg.told = true;
-  enter(now, leg, leg.state == State::abandoned ? State::abandoned : State::over);
+  leg.broker_notified = true;
+  enter_state(now, leg, leg.state == State::abandoned ? State::abandoned : State::finished);
   ended.call = leg.request->call;
   ended.attempt = leg.attempt;
-  out.tell(std::move(ended));
+  out.notify_broker(std::move(ended));
 }
 
 void SipTrunk::end_calls(Time now, ServerId server, std::optional<Time> stood_before, Outbox& out) {
-  for (auto& [id, leg] : legs_) {
-    if (leg.server != server || leg.state != State::stands) continue;
-    if (stood_before && leg.since >= *stood_before) continue;
-    core::AttemptOver ended = ended_as(Outcome::reset);
+  for (auto& [id, leg] : attempts_) {
+    if (leg.server != server || leg.state != State::established) continue;
+    if (stood_before && leg.state_since >= *stood_before) continue;
+    core::AttemptFinished ended = ended_as(Outcome::reset);
     ended.cause = 41;
-    over(now, leg, ended, out);
+    finish_attempt(now, leg, ended, out);
   }
 }
 
-SipTrunk::Leg* SipTrunk::find(std::string_view call_id) {
-  const auto it = legs_.find(call_id);
-  return it == legs_.end() ? nullptr : &it->second;
+SipTrunk::UpstreamAttempt* SipTrunk::find(std::string_view call_id) {
+  const auto it = attempts_.find(call_id);
+  return it == attempts_.end() ? nullptr : &it->second;
 }
 
 }  // namespace graniterun::back
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -151,13 +151,13 @@
 
 }  // namespace
 
-HostList read_hosts(const json& list) {
+EndpointList read_endpoints(const json& list) {
   try {
-    HostList result;
+    EndpointList result;
     if (!list.is_object() || !list.contains("targets")) throw BadConfig("a list of servers has no 'targets'");
-    result.whole = list.value("all", false);
+    result.complete = list.value("all", false);
     for (const json& target : list.at("targets")) {
-      Host host;
+      Endpoint host;
       host.uid = text(target, "uid");
       host.address = target.value("endpoint", std::string());
       host.area = target.value("az", std::string());
@@ -169,7 +169,7 @@
       host.weight = target.value("capacity_hint", 1.0);
       if (const auto ms = target.value("boot_ms", std::int64_t{0}); ms > 0)
         host.started = Time(std::chrono::milliseconds(ms));
-      result.hosts.push_back(std::move(host));
+      result.endpoints.push_back(std::move(host));
     }
     return result;
   } catch (const json::exception& trouble) {
@@ -216,7 +216,7 @@
       const json& known = whole["known"];
       c.known_position = known.value("pos", std::uint64_t{0});
       for (const json& event : known.value("entries", json::array())) {
-        if (event.contains("hosts")) c.known.push_back(read_hosts(event["hosts"]));
+        if (event.contains("hosts")) c.known.push_back(read_endpoints(event["hosts"]));
       }
     }
     return c;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -25,7 +25,7 @@
 };
 
 // A setup server as the journal service tells of it.
-struct Host {
+struct Endpoint {
   std::string uid{};
   std::string address{};
   std::string area{};
@@ -34,12 +34,12 @@
   double weight{1.0};
   std::optional<Time> started{};
 };
-struct HostList {
-  bool whole{};
-  std::vector<Host> hosts{};
+struct EndpointList {
+  bool complete{};
+  std::vector<Endpoint> endpoints{};
 };
 // Throws BadConfig.
-HostList read_hosts(const nlohmann::json& list);
+EndpointList read_endpoints(const nlohmann::json& list);
 
 struct PlatformConfig {
   std::string path{};  // of the file that it came from
@@ -54,7 +54,7 @@
   std::uint64_t seed{};
   std::size_t sockets{1024};
   std::uint64_t known_position{};
-  std::vector<HostList> known{};
+  std::vector<EndpointList> known{};
   std::vector<std::string> areas{};
   std::vector<std::string> class_names{};
   std::set<std::string> keys{};  // paths of all that the file sets but what `known` holds
--- a/src/control/announcer.cpp
+++ b/src/control/announcer.cpp
@@ -24,7 +24,7 @@
 
 Announcer::Announcer(AnnouncerSettings settings)
     : settings_(std::move(settings)),
-      keeper_(settings_.most_connections, kIdle),
+      reaper_(settings_.most_connections, kIdle),
       register_({}, settings_.life, {}) {
   for (const std::string& address : settings_.gatekeepers) {
     Gatekeeper g;
@@ -92,13 +92,13 @@
 
 Announcer::Gatekeeper* Announcer::of(net::ConnId conn) {
   for (Gatekeeper& g : gatekeepers_) {
-    if (conn.concern == net::Concern::announced && g.conn == conn.number) return &g;
+    if (conn.concern == net::Concern::control_client && g.conn == conn.number) return &g;
   }
   return nullptr;
 }
 
 void Announcer::send(const Gatekeeper& g, const json& line, Outbox& out) const {
-  out.send({net::Concern::announced, g.conn}, line_of(line));
+  out.send({net::Concern::control_client, g.conn}, line_of(line));
 }
 
 void Announcer::on(Time now, const net::Connected& e, Outbox& out) {
@@ -125,7 +125,7 @@
 // Whether it is still there, and holds the same.
 void Announcer::ask(Time now, Gatekeeper& g, Outbox& out) {
   if (now - g.heard > kSilent) {
-    const net::ConnId conn{net::Concern::announced, g.conn};
+    const net::ConnId conn{net::Concern::control_client, g.conn};
     lost(now, g, out);
     return out.close(conn);
   }
@@ -288,9 +288,9 @@
 
 void Announcer::on(Time now, const net::Accepted& e, Outbox& out) {
   operators_.insert(e.conn);
-  keeper_.accepted(now, e.conn);
+  reaper_.accepted(now, e.conn);
   for (const net::ConnId conn :
-       keeper_.too_many(now, [this](net::ConnId c) { return watchers_.contains(c); }))
+       reaper_.excess_connections(now, [this](net::ConnId c) { return watchers_.contains(c); }))
     close(now, conn, out);
 }
 
@@ -301,7 +301,7 @@
 
 void Announcer::on(Time now, const net::Closed& e, Outbox& out) {
   if (Gatekeeper* g = of(e.conn)) return lost(now, *g, out);
-  keeper_.closed(e.conn);
+  reaper_.closed(e.conn);
   operators_.erase(e.conn);
   watchers_.erase(e.conn);
   for (auto& [id, all] : waiting_) std::erase_if(all, [&](const Waiting& w) { return w.conn == e.conn; });
@@ -339,7 +339,7 @@
             out);
     return close(now, e.conn, out);
   }
-  if (operators) keeper_.heard(now, e.conn, whole, *used < e.bytes.size());
+  if (operators) reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
@@ -428,9 +428,10 @@
     if (g.up) ask(now, g, out);
     if (g.conn != 0 || now < g.next_connect) continue;
     g.conn = ++last_conn_;
-    out.net.push_back(net::Connect{{net::Concern::announced, g.conn}, g.address, kConnectWithin});
+    out.net.push_back(net::Connect{{net::Concern::control_client, g.conn}, g.address, kConnectWithin});
   }
-  for (const auto& [conn, stuck] : keeper_.due(now, [this](net::ConnId c) { return watchers_.contains(c); }))
+  for (const auto& [conn, stuck] :
+       reaper_.expired(now, [this](net::ConnId c) { return watchers_.contains(c); }))
     close(now, conn, out);
   for (auto it = waiting_.begin(); it != waiting_.end();) {
     std::erase_if(it->second, [now](const Waiting& w) { return w.until <= now; });
@@ -455,13 +456,13 @@
   }
 }
 
-void Announcer::on(Time now, const net::StopAsked&, Outbox& out) {
+void Announcer::on(Time now, const net::StopRequested&, Outbox& out) {
   save(now, out);
   out.log(net::Level::info, settings_.name + " ends");
   out.net.push_back(net::Exit{0});
 }
 
-void Announcer::on(Time, const net::CountersAsked&, Outbox& out) {
+void Announcer::on(Time, const net::CountersRequested&, Outbox& out) {
   std::string text;
   for (const auto& [name, value] : counters_.all()) text += name + " " + std::to_string(value) + "\n";
   out.net.push_back(net::Print{text});
--- a/src/control/announcer.h
+++ b/src/control/announcer.h
@@ -14,7 +14,7 @@
 
 #include "control/gap_json.h"
 #include "core/counters.h"
-#include "front/keeper.h"
+#include "front/connection_reaper.h"
 #include "net/outbox.h"
 
 namespace graniterun::control {
@@ -71,8 +71,8 @@
   void on(Time now, const net::Received& e, Outbox& out);
   void on(Time now, const net::Closed& e, Outbox& out);
   void on(Time now, const net::TimerFired& e, Outbox& out);
-  void on(Time now, const net::StopAsked& e, Outbox& out);
-  void on(Time now, const net::CountersAsked& e, Outbox& out);
+  void on(Time now, const net::StopRequested& e, Outbox& out);
+  void on(Time now, const net::CountersRequested& e, Outbox& out);
 
   void from_operator(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void from_gatekeeper(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
@@ -92,8 +92,8 @@
 
   AnnouncerSettings settings_;
   Counters counters_;
-  SeldomWarning refused_;
-  front::Keeper keeper_;
+  RateLimitedWarning refused_;
+  front::ConnectionReaper reaper_;
   limits::GapRegister register_;
   std::vector<Gatekeeper> gatekeepers_;
   std::map<std::string, Deal> deals_;
--- a/src/control/config_ctl.cpp
+++ b/src/control/config_ctl.cpp
@@ -74,7 +74,7 @@
 
 void ConfigCtl::send(const Target& t, const json& line, Outbox& out) const {
   const auto number = static_cast<std::uint32_t>(&t - targets_.data()) + 1;
-  out.send({net::Concern::announced, number}, line_of(line));
+  out.send({net::Concern::control_client, number}, line_of(line));
 }
 
 std::size_t ConfigCtl::reached() const {
@@ -85,7 +85,8 @@
 
 void ConfigCtl::on(Time now, const net::Started&, Outbox& out) {
   for (std::uint32_t i = 0; i < targets_.size(); ++i)
-    out.net.push_back(net::Connect{{net::Concern::announced, i + 1}, targets_[i].address, kConnectWithin});
+    out.net.push_back(
+        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectWithin});
   out.arm(net::Concern::process, 0, now + settings_.within);
   round_began_ = now;
 }
@@ -165,7 +166,7 @@
   finish(out);
 }
 
-void ConfigCtl::on(Time, const net::StopAsked&, Outbox& out) {
+void ConfigCtl::on(Time, const net::StopRequested&, Outbox& out) {
   if (!finished_) finish(out);
 }
 
--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -58,7 +58,7 @@
       others_(std::move(others)),
       core_({settings_.name, settings_.peers.size(), settings_.key, settings_.bytes_per_second,
              settings_.seed}),
-      keeper_(settings_.most_connections, kIdle),
+      reaper_(settings_.most_connections, kIdle),
       random_(settings_.seed ^ 0x9E3779B97F4A7C15U) {
   for (const std::string& address : settings_.peers) {
     Peer peer;
@@ -269,7 +269,7 @@
 // ---- the other distributors
 
 std::optional<std::uint32_t> ConfigDistributor::peer_of(net::ConnId conn) const {
-  if (conn.concern != net::Concern::announced || conn.number == 0) return std::nullopt;
+  if (conn.concern != net::Concern::control_client || conn.number == 0) return std::nullopt;
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
     if (peers_[i].conn == conn.number) return i;
   }
@@ -278,7 +278,7 @@
 
 void ConfigDistributor::send_to_peer(std::uint32_t peer, const json& line, Outbox& out) {
   if (peer < peers_.size() && peers_[peer].up)
-    out.send({net::Concern::announced, peers_[peer].conn}, line_of(line));
+    out.send({net::Concern::control_client, peers_[peer].conn}, line_of(line));
 }
 
 // Drawn, and longer each time: those who come back must not all come at once.
@@ -320,8 +320,9 @@
 
 void ConfigDistributor::on(Time now, const net::Accepted& e, Outbox& out) {
   callers_[e.conn] = {};
-  keeper_.accepted(now, e.conn);
-  for (const net::ConnId conn : keeper_.too_many(now, [this](net::ConnId c) { return is_busy(c); })) {
+  reaper_.accepted(now, e.conn);
+  for (const net::ConnId conn :
+       reaper_.excess_connections(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("distributor.connections_over");
     refused_.line(now, "there are more than " + std::to_string(settings_.most_connections) + " connections",
                   out);
@@ -345,7 +346,7 @@
   if (it == callers_.end()) return;
   const bool client = it->second.client;
   callers_.erase(it);
-  keeper_.closed(e.conn);
+  reaper_.closed(e.conn);
   if (client) feed(now, ClientDown{e.conn.number}, out);
 }
 
@@ -394,7 +395,7 @@
       reply(e.conn, "line", {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
     return close(now, e.conn, out);
   }
-  if (callers_.contains(e.conn)) keeper_.heard(now, e.conn, whole, *used < e.bytes.size());
+  if (callers_.contains(e.conn)) reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
@@ -532,12 +533,12 @@
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
     Peer& peer = peers_[i];
     if (peer.up && now - peer.heard > kSilentSource) {
-      out.close({net::Concern::announced, peer.conn});
+      out.close({net::Concern::control_client, peer.conn});
       lost(now, i, out);
     }
     if (peer.conn != 0 || now < peer.next_connect) continue;
     peer.conn = ++last_conn_;
-    out.net.push_back(net::Connect{{net::Concern::announced, peer.conn}, peer.address, kConnectWithin});
+    out.net.push_back(net::Connect{{net::Concern::control_client, peer.conn}, peer.address, kConnectWithin});
   }
   if (now < next_look_) return;
   next_look_ = now + kLook;
@@ -545,7 +546,7 @@
     const auto it = callers_.find(c);
     return it != callers_.end() && it->second.publishes > 0;
   };
-  for (const auto& [conn, stuck] : keeper_.due(now, waits)) {
+  for (const auto& [conn, stuck] : reaper_.expired(now, waits)) {
     counters_.add(stuck ? "distributor.connections_stuck" : "distributor.connections_silent");
     refused_.line(now,
                   std::string("a connection is closed: ") +
@@ -555,12 +556,12 @@
   }
 }
 
-void ConfigDistributor::on(Time, const net::StopAsked&, Outbox& out) {
+void ConfigDistributor::on(Time, const net::StopRequested&, Outbox& out) {
   out.log(net::Level::info, settings_.name + " ends");
   out.net.push_back(net::Exit{0});
 }
 
-void ConfigDistributor::on(Time, const net::CountersAsked&, Outbox& out) {
+void ConfigDistributor::on(Time, const net::CountersRequested&, Outbox& out) {
   std::string text;
   Counters all = counters_;
   if (others_) others_(all);
--- a/src/control/config_distributor.h
+++ b/src/control/config_distributor.h
@@ -22,7 +22,7 @@
 
 #include "control/config_lines.h"
 #include "core/counters.h"
-#include "front/keeper.h"
+#include "front/connection_reaper.h"
 #include "net/outbox.h"
 
 namespace graniterun::control {
@@ -74,8 +74,8 @@
   void on(Time now, const net::Received& e, Outbox& out);
   void on(Time now, const net::Closed& e, Outbox& out);
   void on(Time now, const net::TimerFired& e, Outbox& out);
-  void on(Time now, const net::StopAsked& e, Outbox& out);
-  void on(Time now, const net::CountersAsked& e, Outbox& out);
+  void on(Time now, const net::StopRequested& e, Outbox& out);
+  void on(Time now, const net::CountersRequested& e, Outbox& out);
 
   // Its files.
   std::string path_of(std::size_t bucket) const;
@@ -124,10 +124,10 @@
   std::function<void(Counters&)> others_;
   distribution::Distributor core_;
   Counters counters_;
-  SeldomWarning refused_;
-  SeldomWarning peers_told_;
-  SeldomWarning happened_[kKinds];
-  front::Keeper keeper_;
+  RateLimitedWarning refused_;
+  RateLimitedWarning peers_told_;
+  RateLimitedWarning happened_[kKinds];
+  front::ConnectionReaper reaper_;
   std::mt19937_64 random_;
   std::vector<Peer> peers_;
   std::map<net::ConnId, Caller> callers_;
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 Control::Control(ControlSettings settings, Counters& counters)
-    : settings_(std::move(settings)), counters_(counters), keeper_(settings_.most_connections, kIdle) {
+    : settings_(std::move(settings)), counters_(counters), reaper_(settings_.most_connections, kIdle) {
   if (settings_.longest_wait <= Duration{}) settings_.longest_wait = 2s;
   if (settings_.hot) hot_.emplace(*settings_.hot);
 }
@@ -71,16 +71,16 @@
 void Control::on(Time now, const net::Accepted& e, Outbox& out) {
   counters_.add("control.connections");
   peers_.try_emplace(e.conn);
-  keeper_.accepted(now, e.conn);
+  reaper_.accepted(now, e.conn);
   const auto busy = [this](net::ConnId conn) { return peers_.at(conn).watches || peers_.at(conn).life; };
-  for (const net::ConnId conn : keeper_.too_many(now, busy)) {
+  for (const net::ConnId conn : reaper_.excess_connections(now, busy)) {
     counters_.add("control.closed_for_room");
     close(now, conn, out);
   }
 }
 
 void Control::on(Time, const net::Closed& e, Outbox&) {
-  keeper_.closed(e.conn);
+  reaper_.closed(e.conn);
   peers_.erase(e.conn);
   if (announcer_ == e.conn) announcer_.reset();
 }
@@ -111,14 +111,14 @@
           out);
     return close(now, e.conn, out);
   }
-  keeper_.heard(now, e.conn, whole, *used < e.bytes.size());
+  reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
 void Control::on(Time now, const net::TimerFired&, Outbox& out) {
   out.arm(net::Concern::control, 0, now + kTick);
   const auto busy = [this](net::ConnId conn) { return peers_.at(conn).watches || peers_.at(conn).life; };
-  for (const auto& [conn, stuck] : keeper_.due(now, busy)) {
+  for (const auto& [conn, stuck] : reaper_.expired(now, busy)) {
     counters_.add("control.closed_idle");
     close(now, conn, out);
   }
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -12,7 +12,7 @@
 #include "control/gap_json.h"
 #include "control/settings.h"
 #include "core/counters.h"
-#include "front/keeper.h"
+#include "front/connection_reaper.h"
 #include "limits/gap_register.h"
 #include "limits/hot_numbers.h"
 #include "net/outbox.h"
@@ -70,8 +70,8 @@
   ControlSettings settings_;
   Counters& counters_;
   std::map<std::string, Answer, std::less<>> answers_;
-  SeldomWarning refused_;
-  front::Keeper keeper_;
+  RateLimitedWarning refused_;
+  front::ConnectionReaper reaper_;
   std::optional<limits::Heirs> heirs_{};           // where places are known
   std::optional<limits::GapRegister> register_{};  // from the start on
   std::optional<limits::HotNumbers> hot_{};
--- a/src/control/ctl.cpp
+++ b/src/control/ctl.cpp
@@ -64,13 +64,14 @@
 
 void Ctl::send(const Target& t, const json& line, Outbox& out) const {
   const auto number = static_cast<std::uint32_t>(&t - targets_.data()) + 1;
-  out.send({net::Concern::announced, number}, line_of(line));
+  out.send({net::Concern::control_client, number}, line_of(line));
 }
 
 void Ctl::on(Time now, const net::Started&, Outbox& out) {
   started_ = now;
   for (std::uint32_t i = 0; i < targets_.size(); ++i)
-    out.net.push_back(net::Connect{{net::Concern::announced, i + 1}, targets_[i].address, kConnectWithin});
+    out.net.push_back(
+        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectWithin});
   if (settings_.what != CtlSettings::What::watch || settings_.within > Duration{})
     out.arm(net::Concern::process, 0, now + settings_.within);
 }
@@ -129,7 +130,7 @@
   if (e.key.concern == net::Concern::process && !finished_) finish(out);
 }
 
-void Ctl::on(Time, const net::StopAsked&, Outbox& out) {
+void Ctl::on(Time, const net::StopRequested&, Outbox& out) {
   if (!finished_) finish(out);
 }
 
--- a/src/control/ctl.h
+++ b/src/control/ctl.h
@@ -56,7 +56,7 @@
   void on(Time now, const net::Closed& e, Outbox& out);
   void on(Time now, const net::Received& e, Outbox& out);
   void on(Time now, const net::TimerFired& e, Outbox& out);
-  void on(Time now, const net::StopAsked& e, Outbox& out);
+  void on(Time now, const net::StopRequested& e, Outbox& out);
 
   void take(Time now, Target& t, const nlohmann::json& line, Outbox& out);
   void fail(Time now, Target& t, const std::string& why, Outbox& out);
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -20,13 +20,11 @@
 
 // T_c: how often a target is computed anew.
 constexpr Duration kControlInterval = 200ms;
-// The floor: one set-up in so long, shared by all senders. One per T_c and sender keeps a small or slow
-// processor jammed for good.
+// Minimum rate: one setup per interval, shared by all senders. One per T_c and sender jams a slow processor.
 constexpr Duration kFloorInterval = 600ms;
 // D_B, of a delay that holds two waits: set-up and answer queue in turn.
 constexpr Duration kWaitBudget = 100ms;
-// C: so far beyond D_B the target is nought. Half of it made senders of a slow server stop and return
-// together.
+// C: the target reaches zero this far beyond D_B. With half of it senders stopped and returned together.
 constexpr Duration kWaitScale = 1s;
 // Smoothing of own rates: over so long at least, and over so many events while that is no longer than the
 // most. One of hundreds of senders sees a core server's events seconds apart.
@@ -41,8 +39,7 @@
 constexpr Duration kOrderSlack = 50ms;
 // A lost set-up is called off so long after it was sent: one repeat is out by then.
 constexpr Duration kLostAfter = 650ms;
-// Losses are smoothed over so many answers, count as seen from one or so of them on, and as heavy from this
-// share.
+// Losses are smoothed over kLossEvents answers, count from kLossSeen on, and as heavy from kLossHeavy on.
 constexpr double kLossEvents = 32.0;
 constexpr double kLossSeen = 0.02;
 constexpr double kLossHeavy = 0.12;
@@ -306,9 +303,9 @@
   void answered(Time now) { answered_.push_back(now); }
   bool admits(Time now, Time online_since, const Settings& settings, double cold_capacity_per_s) {
     const double senders = std::max(1U, settings.senders);
-    const double window_s = std::max(seconds(settings.fall_window), 1e-3);
-    while (!answered_.empty() && now - answered_.front() > settings.fall_window) answered_.pop_front();
-    const double spent = kColdPart * settings.fall_multiple;
+    const double window_s = std::max(seconds(settings.overload_window), 1e-3);
+    while (!answered_.empty() && now - answered_.front() > settings.overload_window) answered_.pop_front();
+    const double spent = kColdPart * settings.overload_multiple;
     const double own_per_s = std::max(spent * cold_capacity_per_s / senders, kLeastTurnsPerS);
     const double turns_per_s = own_per_s + spent * static_cast<double>(answered_.size()) / window_s;
     if (!granted_until_) {
@@ -323,7 +320,7 @@
     const double part = own_per_s * window_s;
     credit_ = std::min(credit_, 1.0 + part);
     for (; credit_ >= 1.0; credit_ -= 1.0) turns_.push_back(now - lasting(credit_ - 1.0, turns_per_s));
-    while (!turns_.empty() && (now - turns_.front() > settings.fall_window ||
+    while (!turns_.empty() && (now - turns_.front() > settings.overload_window ||
                                static_cast<double>(turns_.size()) > std::max(1.0, part / 2.0))) {
       turns_.pop_front();
     }
@@ -423,7 +420,7 @@
 
   bool in_service() const { return entry.state == ServerState::in_service; }
   bool cold(Time now, const Settings& settings) const {
-    return entry.online_since && now < *entry.online_since + settings.cold_time;
+    return entry.online_since && now < *entry.online_since + settings.slow_start_duration;
   }
 };
 
@@ -492,7 +489,7 @@
     actions_ = nullptr;
   }
 
-  std::size_t avoided(Time now) const {
+  std::size_t ejected(Time now) const {
     return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [&](const auto& s) {
       return !s.second.in_service() || s.second.faults.faulty() ||
              s.second.processor.wait(now, tolerated()) >= kWaitBudget + kWaitScale;
@@ -506,8 +503,9 @@
       following_ = true;
       act(FollowList{});
     }
-    if (list.kind == ListKind::refused) {  // the old list stands; ask again, not at once
-      if (settings_.discovery == Discovery::on_request) act(SetTimer{settings_.ask_within / 4, kFollowTimer});
+    if (list.kind == ListKind::rejected) {  // the old list stands; ask again, not at once
+      if (settings_.discovery == Discovery::on_request)
+        act(SetTimer{settings_.poll_interval / 4, kFollowTimer});
       return;
     }
     if (list.kind != ListKind::changes) {
@@ -529,12 +527,13 @@
   void note_report(ServerId id, const LoadReport& report) {
     const auto it = servers_.find(id);
     if (it == servers_.end()) return;
-    if (report.free_lines) note_lines(it->second, *report.free_lines);
-    if (report.lines && *report.lines > 0.0) {
-      it->second.lines = *report.lines;
+    if (report.free_circuits) note_lines(it->second, *report.free_circuits);
+    if (report.circuits && *report.circuits > 0.0) {
+      it->second.lines = *report.circuits;
       it->second.lines_told = true;
     }
-    if (report.free_lines) places_[it->second.entry.pool].busy(now_, it->second.lines - *report.free_lines);
+    if (report.free_circuits)
+      places_[it->second.entry.pool].busy(now_, it->second.lines - *report.free_circuits);
     if (report.allowed_per_s) it->second.allowed_per_s = report.allowed_per_s;
     if (report.wait) it->second.processor.told(now_, *report.wait);
   }
@@ -545,7 +544,7 @@
     server.sent_since_told = 0;
   }
 
-  void on(const PeerNote&) {}
+  void on(const PeerMessage&) {}
 
   void on(const SettingsChanged& e) {
     std::erase_if(patience_, [&](const auto& p) {  // a place may hold another class now
@@ -558,7 +557,8 @@
 
   void note_holds() {
     mean_hold_s_ = 1e-3;
-    for (const CallClass& c : settings_.classes) mean_hold_s_ = std::max(mean_hold_s_, seconds(c.mean_hold));
+    for (const CallClass& c : settings_.classes)
+      mean_hold_s_ = std::max(mean_hold_s_, seconds(c.mean_holding_time));
   }
 
   // -- the life of a call
@@ -568,10 +568,10 @@
     call.most_attempts = settings_.max_attempts;
     call.first_try = now_;
     if (e.in_transit || settings_.layout == Layout::meshed || e.call_class >= settings_.classes.size()) {
-      conclude(call, Refuse{e.call, {}});
+      conclude(call, Reject{e.call, {}});
     } else {
       call.first_try = came_at(e);
-      if (!settings_.callers_mark_redials || e.redial)
+      if (!settings_.callers_flag_redial || e.redial)
         call.first_try = numbers_.first_try(e.number).value_or(call.first_try);
       place(call);
     }
@@ -587,7 +587,7 @@
     return turn_before_ ? std::max(now_ - (longest - left), *turn_before_) : now_;
   }
 
-  void on(const CallStands& e) {
+  void on(const CallEstablished& e) {
     Call* call = find(e.call);
     if (call == nullptr || !call->out || call->out->index != e.attempt) return;
     call->out->stands = true;
@@ -614,12 +614,12 @@
     learn(e, stood);
     if (!proves_not_run(e.outcome)) call->may_have_run = true;
     if (e.reason == FullReason::number_busy) numbers_.busy(now_, call->request.number);
-    if (e.call_over) call->answered = true;
+    if (e.call_finished) call->answered = true;
     if (!call->answered) decide_after(*call, e);
     forget_if_over(e.call);
   }
 
-  void on(const CallerLeft& e) {
+  void on(const CallerDisconnected& e) {
     Call* call = find(e.call);
     if (call == nullptr) return;
     call->answered = true;
@@ -659,11 +659,11 @@
         break;
       case Outcome::full:
         if (e.reason == FullReason::processor) {
-          if (e.told_wait) server->processor.told(now_, *e.told_wait);
+          if (e.retry_after) server->processor.told(now_, *e.retry_after);
           server->processor.outlasted(now_, kFullWait);
         } else {
           server->throttle.taken(now_);
-          if (e.reason == FullReason::no_line && !e.report.free_lines) note_lines(*server, 0.0);
+          if (e.reason == FullReason::no_circuit && !e.report.free_circuits) note_lines(*server, 0.0);
         }
         break;
       case Outcome::no_connection:  // down, out of reach or with no connection to spare: the list learns late
@@ -684,7 +684,7 @@
     for (const auto& [id, since] : server.processor.answered(now_, delay)) {
       lost_share_ += (1.0 - lost_share_) / kLossEvents;
       const Duration left = since + kLostAfter - now_;
-      if (settings_.may_cancel) wake(id, std::max(left, settings_.round));
+      if (settings_.may_cancel) wake(id, std::max(left, settings_.scheduling_interval));
     }
   }
 
@@ -705,9 +705,8 @@
   void give_up_lost(const Call& call) {
     const Server* server = find(call.out->server);
     if (call.out->stands || server == nullptr) return;
-    if (class_of(call).repeatability != Repeatability::idempotent || call.attempts >= call.most_attempts)
-      return;
-    const bool in_time = now_ < call.first_try + class_of(call).aim - settings_.release_guard;
+    if (class_of(call).idempotency != Idempotency::idempotent || call.attempts >= call.most_attempts) return;
+    const bool in_time = now_ < call.first_try + class_of(call).latency_objective - settings_.release_guard;
     if (server->processor.lost(call.request.call) ||
         (in_time && tolerated() > 0 && server->processor.last_known().wait <= kWaitBudget)) {
       act(CancelAttempt{call.request.call, call.out->index});
@@ -717,12 +716,12 @@
   void decide_after(Call& call, const AttemptEnded& e) {
     const CallId id = call.request.call;
     const bool spent = call.attempts >= call.most_attempts;
-    const bool once_only = call.may_have_run && class_of(call).repeatability != Repeatability::idempotent;
+    const bool once_only = call.may_have_run && class_of(call).idempotency != Idempotency::idempotent;
     // A busy number is busy everywhere; a fault is one server's, and passes. What fails a third time is the
     // call's own.
     call.last_faulted = is_fault(e);
-    const bool again =
-        call.last_faulted && call.faults.size() < kFaultRepeats && now_ < call.first_try + class_of(call).aim;
+    const bool again = call.last_faulted && call.faults.size() < kFaultRepeats &&
+                       now_ < call.first_try + class_of(call).latency_objective;
     if (again) call.faults.push_back(e.server);
     const bool final_answer = e.outcome == Outcome::busy_or_fault && !again;
     if (spent || once_only || final_answer) return conclude(call, Fail{id});
@@ -753,11 +752,11 @@
         now_ + std::chrono::duration_cast<Duration>((0.5 + random_.uniform()) * kControlInterval);
     const bool any =
         std::any_of(servers_.begin(), servers_.end(), [](const auto& s) { return s.second.in_service(); });
-    if (any && again < call.first_try + class_of(call).aim - kHoldReserve &&
+    if (any && again < call.first_try + class_of(call).latency_objective - kHoldReserve &&
         again + kAnswerMargin < call.request.deadline) {
       return hold(call, again);
     }
-    conclude(call, Refuse{call.request.call, settings_.max_stay_away});
+    conclude(call, Reject{call.request.call, settings_.max_retry_after});
   }
 
   // The destination while it has free lines and its throttle lets the call pass; else, of two drawn core
@@ -772,7 +771,7 @@
     std::vector<Server*> faulty;
     Server* destination = nullptr;
     const bool choosy = others_open(call);
-    const bool repeatable = class_of(call).repeatability == Repeatability::idempotent;
+    const bool repeatable = class_of(call).idempotency == Idempotency::idempotent;
     for (auto& [id, server] : servers_) {
       if (!eligible(call, server)) continue;
       const bool named = server.entry.pool == call.request.destination;
@@ -858,7 +857,8 @@
   double value_of(const Call& call) const {
     const CallClass& c = class_of(call);
     if (numbers_.is_busy(now_, call.request.number)) return 0.0;
-    return now_ - call.first_try < c.aim ? c.worth : c.worth * c.late_worth_share;
+    return now_ - call.first_try < c.latency_objective ? c.priority_weight
+                                                       : c.priority_weight * c.late_weight_fraction;
   }
 
   // Free lines are told now and then. While they are fewer than the calls that all senders bring until the
@@ -868,11 +868,11 @@
     if (!server.free_lines) return true;
     const double free = *server.free_lines + seconds(now_ - server.lines_told_at) * capacity(server);
     const double wanted = seconds(kLinesNews) * capacity(server);
-    if (free >= std::max(kLinesPlenty * wanted, call.request.lines)) return true;
+    if (free >= std::max(kLinesPlenty * wanted, call.request.circuits)) return true;
     const double senders = std::max(1U, settings_.senders);
     const double left = free / senders - static_cast<double>(server.sent_since_told);
     const double expected = server.sought.per_second(now_) * seconds(kLinesNews);  // own calls until news
-    return left >= call.request.lines || random_.uniform() * std::max(expected, 1e-9) < left;
+    return left >= call.request.circuits || random_.uniform() * std::max(expected, 1e-9) < left;
   }
 
   // In service, open to the class, and not just tried, unless what it answered was a fault.
@@ -902,9 +902,10 @@
     server.cold_guard.sent();
     if (server.faults.faulty()) server.faults.tried(now_);
     ++server.sent_since_told;
-    act(SendSetUp{call.request.call, server.entry.server, call.request.deadline});
+    act(SendSetup{call.request.call, server.entry.server, call.request.deadline});
     // In time for another attempt within the aim, should this one stay unanswered.
-    const Time call_off = call.first_try + class_of(call).aim - settings_.release_guard - kHoldReserve;
+    const Time call_off =
+        call.first_try + class_of(call).latency_objective - settings_.release_guard - kHoldReserve;
     if (tolerated() > 0 && settings_.may_cancel && call_off > now_ && call.attempts < call.most_attempts)
       wake(call.request.call, std::max(call_off - now_, kLostAfter));
   }
@@ -921,7 +922,7 @@
 
   // What a cold one can be taken to set up now: its least by the rules, or what it says itself.
   double cold_capacity(const Server& server) {
-    const double least = settings_.cold_share * capacity(server);
+    const double least = settings_.slow_start_fraction * capacity(server);
     return server.allowed_per_s ? std::max(least, kToldRateBelief * *server.allowed_per_s) : least;
   }
 
@@ -931,7 +932,7 @@
     call.answered = true;
     numbers_.turned_away(now_, call.request.number, call.first_try);
     // A call that may have run must not be reported as never run.
-    if (call.may_have_run && class_of(call).repeatability != Repeatability::idempotent) {
+    if (call.may_have_run && class_of(call).idempotency != Idempotency::idempotent) {
       act(Fail{call.request.call});
     } else {
       act(answer);
@@ -979,7 +980,7 @@
 Controller::Controller(Controller&&) noexcept = default;
 Controller& Controller::operator=(Controller&&) noexcept = default;
 
-std::size_t Controller::avoided(Time now) const { return impl_->avoided(now); }
+std::size_t Controller::ejected(Time now) const { return impl_->ejected(now); }
 
 void Controller::handle(Time now, const Event& event, std::vector<Action>& actions) {
   impl_->handle(now, event, actions);
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -11,12 +11,12 @@
 // On top of the release guard: its time runs from when the other side has heard of the end.
 constexpr Duration kGuardMargin = 30ms;
 // Sends that a cold server may have in a window from one gatekeeper, however little is known of it.
-constexpr double kColdLeast = 4.0;
+constexpr double kMinSlowStartSends = 4.0;
 // Release guards of calls that are over, at most: some tens of thousands of calls a second would be needed.
-constexpr std::size_t kMostGuards = 16384;
+constexpr std::size_t kMaxReleaseGuards = 16384;
 // Advice to a caller whose request came to nothing, where the module gives none and the settings allow as
 // much.
-constexpr Duration kStayAway = 500ms;
+constexpr Duration kDefaultRetryAfter = 500ms;
 
 bool leaves_traces(Outcome outcome) {
   return outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled;
@@ -25,12 +25,12 @@
 }  // namespace
 
 Broker::Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
-               Gate gate)
+               AdmissionCheck gate)
     : Broker(settings, std::make_shared<Controller>(settings, seed), std::move(contracts), counters,
              std::move(gate)) {}
 
 Broker::Broker(const Settings& settings, std::shared_ptr<Controller> controller, Contracts contracts,
-               Counters& counters, Gate gate)
+               Counters& counters, AdmissionCheck gate)
     : Broker(
           settings,
           [controller](Time now, const graniterun::Event& event, std::vector<Action>& actions) {
@@ -40,142 +40,148 @@
   controller_ = std::move(controller);
 }
 
-Broker::Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters, Gate gate)
+Broker::Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters,
+               AdmissionCheck gate)
     : settings_(settings),
       contracts_(std::move(contracts)),
       counters_(counters),
       decide_(std::move(decide)),
-      gate_(std::move(gate)) {}
+      admission_check_(std::move(gate)) {}
 
 void Broker::step(Time now, const Event& event, Effects& effects) {
   now_ = std::max(now, now_);
   effects_ = &effects;
   std::visit([this](const auto& e) { on(e); }, event);
-  settle_module();
+  drain_controller_events();
   effects_ = nullptr;
 }
 
 // ---- callers
 
-void Broker::on(const RequestCame& e) {
+void Broker::on(const RequestReceived& e) {
   if (calls_.contains(e.request.call)) return;
   counters_.add("broker.requests");
   Call& call = calls_[e.request.call];
   call.request = std::make_shared<const Request>(e.request);
-  call.came = now_;
+  call.received_at = now_;
   call.deadline = e.request.deadline;
-  call.most_attempts = settings_.max_attempts;
+  call.max_attempts = settings_.max_attempts;
   // The same id may come again just after it ended: its caller closed and came back. To servers it is the
   // same call.
-  if (const auto guard = guards_.find(e.request.label); guard != guards_.end())
+  if (const auto guard = guards_.find(e.request.correlation_id); guard != guards_.end())
     call.guard_until = guard->second;
-  if (const auto known = by_label_.find(e.request.label); known != by_label_.end()) {
+  if (const auto known = by_correlation_id_.find(e.request.correlation_id);
+      known != by_correlation_id_.end()) {
     Call& before = calls_.at(known->second);
     call.guard_until = std::max(call.guard_until, before.guard_until);
-    if (before.out && before.out->sent) {
-      call.after = known->second;
-      before.followed_by = e.request.call;
+    if (before.current_attempt && before.current_attempt->sent) {
+      call.predecessor = known->second;
+      before.successor = e.request.call;
     }
   }
-  by_label_.insert_or_assign(e.request.label, e.request.call);
+  by_correlation_id_.insert_or_assign(e.request.correlation_id, e.request.call);
   ++unanswered_;
-  const auto turn_down = [&](bool refused, Why why, Duration wait, limits::Treatment treatment = {}) {
-    answer(call, false, refused, why, wait, {}, std::move(treatment));
-    forget_if_over(e.request.call);
+  const auto turn_down = [&](bool refused, RejectReason why, Duration wait,
+                             limits::Treatment treatment = {}) {
+    answer_request(call, false, refused, why, wait, {}, std::move(treatment));
+    erase_if_finished(e.request.call);
   };
   // Before the budget: what a gap holds back is not to use up its team's. A slot that a call has taken is not
   // given back where it comes to nothing later: the next one would pass in the same interval.
-  if (gate_ && call.deadline > now_) {
-    if (limits::Verdict verdict = gate_(now_, e.request); !verdict.passes) {
+  if (admission_check_ && call.deadline > now_) {
+    if (limits::Verdict verdict = admission_check_(now_, e.request); !verdict.passes) {
       counters_.add("broker.gapped");
-      return turn_down(true, Why::gapped, verdict.wait, std::move(verdict.treatment));
+      return turn_down(true, RejectReason::gapped, verdict.wait, std::move(verdict.treatment));
     }
   }
   const Contracts::Terms terms = contracts_.admit(now_, e.request.team, e.request.class_name);
   if (terms.deadline) call.deadline = std::min(call.deadline, now_ + *terms.deadline);
-  if (terms.attempts) call.most_attempts = std::min(call.most_attempts, *terms.attempts);
-  if (terms.over_budget) {
+  if (terms.attempts) call.max_attempts = std::min(call.max_attempts, *terms.attempts);
+  if (terms.over_budget_retry_after) {
     counters_.add("broker.over_budget");
-    return turn_down(true, Why::over_budget, *terms.over_budget);
+    return turn_down(true, RejectReason::over_budget, *terms.over_budget_retry_after);
   }
-  if (call.deadline <= now_) return turn_down(false, Why::overdue, stay_away());
-  alarm(call.deadline, {Alarm::Kind::deadline, e.request.call, {}});
+  if (call.deadline <= now_) return turn_down(false, RejectReason::deadline_exceeded, default_retry_after());
+  arm_timer(call.deadline, {PendingTimer::Kind::deadline, e.request.call, {}});
   NewCall query;
   query.call = e.request.call;
   query.call_class = e.request.call_class;
   query.number = e.request.number;
   query.destination = e.request.destination;
   query.deadline = call.deadline;
-  query.lines = e.request.lines;
+  query.circuits = e.request.circuits;
   query.cut_before = e.request.cut_before;
   query.redial = e.request.redial;
-  tell_module(query);
+  notify_controller(query);
 }
 
-void Broker::on(const CallerGaveUp& e) {
+void Broker::on(const RequestCancelled& e) {
   Call* call = find(e.call);
   if (call == nullptr || call->answered) return;
   counters_.add("broker.given_up");
   call->answered = true;
   --unanswered_;
-  tell_module(CallerLeft{e.call});
-  settle_module();
+  notify_controller(CallerDisconnected{e.call});
+  drain_controller_events();
   // Whether the module thinks of it or not: nothing is to go on for a caller that has left.
-  if (call = find(e.call); call != nullptr && call->out) give_up_attempt(*call);
-  settle_module();
-  forget_if_over(e.call);
+  if (call = find(e.call); call != nullptr && call->current_attempt) abandon_attempt(*call);
+  drain_controller_events();
+  erase_if_finished(e.call);
 }
 
 void Broker::on(const CallerReleased& e) {
   Call* call = find(e.call);
   if (call == nullptr) return;
-  if (!call->out || !call->out->stands) return on(CallerGaveUp{e.call});
+  if (!call->current_attempt || !call->current_attempt->established) return on(RequestCancelled{e.call});
   counters_.add("broker.released_by_caller");
-  emit(ReleaseServer{call->request, call->out->index, e.cause});
-  on(AttemptOver{e.call, call->out->index, Outcome::cancelled, {}, {}, e.cause, false, {}});
+  emit(ReleaseServer{call->request, call->current_attempt->index, e.cause});
+  on(AttemptFinished{e.call, call->current_attempt->index, Outcome::cancelled, {}, {}, e.cause, false, {}});
 }
 
 // ---- servers
 
-void Broker::on(const AttemptStood& e) {
+void Broker::on(const AttemptEstablished& e) {
   Call* call = find(e.call);
-  if (call == nullptr || !call->out || call->out->index != e.attempt || call->out->stands) return;
-  if (call->answered || call->out->abandoned) {
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != e.attempt ||
+      call->current_attempt->established)
+    return;
+  if (call->answered || call->current_attempt->abandoned) {
     // Nobody waits for it any more: it must not go on at the server.
     counters_.add("broker.stood_too_late");
-    call->out->abandoned = true;
+    call->current_attempt->abandoned = true;
     emit(ReleaseServer{call->request, e.attempt, 16});
-    return on(AttemptOver{e.call, e.attempt, Outcome::cancelled, {}, {}, 16, true, {}});
+    return on(AttemptFinished{e.call, e.attempt, Outcome::cancelled, {}, {}, 16, true, {}});
   }
-  call->out->stands = true;
-  ++standing_;
-  const ServerId server = call->out->server;
-  const Duration delay = now_ - call->out->sent_at;
-  if (Server& at = servers_[server]; !is_warm(at)) {
-    keep_window(at.stood);
-    at.stood.push_back(now_);
+  call->current_attempt->established = true;
+  ++established_;
+  const ServerId server = call->current_attempt->server;
+  const Duration delay = now_ - call->current_attempt->sent_at;
+  if (Server& at = servers_[server]; !is_warmed_up(at)) {
+    trim_window(at.recently_established);
+    at.recently_established.push_back(now_);
   }
-  record(*call, {});
-  answer(*call, true, false, Why::ended, {}, e.description);
-  tell_module(CallStands{e.call, e.attempt, server, delay});
+  record_attempt(*call, {});
+  answer_request(*call, true, false, RejectReason::ended, {}, e.description);
+  notify_controller(CallEstablished{e.call, e.attempt, server, delay});
 }
 
-void Broker::on(const AttemptOver& e) {
+void Broker::on(const AttemptFinished& e) {
   Call* call = find(e.call);
-  if (call == nullptr || !call->out || call->out->index != e.attempt) return;
-  const Attempt out = *call->out;
-  if (!out.stands) record(*call, e.outcome);
-  call->out.reset();
-  attempt_ended(*call, e.outcome);
-  if (out.stands) {
-    --standing_;
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != e.attempt) return;
+  const Attempt out = *call->current_attempt;
+  if (!out.established) record_attempt(*call, e.outcome);
+  call->current_attempt.reset();
+  record_attempt_end(*call, e.outcome);
+  if (out.established) {
+    --established_;
     counters_.add(e.outcome == Outcome::ok ? "broker.calls_ended" : "broker.calls_cut");
     if (e.outcome != Outcome::cancelled) emit(ReleaseCaller{e.call, e.cause});
   } else {
     counters_.add("broker.attempts_ended");
     // A success that crossed our giving up stood at the server for a moment: a further attempt might ring the
     // callee twice, so there is none.
-    if (e.crossed && !call->answered) answer(*call, false, false, Why::crossed, stay_away(), {});
+    if (e.late_success && !call->answered)
+      answer_request(*call, false, false, RejectReason::late_success, default_retry_after(), {});
   }
   AttemptEnded ended;
   ended.call = e.call;
@@ -183,24 +189,24 @@
   ended.server = out.server;
   ended.outcome = e.outcome;
   ended.delay = now_ - out.sent_at;
-  ended.call_over = call->answered;
+  ended.call_finished = call->answered;
   ended.reason = e.reason;
-  ended.told_wait = e.told_wait;
+  ended.retry_after = e.retry_after;
   ended.report = e.report;
-  tell_module(ended);
-  settle_module();
-  forget_if_over(e.call);
+  notify_controller(ended);
+  drain_controller_events();
+  erase_if_finished(e.call);
 }
 
-void Broker::attempt_ended(Call& call, Outcome outcome) {
+void Broker::record_attempt_end(Call& call, Outcome outcome) {
   if (leaves_traces(outcome)) call.guard_until = now_ + settings_.release_guard + kGuardMargin;
-  if (!call.followed_by) return;
-  Call* next = find(*std::exchange(call.followed_by, std::nullopt));
+  if (!call.successor) return;
+  Call* next = find(*std::exchange(call.successor, std::nullopt));
   if (next == nullptr) return;
-  next->after.reset();
+  next->predecessor.reset();
   next->guard_until = std::max(next->guard_until, call.guard_until);
-  if (next->out && !next->out->sent)
-    alarm(std::max(next->guard_until, now_), {Alarm::Kind::guard, next->request->call, {}});
+  if (next->current_attempt && !next->current_attempt->sent)
+    arm_timer(std::max(next->guard_until, now_), {PendingTimer::Kind::guard, next->request->call, {}});
 }
 
 // A connection that fell silent gives up its set-ups; one of them may have stood at the server and be over
@@ -208,42 +214,42 @@
 // Passed on to the caller it was the final answer, and yet the call was sent on. The callee has been rung:
 // the call is ended here. Where its next attempt is out already that one goes on, and is the last.
 void Broker::on(const ServerReleased& e) {
-  const auto known = by_label_.find(e.label);
-  if (known == by_label_.end()) {
-    if (!e.remembered) emit(PassOnRelease{e.label, e.cause});
+  const auto known = by_correlation_id_.find(e.correlation_id);
+  if (known == by_correlation_id_.end()) {
+    if (!e.attempt_known) emit(ForwardRelease{e.correlation_id, e.cause});
     return;
   }
   const CallId id = known->second;
   Call& call = calls_.at(id);
   if (call.answered) return counters_.add("broker.releases_after_answer");
   counters_.add("broker.releases_before_answer");
-  if (call.out && call.out->sent && !call.out->abandoned) {
-    call.most_attempts = call.attempts;
+  if (call.current_attempt && call.current_attempt->sent && !call.current_attempt->abandoned) {
+    call.max_attempts = call.attempts;
     return;
   }
-  answer(call, false, false, Why::crossed, stay_away(), {});
-  tell_module(CallerLeft{id});
-  settle_module();
-  forget_if_over(id);
+  answer_request(call, false, false, RejectReason::late_success, default_retry_after(), {});
+  notify_controller(CallerDisconnected{id});
+  drain_controller_events();
+  erase_if_finished(id);
 }
 
 void Broker::on(const ServersChanged& e) {
-  if (e.list.kind == ListKind::refused) return;
+  if (e.list.kind == ListKind::rejected) return;
   if (e.list.kind != ListKind::changes) {
     for (auto& [id, server] : servers_) server.state = ServerState::terminated;
   }
   for (const ServerEntry& entry : e.list.entries) {
     Server& server = servers_[entry.server];
-    if (server.online_since != entry.online_since) server.sends.clear();
+    if (server.online_since != entry.online_since) server.recent_sends.clear();
     server.state = entry.state;
     server.online_since = entry.online_since;
   }
-  tell_module(e.list);
+  notify_controller(e.list);
 }
 
-void Broker::on(const ReportHeard& e) { tell_module(ServerReport{e.server, e.report}); }
+void Broker::on(const LoadReportReceived& e) { notify_controller(ServerReport{e.server, e.report}); }
 
-void Broker::on(const Stopping&) {
+void Broker::on(const ShutdownStarted&) {
   std::vector<CallId> open;
   for (const auto& [id, call] : calls_) {
     if (!call.answered) open.push_back(id);
@@ -254,16 +260,16 @@
     if (call == nullptr || call->answered) continue;
     counters_.add("broker.given_up_at_the_end");
     // One that was never sent on may be tried again elsewhere at once.
-    answer(*call, false, call->attempts == 0, Why::stopping, stay_away(), {});
-    tell_module(CallerLeft{id});
-    settle_module();
-    forget_if_over(id);
+    answer_request(*call, false, call->attempts == 0, RejectReason::shutting_down, default_retry_after(), {});
+    notify_controller(CallerDisconnected{id});
+    drain_controller_events();
+    erase_if_finished(id);
   }
 }
 
-void Broker::on(const Retuned& e) {
+void Broker::on(const SettingsReplaced& e) {
   settings_ = e.settings;
-  tell_module(SettingsChanged{e.settings});
+  notify_controller(SettingsChanged{e.settings});
 }
 
 std::vector<bool> Broker::places_in_use() const {
@@ -276,123 +282,125 @@
 
 // ---- time
 
-void Broker::on(const TimerRang& e) {
-  const auto it = alarms_.find(e.timer);
-  if (it == alarms_.end()) return;
-  const Alarm rang = it->second;
-  alarms_.erase(it);
-  if (rang.kind == Alarm::Kind::module) return tell_module(TimerDue{rang.timer});
+void Broker::on(const TimerExpired& e) {
+  const auto it = timers_.find(e.timer);
+  if (it == timers_.end()) return;
+  const PendingTimer rang = it->second;
+  timers_.erase(it);
+  if (rang.kind == PendingTimer::Kind::module) return notify_controller(TimerDue{rang.timer});
   Call* call = find(rang.call);
   if (call == nullptr) return;
-  if (rang.kind == Alarm::Kind::deadline) return overdue(*call);
-  if (call->out && !call->out->sent && !call->after) start(*call);
+  if (rang.kind == PendingTimer::Kind::deadline) return expire_request(*call);
+  if (call->current_attempt && !call->current_attempt->sent && !call->predecessor) start_attempt(*call);
 }
 
 // The caller stops waiting now. The module hears of the time-out and may still say how to answer; if it says
 // nothing, the answer is given all the same.
-void Broker::overdue(Call& call) {
+void Broker::expire_request(Call& call) {
   if (call.answered) return;
   const CallId id = call.request->call;
   counters_.add("broker.overdue");
-  if (call.out) {
-    const Attempt out = *call.out;
-    record(call, Outcome::timed_out);
+  if (call.current_attempt) {
+    const Attempt out = *call.current_attempt;
+    record_attempt(call, Outcome::timed_out);
     if (out.sent && !out.abandoned) emit(AbandonAttempt{call.request, out.index});
-    call.out.reset();
-    attempt_ended(call, out.sent ? Outcome::timed_out : Outcome::not_sent);
+    call.current_attempt.reset();
+    record_attempt_end(call, out.sent ? Outcome::timed_out : Outcome::not_sent);
     AttemptEnded ended;
     ended.call = id;
     ended.attempt = out.index;
     ended.server = out.server;
     ended.outcome = out.sent ? Outcome::timed_out : Outcome::not_sent;
     ended.delay = now_ - (out.sent ? out.sent_at : now_);
-    tell_module(ended);
-    settle_module();
+    notify_controller(ended);
+    drain_controller_events();
   }
   Call* left = find(id);
   if (left == nullptr) return;
   if (!left->answered) {
-    answer(*left, false, false, Why::overdue, stay_away(), {});
-    tell_module(CallerLeft{id});  // what it still holds for the call is void
+    answer_request(*left, false, false, RejectReason::deadline_exceeded, default_retry_after(), {});
+    notify_controller(CallerDisconnected{id});  // what it still holds for the call is void
   }
-  settle_module();
-  forget_if_over(id);
+  drain_controller_events();
+  erase_if_finished(id);
 }
 
 // ---- the module's actions
 
-void Broker::tell_module(const graniterun::Event& event) {
-  for_module_.push_back(event);
-  if (!in_module_) settle_module();
+void Broker::notify_controller(const graniterun::Event& event) {
+  controller_events_.push_back(event);
+  if (!draining_controller_) drain_controller_events();
 }
 
-void Broker::settle_module() {
-  if (in_module_) return;
-  in_module_ = true;
+void Broker::drain_controller_events() {
+  if (draining_controller_) return;
+  draining_controller_ = true;
   std::vector<Action> actions;
-  while (!for_module_.empty()) {
-    const graniterun::Event event = std::move(for_module_.front());
-    for_module_.pop_front();
+  while (!controller_events_.empty()) {
+    const graniterun::Event event = std::move(controller_events_.front());
+    controller_events_.pop_front();
     actions.clear();
     decide_(now_, event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { act(a); }, action);
+    for (const Action& action : actions) std::visit([this](const auto& a) { apply(a); }, action);
   }
-  in_module_ = false;
+  draining_controller_ = false;
 }
 
-void Broker::act(const SendSetUp& a) {
+void Broker::apply(const SendSetup& a) {
   Call* call = find(a.call);
   if (call == nullptr) return;
   const int index = call->attempts++;
   std::string_view why_not;
-  if (call->answered || call->out || now_ >= call->deadline || index >= call->most_attempts) {
+  if (call->answered || call->current_attempt || now_ >= call->deadline || index >= call->max_attempts) {
     counters_.add("broker.sends_barred.call");
-    return not_sent(*call, index, a.server);
+    return report_not_sent(*call, index, a.server);
   }
   if (!may_send(a.server, why_not)) {
     counters_.add(why_not);
-    return not_sent(*call, index, a.server);
+    return report_not_sent(*call, index, a.server);
   }
-  call->out = Attempt{index, a.server, std::min(a.give_up_at, call->deadline), now_, false, false, false};
-  if (call->after) return counters_.add("broker.sends_guarded");  // started at the other's end
+  call->current_attempt =
+      Attempt{index, a.server, std::min(a.deadline, call->deadline), now_, false, false, false};
+  if (call->predecessor) return counters_.add("broker.sends_guarded");  // started at the other's end
   if (now_ < call->guard_until) {
     counters_.add("broker.sends_guarded");
-    return alarm(call->guard_until, {Alarm::Kind::guard, a.call, {}});
+    return arm_timer(call->guard_until, {PendingTimer::Kind::guard, a.call, {}});
   }
-  start(*call);
+  start_attempt(*call);
 }
 
-void Broker::start(Call& call) {
-  Attempt& out = *call.out;
+void Broker::start_attempt(Call& call) {
+  Attempt& out = *call.current_attempt;
   // The server may have begun to drain while the attempt waited for the guard.
   std::string_view why_not;
   if (!may_send(out.server, why_not) || now_ >= call.deadline) {
     const Attempt waiting = out;
-    call.out.reset();
-    return not_sent(call, waiting.index, waiting.server);
+    call.current_attempt.reset();
+    return report_not_sent(call, waiting.index, waiting.server);
   }
   out.sent = true;
   out.sent_at = now_;
   Server& server = servers_[out.server];
-  server.sends.push_back(now_);
+  server.recent_sends.push_back(now_);
   // Only what was sent counts: a set-up that waited for the guard in vain once raised it too.
-  if (is_warm(server)) server.busiest = std::max(server.busiest, static_cast<double>(server.sends.size()));
+  if (is_warmed_up(server))
+    server.peak_sends = std::max(server.peak_sends, static_cast<double>(server.recent_sends.size()));
   counters_.add("broker.attempts");
-  emit(StartAttempt{call.request, out.index, out.server, out.give_up_at});
+  emit(StartAttempt{call.request, out.index, out.server, out.deadline});
 }
 
-void Broker::not_sent(Call& call, int index, ServerId server) {
+void Broker::report_not_sent(Call& call, int index, ServerId server) {
   AttemptEnded ended;
   ended.call = call.request->call;
   ended.attempt = index;
   ended.server = server;
   ended.outcome = Outcome::not_sent;
-  ended.call_over = call.answered;
-  tell_module(ended);
+  ended.call_finished = call.answered;
+  notify_controller(ended);
 }
 
-void Broker::keep_window(std::deque<Time>& times) const {
-  while (!times.empty() && now_ - times.front() > settings_.fall_window) times.pop_front();
+void Broker::trim_window(std::deque<Time>& times) const {
+  while (!times.empty() && now_ - times.front() > settings_.overload_window) times.pop_front();
 }
 
 // In service, and a cold one not beyond what this gatekeeper's own part of its warm load allows, or what it
@@ -405,114 +413,120 @@
     return false;
   }
   Server& server = it->second;
-  keep_window(server.sends);
-  const auto recent = static_cast<double>(server.sends.size());
-  if (is_warm(server)) return true;
+  trim_window(server.recent_sends);
+  const auto recent = static_cast<double>(server.recent_sends.size());
+  if (is_warmed_up(server)) return true;
   double busiest = 0.0;
-  for (const auto& [other, s] : servers_) busiest = std::max(busiest, s.busiest);
-  keep_window(server.stood);
-  const double can_do = std::max(settings_.cold_share * busiest, static_cast<double>(server.stood.size()));
-  if (recent < std::max(kColdLeast, settings_.fall_multiple * can_do)) return true;
+  for (const auto& [other, s] : servers_) busiest = std::max(busiest, s.peak_sends);
+  trim_window(server.recently_established);
+  const double can_do = std::max(settings_.slow_start_fraction * busiest,
+                                 static_cast<double>(server.recently_established.size()));
+  if (recent < std::max(kMinSlowStartSends, settings_.overload_multiple * can_do)) return true;
   why_not = "broker.sends_barred.cold";
   return false;
 }
 
-void Broker::act(const CancelAttempt& a) {
+void Broker::apply(const CancelAttempt& a) {
   Call* call = find(a.call);
-  if (call == nullptr || !call->out || call->out->index != a.attempt) return;
-  if (!call->out->stands) give_up_attempt(*call);
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != a.attempt) return;
+  if (!call->current_attempt->established) abandon_attempt(*call);
 }
 
-void Broker::give_up_attempt(Call& call) {
-  if (call.out->abandoned) return;
-  if (!call.out->sent) {  // it still waits for the guard: nothing has to be called off
-    const Attempt waiting = *call.out;
-    call.out.reset();
-    return not_sent(call, waiting.index, waiting.server);
+void Broker::abandon_attempt(Call& call) {
+  if (call.current_attempt->abandoned) return;
+  if (!call.current_attempt->sent) {  // it still waits for the guard: nothing has to be called off
+    const Attempt waiting = *call.current_attempt;
+    call.current_attempt.reset();
+    return report_not_sent(call, waiting.index, waiting.server);
   }
-  call.out->abandoned = true;
+  call.current_attempt->abandoned = true;
   counters_.add("broker.attempts_abandoned");
-  emit(AbandonAttempt{call.request, call.out->index});
+  emit(AbandonAttempt{call.request, call.current_attempt->index});
 }
 
-void Broker::act(const Refuse& a) {
+void Broker::apply(const Reject& a) {
   if (Call* call = find(a.call); call != nullptr && !call->answered) {
-    answer(*call, false, true, Why::throttled, a.stay_away, {});
-    forget_if_over(a.call);
+    answer_request(*call, false, true, RejectReason::throttled, a.retry_after, {});
+    erase_if_finished(a.call);
   }
 }
 
-void Broker::act(const Fail& a) {
+void Broker::apply(const Fail& a) {
   if (Call* call = find(a.call); call != nullptr && !call->answered) {
-    answer(*call, false, false, now_ >= call->deadline ? Why::overdue : Why::no_success, stay_away(), {});
-    forget_if_over(a.call);
+    answer_request(*call, false, false,
+                   now_ >= call->deadline ? RejectReason::deadline_exceeded : RejectReason::attempts_failed,
+                   default_retry_after(), {});
+    erase_if_finished(a.call);
   }
 }
 
-void Broker::act(const SetTimer& a) { alarm(now_ + a.after, {Alarm::Kind::module, {}, a.timer}); }
+void Broker::apply(const SetTimer& a) {
+  arm_timer(now_ + a.delay, {PendingTimer::Kind::module, {}, a.timer});
+}
 
 // ---- small things
 
-void Broker::answer(Call& call, bool served, bool refused, Why why, Duration wait,
-                    const std::string& description, limits::Treatment treatment) {
+void Broker::answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
+                            const std::string& description, limits::Treatment treatment) {
   call.answered = true;
-  call.turned_down = !served;
+  call.rejected = !served;
   --unanswered_;
   const CallId id = call.request->call;
-  tallies_.answered(call.request->class_name, served, refused);
+  metrics_.answered(call.request->class_name, served, refused);
   if (served) {
     counters_.add("broker.served");
-    emit(Serve{id, description});
+    emit(AnswerCaller{id, description});
   } else {
     counters_.add(refused ? "broker.refused" : "broker.failed");
-    emit(TurnDown{id, refused, why, wait, std::move(treatment)});
-    if (call.out) give_up_attempt(call);
+    emit(RejectRequest{id, refused, why, wait, std::move(treatment)});
+    if (call.current_attempt) abandon_attempt(call);
   }
-  emit(RequestAnswered{call.request, call.came, served, served ? std::nullopt : std::optional(why),
-                       std::move(call.records)});
+  emit(RequestAnswered{call.request, call.received_at, served, served ? std::nullopt : std::optional(why),
+                       std::move(call.attempt_records)});
 }
 
-void Broker::record(Call& call, std::optional<Outcome> outcome) {
+void Broker::record_attempt(Call& call, std::optional<Outcome> outcome) {
   // Called just before or after the attempt ends; `out` is the one that was sent last.
   AttemptRecord r;
   r.outcome = outcome;
-  r.ended = now_;
-  if (call.out) {
-    r.server = call.out->server;
-    r.began = call.out->sent_at;
+  r.ended_at = now_;
+  if (call.current_attempt) {
+    r.server = call.current_attempt->server;
+    r.started_at = call.current_attempt->sent_at;
   }
-  if (!call.answered) call.records.push_back(r);
+  if (!call.answered) call.attempt_records.push_back(r);
 }
 
-void Broker::forget_if_over(CallId id) {
+void Broker::erase_if_finished(CallId id) {
   const auto it = calls_.find(id);
-  if (it == calls_.end() || !it->second.answered || it->second.out) return;
-  const auto label = by_label_.find(it->second.request->label);
-  if (label != by_label_.end() && label->second == id) by_label_.erase(label);
-  keep_guard(it->second);
+  if (it == calls_.end() || !it->second.answered || it->second.current_attempt) return;
+  const auto label = by_correlation_id_.find(it->second.request->correlation_id);
+  if (label != by_correlation_id_.end() && label->second == id) by_correlation_id_.erase(label);
+  retain_release_guard(it->second);
   calls_.erase(it);
 }
 
 // The guard of a call outlives it: its label may come again.
-void Broker::keep_guard(const Call& call) {
+void Broker::retain_release_guard(const Call& call) {
   while (!guards_by_time_.empty() &&
-         (guards_by_time_.front().first <= now_ || guards_by_time_.size() >= kMostGuards)) {
+         (guards_by_time_.front().first <= now_ || guards_by_time_.size() >= kMaxReleaseGuards)) {
     const auto old = guards_.find(guards_by_time_.front().second);
     if (old != guards_.end() && old->second <= guards_by_time_.front().first) guards_.erase(old);
     guards_by_time_.pop_front();
   }
   if (call.guard_until <= now_) return;
-  guards_.insert_or_assign(call.request->label, call.guard_until);
-  guards_by_time_.emplace_back(call.guard_until, call.request->label);
+  guards_.insert_or_assign(call.request->correlation_id, call.guard_until);
+  guards_by_time_.emplace_back(call.guard_until, call.request->correlation_id);
 }
 
-void Broker::alarm(Time at, Alarm alarm) {
-  alarms_.emplace(++last_alarm_, alarm);
-  emit(SetAlarm{at, last_alarm_});
+void Broker::arm_timer(Time at, PendingTimer alarm) {
+  timers_.emplace(++last_timer_, alarm);
+  emit(ArmTimer{at, last_timer_});
 }
 
-Duration Broker::stay_away() const {
-  return settings_.max_stay_away > Duration{} ? std::min(kStayAway, settings_.max_stay_away) : kStayAway;
+Duration Broker::default_retry_after() const {
+  return settings_.max_retry_after > Duration{} ? std::min(kDefaultRetryAfter, settings_.max_retry_after)
+                                                : kDefaultRetryAfter;
 }
 
 Broker::Call* Broker::find(CallId id) {
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -16,7 +16,7 @@
 
 #include "core/contracts.h"
 #include "core/counters.h"
-#include "core/tallies.h"
+#include "core/request_metrics.h"
 #include "graniterun/controller.h"
 #include "limits/gap_register.h"
 
@@ -34,7 +34,7 @@
 
 struct Request {
   CallId call{};
-  std::string label{};  // the id by which servers are to know the call
+  std::string correlation_id{};  // the id by which servers are to know the call
   std::string team{};
   ClassIndex call_class{};
   std::string class_name{};
@@ -42,75 +42,76 @@
   Number number{};
   Pool destination{-1};
   Time deadline{};
-  double lines{1};
+  double circuits{1};
   bool redial{};
   bool cut_before{};
   std::string description{};
 };
 
-enum class Why : std::uint8_t {
+enum class RejectReason : std::uint8_t {
   gapped,
   throttled,
   over_budget,
-  overdue,
+  deadline_exceeded,
   number_busy,
-  no_success,
-  crossed,
-  stopping,
+  attempts_failed,
+  late_success,
+  shutting_down,
   cut,
   ended
 };
 
 // ---- Events
 
-struct RequestCame {
+struct RequestReceived {
   Request request;
 };
-struct CallerGaveUp {
+struct RequestCancelled {
   CallId call{};
 };
 struct CallerReleased {
   CallId call{};
   int cause{};
 };
-struct AttemptStood {
+struct AttemptEstablished {
   CallId call{};
   int attempt{};
   std::string description{};
 };
-struct AttemptOver {  // before it stood, or a standing call's end
+struct AttemptFinished {  // before it stood, or a standing call's end
   CallId call{};
   int attempt{};
   Outcome outcome{};
   FullReason reason{};
   LoadReport report{};
-  int cause{};                          // of a standing call's end
-  bool crossed = false;                 // the server's success crossed our giving up; it has been released
-  std::optional<Duration> told_wait{};  // by a full processor
+  int cause{};                            // of a standing call's end
+  bool late_success = false;              // the server's success crossed our giving up; it has been released
+  std::optional<Duration> retry_after{};  // by a full processor
 };
 // A server released a call whose attempt there is over already, or was never known here.
 struct ServerReleased {
-  std::string label{};
+  std::string correlation_id{};
   int cause{};
-  bool remembered{};  // an attempt of the call is known to have been at that server
+  bool attempt_known{};  // an attempt of the call is known to have been at that server
 };
 struct ServersChanged {
   ServerList list{};
 };
-struct ReportHeard {
+struct LoadReportReceived {
   ServerId server{};
   LoadReport report{};
 };
-struct TimerRang {
+struct TimerExpired {
   std::uint64_t timer{};
 };
-struct Retuned {  // the settings have changed; requests under way keep their terms
+struct SettingsReplaced {  // the settings have changed; requests under way keep their terms
   Settings settings{};
 };
-struct Stopping {};  // the process ends: whatever is open is answered now
+struct ShutdownStarted {};  // the process ends: whatever is open is answered now
 
-using Event = std::variant<RequestCame, CallerGaveUp, CallerReleased, AttemptStood, AttemptOver,
-                           ServerReleased, ServersChanged, ReportHeard, TimerRang, Retuned, Stopping>;
+using Event = std::variant<RequestReceived, RequestCancelled, CallerReleased, AttemptEstablished,
+                           AttemptFinished, ServerReleased, ServersChanged, LoadReportReceived, TimerExpired,
+                           SettingsReplaced, ShutdownStarted>;
 
 // ---- Effects
 
@@ -118,9 +119,9 @@
   std::shared_ptr<const Request> request{};
   int attempt{};
   ServerId server{};
-  Time give_up_at{};
+  Time deadline{};
 };
-struct AbandonAttempt {  // answered by an AttemptOver
+struct AbandonAttempt {  // answered by an AttemptFinished
   std::shared_ptr<const Request> request{};
   int attempt{};
 };
@@ -129,15 +130,15 @@
   int attempt{};
   int cause{};
 };
-struct Serve {  // final answer
+struct AnswerCaller {  // final answer
   CallId call{};
   std::string description{};
 };
-struct TurnDown {  // final answer
+struct RejectRequest {  // final answer
   CallId call{};
-  bool refused{};  // else failed
-  Why why{};
-  Duration wait{};                // the caller is to stay away so long
+  bool rejected{};  // else failed
+  RejectReason reason{};
+  Duration retry_after{};         // the caller is to stay away so long
   limits::Treatment treatment{};  // of a call that is gapped
 };
 struct ReleaseCaller {
@@ -146,34 +147,34 @@
 };
 // A server released a call that nobody holds open: it stood before a restart, and its caller may still be
 // there.
-struct PassOnRelease {
-  std::string label{};
+struct ForwardRelease {
+  std::string correlation_id{};
   int cause{};
 };
-struct SetAlarm {
+struct ArmTimer {
   Time at{};
   std::uint64_t timer{};
 };
-struct Note {  // a line for the log
+struct LogLine {  // a line for the log
   std::string text{};
 };
 // What a request went through, once it is answered: for traces.
 struct AttemptRecord {
   ServerId server{};
-  Time began{};
-  Time ended{};
+  Time started_at{};
+  Time ended_at{};
   std::optional<Outcome> outcome{};  // absent: it stands
 };
 struct RequestAnswered {
   std::shared_ptr<const Request> request{};
-  Time came{};
+  Time received_at{};
   bool served{};
-  std::optional<Why> why{};
+  std::optional<RejectReason> reject_reason{};
   std::vector<AttemptRecord> attempts{};
 };
 
-using Effect = std::variant<StartAttempt, AbandonAttempt, ReleaseServer, Serve, TurnDown, ReleaseCaller,
-                            PassOnRelease, SetAlarm, Note, RequestAnswered>;
+using Effect = std::variant<StartAttempt, AbandonAttempt, ReleaseServer, AnswerCaller, RejectRequest,
+                            ReleaseCaller, ForwardRelease, ArmTimer, LogLine, RequestAnswered>;
 using Effects = std::vector<Effect>;
 
 class Broker {
@@ -182,104 +183,106 @@
   using Decide = std::function<void(Time, const graniterun::Event&, std::vector<Action>&)>;
 
   // What new calls must pass before the module hears of them, on whichever front they come.
-  using Gate = std::function<limits::Verdict(Time, const Request&)>;
+  using AdmissionCheck = std::function<limits::Verdict(Time, const Request&)>;
 
   Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
-         Gate gate = {});
-  Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters, Gate gate = {});
+         AdmissionCheck gate = {});
+  Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters,
+         AdmissionCheck gate = {});
 
   void step(Time now, const Event& event, Effects& effects);
 
   std::size_t unanswered() const { return unanswered_; }
-  std::size_t standing() const { return standing_; }
+  std::size_t established() const { return established_; }
   // The places of the classes that open calls came with.
   std::vector<bool> places_in_use() const;
-  Tallies& tallies() { return tallies_; }
-  const Tallies& tallies() const { return tallies_; }
+  RequestMetrics& metrics() { return metrics_; }
+  const RequestMetrics& metrics() const { return metrics_; }
   // Setup servers that the module avoids now; 0 where something else decides.
-  std::size_t avoided(Time now) const { return controller_ ? controller_->avoided(now) : 0; }
+  std::size_t ejected(Time now) const { return controller_ ? controller_->ejected(now) : 0; }
 
  private:
   Broker(const Settings& settings, std::shared_ptr<Controller> controller, Contracts contracts,
-         Counters& counters, Gate gate);
+         Counters& counters, AdmissionCheck gate);
 
   struct Attempt {
     int index{};
     ServerId server{};
-    Time give_up_at{};
+    Time deadline{};
     Time sent_at{};
     bool sent = false;  // else it waits for the release guard
-    bool stands = false;
+    bool established = false;
     bool abandoned = false;
   };
   struct Call {
     std::shared_ptr<const Request> request;
-    Time came{};
+    Time received_at{};
     Time deadline{};
-    int most_attempts{};
+    int max_attempts{};
     int attempts = 0;
-    std::optional<Attempt> out{};
+    std::optional<Attempt> current_attempt{};
     bool answered = false;
-    bool turned_down = false;
+    bool rejected = false;
     Time guard_until{};
     // An earlier call under the same label has its attempt out still: none of this one begins before its end
     // and the release guard after it.
-    std::optional<CallId> after{};
-    std::optional<CallId> followed_by{};
-    std::vector<AttemptRecord> records{};
+    std::optional<CallId> predecessor{};
+    std::optional<CallId> successor{};
+    std::vector<AttemptRecord> attempt_records{};
   };
   struct Server {
     ServerState state{};
     std::optional<Time> online_since{};
-    std::deque<Time> sends{};  // within the last window
-    std::deque<Time> stood{};  // set-ups that stood there within the last window, while it was cold
-    double busiest = 0.0;      // the most sends within a window while it was warm
+    std::deque<Time> recent_sends{};  // within the last window
+    std::deque<Time>
+        recently_established{};  // set-ups that stood there within the last window, while it was cold
+    double peak_sends = 0.0;     // the most sends within a window while it was warm
   };
-  struct Alarm {
+  struct PendingTimer {
     enum class Kind : std::uint8_t { deadline, guard, module } kind{};
     CallId call{};
     TimerId timer{};
   };
 
-  void on(const RequestCame& e);
-  void on(const CallerGaveUp& e);
+  void on(const RequestReceived& e);
+  void on(const RequestCancelled& e);
   void on(const CallerReleased& e);
-  void on(const AttemptStood& e);
-  void on(const AttemptOver& e);
+  void on(const AttemptEstablished& e);
+  void on(const AttemptFinished& e);
   void on(const ServerReleased& e);
   void on(const ServersChanged& e);
-  void on(const ReportHeard& e);
-  void on(const TimerRang& e);
-  void on(const Retuned& e);
-  void on(const Stopping& e);
+  void on(const LoadReportReceived& e);
+  void on(const TimerExpired& e);
+  void on(const SettingsReplaced& e);
+  void on(const ShutdownStarted& e);
 
-  void act(const SendSetUp& a);
-  void act(const CancelAttempt& a);
-  void act(const Refuse& a);
-  void act(const Fail& a);
-  void act(const SetTimer& a);
-  void act(const TellPeers&) {}
-  void act(const FollowList&) {}
+  void apply(const SendSetup& a);
+  void apply(const CancelAttempt& a);
+  void apply(const Reject& a);
+  void apply(const Fail& a);
+  void apply(const SetTimer& a);
+  void apply(const NotifyPeers&) {}
+  void apply(const FollowList&) {}
 
-  void tell_module(const graniterun::Event& event);
-  void settle_module();
-  void overdue(Call& call);
-  void start(Call& call);
-  void give_up_attempt(Call& call);
-  void attempt_ended(Call& call, Outcome outcome);
-  void keep_guard(const Call& call);
-  void not_sent(Call& call, int index, ServerId server);
+  void notify_controller(const graniterun::Event& event);
+  void drain_controller_events();
+  void expire_request(Call& call);
+  void start_attempt(Call& call);
+  void abandon_attempt(Call& call);
+  void record_attempt_end(Call& call, Outcome outcome);
+  void retain_release_guard(const Call& call);
+  void report_not_sent(Call& call, int index, ServerId server);
   bool may_send(ServerId server, std::string_view& why_not);
-  void keep_window(std::deque<Time>& times) const;
-  bool is_warm(const Server& server) const {
-    return !server.online_since || now_ >= *server.online_since + settings_.cold_time;
+  void trim_window(std::deque<Time>& times) const;
+  bool is_warmed_up(const Server& server) const {
+    return !server.online_since || now_ >= *server.online_since + settings_.slow_start_duration;
   }
-  void answer(Call& call, bool served, bool refused, Why why, Duration wait, const std::string& description,
-              limits::Treatment treatment = {});
-  void record(Call& call, std::optional<Outcome> outcome);
-  void forget_if_over(CallId id);
-  void alarm(Time at, Alarm alarm);
-  Duration stay_away() const;
+  void answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
+                      const std::string& description, limits::Treatment treatment = {});
+  void record_attempt(Call& call, std::optional<Outcome> outcome);
+  void erase_if_finished(CallId id);
+  void arm_timer(Time at, PendingTimer alarm);
+  Duration default_retry_after() const;
   Call* find(CallId id);
   void emit(Effect effect) { effects_->push_back(std::move(effect)); }
 
@@ -288,21 +291,21 @@
   Counters& counters_;
   std::shared_ptr<Controller> controller_{};
   Decide decide_;
-  Gate gate_;
+  AdmissionCheck admission_check_;
   Time now_{};
   Effects* effects_ = nullptr;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, CallId> by_label_;  // of calls_; the newest under a label
-  std::unordered_map<std::string, Time> guards_;      // of labels whose call is over: until when
+  std::unordered_map<std::string, CallId> by_correlation_id_;  // of calls_; the newest under a label
+  std::unordered_map<std::string, Time> guards_;               // of labels whose call is over: until when
   std::deque<std::pair<Time, std::string>> guards_by_time_;
   std::map<ServerId, Server> servers_;
-  std::unordered_map<std::uint64_t, Alarm> alarms_;
-  std::uint64_t last_alarm_ = 0;
-  std::deque<graniterun::Event> for_module_;
-  bool in_module_ = false;
-  Tallies tallies_;
+  std::unordered_map<std::uint64_t, PendingTimer> timers_;
+  std::uint64_t last_timer_ = 0;
+  std::deque<graniterun::Event> controller_events_;
+  bool draining_controller_ = false;
+  RequestMetrics metrics_;
   std::size_t unanswered_ = 0;
-  std::size_t standing_ = 0;
+  std::size_t established_ = 0;
 };
 
 }  // namespace graniterun::core
--- a/src/core/classes.cpp
+++ b/src/core/classes.cpp
@@ -5,7 +5,9 @@
 namespace graniterun::core {
 namespace {
 
-bool worth_less(const NamedClass& a, const NamedClass& b) { return a.terms.worth < b.terms.worth; }
+bool has_lower_weight(const NamedClass& a, const NamedClass& b) {
+  return a.terms.priority_weight < b.terms.priority_weight;
+}
 
 }  // namespace
 
@@ -14,15 +16,16 @@
       std::find_if(named.begin(), named.end(), [&](const NamedClass& c) { return c.name == name; });
   return it == named.end() ? nullptr : &*it;
 }
-const NamedClass& Classes::worth_most() const {
-  return *std::max_element(named.begin(), named.end(), worth_less);
+const NamedClass& Classes::highest_weight() const {
+  return *std::max_element(named.begin(), named.end(), has_lower_weight);
 }
-const NamedClass& Classes::worth_least() const {
-  return *std::min_element(named.begin(), named.end(), worth_less);
+const NamedClass& Classes::lowest_weight() const {
+  return *std::min_element(named.begin(), named.end(), has_lower_weight);
 }
 
-std::optional<ClassTable> placed(const ClassTable& before, const std::vector<std::string>& names,
-                                 const std::vector<CallClass>& terms, const std::vector<bool>& in_use) {
+std::optional<ClassTable> assign_places(const ClassTable& before, const std::vector<std::string>& names,
+                                        const std::vector<CallClass>& terms,
+                                        const std::vector<bool>& in_use) {
   ClassTable after;
   after.places = before.places;
   Classes classes;
@@ -50,7 +53,7 @@
   for (std::size_t i = 0; i < taken.size(); ++i) {
     if (!taken[i]) after.places[i] = CallClass{};
   }
-  if (after.places.size() > ClassTable::kMost) return std::nullopt;
+  if (after.places.size() > ClassTable::kMaxClasses) return std::nullopt;
   after.classes = std::make_shared<const Classes>(std::move(classes));
   return after;
 }
--- a/src/core/classes.h
+++ b/src/core/classes.h
@@ -21,13 +21,13 @@
 struct Classes {
   std::vector<NamedClass> named{};  // not empty
   const NamedClass* find(std::string_view name) const;
-  const NamedClass& worth_most() const;
-  const NamedClass& worth_least() const;
+  const NamedClass& highest_weight() const;
+  const NamedClass& lowest_weight() const;
 };
 
 // The table that the decisions work on: the classes named, and those that open calls came with.
 struct ClassTable {
-  static constexpr std::size_t kMost = 128;
+  static constexpr std::size_t kMaxClasses = 128;
   std::vector<CallClass> places{};
   std::shared_ptr<const Classes> classes = std::make_shared<const Classes>();
 };
@@ -36,7 +36,7 @@
 // terms keeps its place; every other gets one that is free, or a new one. Free is what is neither named any
 // more nor `in_use` by open calls (by place; what is missing there is not). None: there would be more than
 // kMost.
-std::optional<ClassTable> placed(const ClassTable& before, const std::vector<std::string>& names,
-                                 const std::vector<CallClass>& terms, const std::vector<bool>& in_use);
+std::optional<ClassTable> assign_places(const ClassTable& before, const std::vector<std::string>& names,
+                                        const std::vector<CallClass>& terms, const std::vector<bool>& in_use);
 
 }  // namespace graniterun::core
--- a/src/core/contracts.cpp
+++ b/src/core/contracts.cpp
@@ -42,7 +42,8 @@
     account->tokens -= 1.0;
   } else {
     const double wait_s = (1.0 - account->tokens) / std::max(*c.per_second, 1e-3);
-    terms.over_budget = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait_s));
+    terms.over_budget_retry_after =
+        std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait_s));
   }
   return terms;
 }
--- a/src/core/due.h
+++ b/src/core/deadline_queue.h
@@ -12,7 +12,7 @@
 namespace graniterun {
 
 template <class Key>
-class Due {
+class DeadlineQueue {
  public:
   // Falls due at `at`; what was set for the key before is void.
   void set(const Key& key, Time at) {
@@ -27,7 +27,7 @@
     at_.erase(it);
   }
   // The earliest key that is due by `now`, taken out.
-  std::optional<Key> take(Time now) {
+  std::optional<Key> pop_due(Time now) {
     if (order_.empty() || order_.begin()->first > now) return std::nullopt;
     const Key key = order_.begin()->second;
     at_.erase(key);
--- a/src/core/words.h
+++ b/src/core/random_id.h
@@ -6,9 +6,9 @@
 
 namespace graniterun {
 
-class Words {
+class RandomIdGenerator {
  public:
-  explicit Words(std::uint64_t seed) : state_(seed) {}
+  explicit RandomIdGenerator(std::uint64_t seed) : state_(seed) {}
   std::string next() {  // SplitMix64
     std::uint64_t z = (state_ += 0x9e3779b97f4a7c15U);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9U;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -51,7 +51,7 @@
 
   FleetSettings settings_;
   Counters& counters_;
-  SeldomWarning refused_;
+  RateLimitedWarning refused_;
   membership::Membership membership_;
   std::vector<Watcher> watchers_;
   Places places_{};
--- a/src/front/load_control.cpp
+++ b/src/front/load_control.cpp
@@ -11,9 +11,9 @@
 
 constexpr const char* kEvent = "load-control";
 constexpr const char* kType = "application/load-control+xml";
-constexpr Duration kLongest = 1h;  // of a subscription
-constexpr Duration kShortest = 5s;
-constexpr Duration kAgain = 5s;  // after one that failed
+constexpr Duration kMaxSubscription = 1h;  // of a subscription
+constexpr Duration kMinSubscription = 5s;
+constexpr Duration kRetryInterval = 5s;  // after one that failed
 
 std::string dialog_key(std::string_view call_id, std::string_view local_tag, std::string_view remote_tag) {
   return std::string(call_id).append("|").append(local_tag).append("|").append(remote_tag);
@@ -24,7 +24,7 @@
   return value && *value >= 0 && *value <= 1'000'000'000 ? value : std::nullopt;
 }
 
-std::string_view word_in(std::string_view value) { return sip::trim(value.substr(0, value.find(';'))); }
+std::string_view word_at(std::string_view value) { return sip::trim(value.substr(0, value.find(';'))); }
 
 std::int64_t left(Time now, Time ends) {
   return std::max<std::int64_t>(0, std::chrono::ceil<std::chrono::seconds>(ends - now).count());
@@ -36,7 +36,7 @@
     : settings_(std::move(settings)),
       transactions_(transactions),
       counters_(counters),
-      words_(settings_.seed * 5 + 3) {
+      ids_(settings_.seed * 5 + 3) {
   for (const std::string& address : settings_.neighbours) {
     Neighbour n;
     n.address = address;
@@ -49,11 +49,11 @@
   return "<sip:" + address.value_or("") + (reliable ? ";transport=tcp>" : ">");
 }
 
-void LoadControl::refuse(Time now, const std::string& key, int status, Outbox& out, const char* header,
+void LoadControl::reject(Time now, const std::string& key, int status, Outbox& out, const char* header,
                          const std::string& value) {
   const sip::Message* m = transactions_.request_of(key);
   if (m == nullptr) return;
-  sip::Message answer = sip::answer_to(*m, status, sip::phrase_of(status), words_.next());
+  sip::Message answer = sip::answer_to(*m, status, sip::phrase_of(status), ids_.next());
   if (header != nullptr) answer.add(header, value);
   transactions_.respond(now, key, answer, out);
 }
@@ -64,7 +64,7 @@
   m.uri = d.target;
   const auto& address = d.flow.reliable ? settings_.tcp : settings_.udp;
   m.add("Via", std::string(d.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + address.value_or("") +
-                   ";branch=" + std::string(sip::kCookie) + words_.next());
+                   ";branch=" + std::string(sip::kCookie) + ids_.next());
   m.add("Max-Forwards", "70");
   for (const std::string& route : d.routes) m.add("Route", route);
   m.add("From", d.local);
@@ -81,35 +81,35 @@
 void LoadControl::subscribed(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
                              Outbox& out) {
   counters_.add("load_control.subscribes");
-  if (!source_.gaps || word_in(m.header("Event")) != kEvent)
-    return refuse(now, key, 489, out, "Allow-Events", kEvent);
+  if (!source_.gaps || word_at(m.header("Event")) != kEvent)
+    return reject(now, key, 489, out, "Allow-Events", kEvent);
   if (const std::string_view accepts = m.header("Accept"); !accepts.empty() &&
                                                            accepts.find(kType) == std::string_view::npos &&
                                                            accepts.find("*/*") == std::string_view::npos)
-    return refuse(now, key, 406, out, "Accept", kType);
-  Duration span = kLongest;
+    return reject(now, key, 406, out, "Accept", kType);
+  Duration span = kMaxSubscription;
   if (const std::string_view expires = m.header("Expires"); !expires.empty()) {
     const auto value = seconds_in(expires);
-    if (!value) return refuse(now, key, 400, out);
-    span = std::min<Duration>(kLongest, std::chrono::seconds(*value));
-    if (span > Duration{} && span < kShortest)
-      return refuse(now, key, 423, out, "Min-Expires", std::to_string(kShortest / 1s));
+    if (!value) return reject(now, key, 400, out);
+    span = std::min<Duration>(kMaxSubscription, std::chrono::seconds(*value));
+    if (span > Duration{} && span < kMinSubscription)
+      return reject(now, key, 423, out, "Min-Expires", std::to_string(kMinSubscription / 1s));
   }
   const std::string_view their_tag = sip::parameter(m.header("From"), "tag");
   const std::string_view our_tag = sip::parameter(m.header("To"), "tag");
   auto it = subscriptions_.find(dialog_key(m.header("Call-ID"), our_tag, their_tag));
   const std::uint32_t number = sip::cseq_of(m)->number;
   if (!our_tag.empty()) {
-    if (it == subscriptions_.end()) return refuse(now, key, 481, out);
-    if (number <= it->second.dialog.remote_cseq) return refuse(now, key, 500, out);
+    if (it == subscriptions_.end()) return reject(now, key, 481, out);
+    if (number <= it->second.dialog.remote_cseq) return reject(now, key, 500, out);
   } else {
-    if (subscriptions_.size() >= kMostSubscriptions) {
+    if (subscriptions_.size() >= kMaxSubscriptions) {
       counters_.add("load_control.subscribes_barred");
-      return refuse(now, key, 503, out, "Retry-After", "30");
+      return reject(now, key, 503, out, "Retry-After", "30");
     }
     Subscription s;
     Dialog& d = s.dialog;
-    const std::string tag = words_.next();
+    const std::string tag = ids_.next();
     d.call_id = m.header("Call-ID");
     d.local = std::string(m.header("To")).append(";tag=").append(tag);
     d.remote = m.header("From");
@@ -158,7 +158,7 @@
     body = control::write_load_control(document);
   }
   if (left_out > 0) counters_.add("load_control.gaps_not_told", left_out);
-  s.told = source_.digest();
+  s.notified_digest = source_.digest();
   ++s.dialog.cseq;
   sip::Message m = request(s.dialog, "NOTIFY");
   m.add("Subscription-State", state);
@@ -177,18 +177,18 @@
   Dialog& d = n.dialog;
   if (!n.ends) {
     d = {};
-    d.call_id = words_.next() + "@load";
+    d.call_id = ids_.next() + "@load";
     d.flow = {!settings_.udp, 0, n.address};
     d.target = "sip:" + n.address + (settings_.udp ? "" : ";transport=tcp");
     d.local =
-        "<sip:graniterun@" + settings_.udp.value_or(settings_.tcp.value_or("")) + ">;tag=" + words_.next();
+        "<sip:graniterun@" + settings_.udp.value_or(settings_.tcp.value_or("")) + ">;tag=" + ids_.next();
     d.remote = "<sip:" + n.address + ">";
-    n.fresh = true;
+    n.version_reset = true;
   }
   ++d.cseq;
   sip::Message m = request(d, "SUBSCRIBE");
   m.add("Accept", kType);
-  m.add("Expires", std::to_string(kLongest / 1s));
+  m.add("Expires", std::to_string(kMaxSubscription / 1s));
   counters_.add("load_control.subscribes_out");
   n.transaction = transactions_.send_request(now, d.flow, m, out);
   n.next = now + 2 * sip::k64T1;  // its answer or its end says when
@@ -206,19 +206,19 @@
     const auto span = seconds_in(m.header("Expires"));
     if (m.status >= 300 || !span || *span == 0) {
       counters_.add("load_control.subscribes_refused");
-      refused_.line(now, "neighbour " + n.address + " gives no load control: " + std::to_string(m.status),
-                    out);
-      n.next = now + kAgain;
+      malformed_warning_.line(
+          now, "neighbour " + n.address + " gives no load control: " + std::to_string(m.status), out);
+      n.next = now + kRetryInterval;
       n.ends.reset();
       continue;  // what it asked for goes on to its own end
     }
     n.dialog.remote = m.header("To");
     if (const std::string_view contact = m.header("Contact"); !contact.empty())
       n.dialog.target = sip::uri_in(contact);
-    const Duration lasts = std::min<Duration>(kLongest, std::chrono::seconds(*span));
+    const Duration lasts = std::min<Duration>(kMaxSubscription, std::chrono::seconds(*span));
     n.ends = now + lasts;
     n.next = now + lasts / 2;
-    hold(now, n, out);  // for as long as it was refreshed
+    store_gaps(now, n, out);  // for as long as it was refreshed
   }
 }
 
@@ -232,7 +232,7 @@
     if (n.transaction != transaction) continue;
     n.transaction.clear();
     n.ends.reset();
-    n.next = now + kAgain;
+    n.next = now + kRetryInterval;
   }
 }
 
@@ -244,46 +244,48 @@
     return !n.dialog.call_id.empty() && n.dialog.call_id == m.header("Call-ID") &&
            sip::parameter(n.dialog.local, "tag") == sip::parameter(m.header("To"), "tag");
   });
-  if (own == neighbours_.end() || !source_.hold) return refuse(now, key, 481, out);
-  if (word_in(m.header("Event")) != kEvent) return refuse(now, key, 489, out, "Allow-Events", kEvent);
+  if (own == neighbours_.end() || !source_.announce) return reject(now, key, 481, out);
+  if (word_at(m.header("Event")) != kEvent) return reject(now, key, 489, out, "Allow-Events", kEvent);
   Neighbour& n = *own;
   const std::uint32_t number = sip::cseq_of(m)->number;
-  if (number <= n.dialog.remote_cseq) return refuse(now, key, 500, out);
+  if (number <= n.dialog.remote_cseq) return reject(now, key, 500, out);
   n.dialog.remote_cseq = number;
-  const bool over = word_in(m.header("Subscription-State")) == "terminated";
+  const bool over = word_at(m.header("Subscription-State")) == "terminated";
   if (!m.body.empty()) {
-    if (word_in(m.header("Content-Type")) != kType) return refuse(now, key, 415, out, "Accept", kType);
+    if (word_at(m.header("Content-Type")) != kType) return reject(now, key, 415, out, "Accept", kType);
     try {
       control::LoadDocument document = control::read_load_control(m.body);
-      control::gaps_of(document, n.address, now, now + kLongest);  // understood as a whole, or refused
-      const bool late = n.document && !n.fresh && document.version <= n.document->version;
+      control::gaps_of(document, n.address, now,
+                       now + kMaxSubscription);  // understood as a whole, or refused
+      const bool late = n.document && !n.version_reset && document.version <= n.document->version;
       if (!late) {
         n.document = std::move(document);
-        n.fresh = false;
-        hold(now, n, out);
+        n.version_reset = false;
+        store_gaps(now, n, out);
       }
     } catch (const control::BadDocument& trouble) {
       // Refused whole: what was held before goes on.
       counters_.add("load_control.documents_refused");
-      refused_.line(now, "a load-control document of " + n.address + " is refused: " + trouble.what(), out);
-      return refuse(now, key, 400, out, "Warning",
+      malformed_warning_.line(
+          now, "a load-control document of " + n.address + " is refused: " + trouble.what(), out);
+      return reject(now, key, 400, out, "Warning",
                     std::string("399 graniterun \"") + "the document is not understood\"");
     }
   }
-  refuse(now, key, 200, out);
+  reject(now, key, 200, out);
   if (!over) return;
   n.ends.reset();
-  n.next = now + kAgain;
+  n.next = now + kRetryInterval;
 }
 
 // The last document is the whole of what the neighbour asks for: what it no longer names is lifted.
-void LoadControl::hold(Time now, Neighbour& n, Outbox& out) {
-  if (!n.document || !source_.hold) return;
-  const Time until = n.ends.value_or(now + kLongest);
+void LoadControl::store_gaps(Time now, Neighbour& n, Outbox& out) {
+  if (!n.document || !source_.announce) return;
+  const Time until = n.ends.value_or(now + kMaxSubscription);
   const std::vector<limits::Announcement> gaps = control::gaps_of(*n.document, n.address, now, until);
   std::set<std::string> held;
   for (const limits::Announcement& a : gaps) {
-    source_.hold(now, a, out);
+    source_.announce(now, a, out);
     held.insert(a.id);
   }
   std::swap(held, n.held);
@@ -295,7 +297,7 @@
     lift.version = static_cast<std::uint64_t>(
         std::chrono::floor<std::chrono::milliseconds>(now.time_since_epoch()).count());
     lift.made = lift.start = lift.end = now;
-    source_.hold(now, lift, out);
+    source_.announce(now, lift, out);
   }
 }
 
@@ -309,11 +311,11 @@
       it = subscriptions_.erase(it);
       continue;
     }
-    if (s.told != source_.digest())
+    if (s.notified_digest != source_.digest())
       notify(now, s, "active;expires=" + std::to_string(left(now, s.ends)), out);
     ++it;
   }
-  if (!source_.hold) return;
+  if (!source_.announce) return;
   for (Neighbour& n : neighbours_) {
     if (n.ends && *n.ends <= now) n.ends.reset();
     if (n.next <= now) subscribe(now, n, out);
--- a/src/front/load_control.h
+++ b/src/front/load_control.h
@@ -1,7 +1,7 @@
 // The load-control event package of RFC 7200 over the SIP front (RFC 6665): as notifier, SIP neighbours that
 // subscribe are told which numbers are gapped, so that they stop such calls before they come here; as
 // subscriber, what a neighbour asks for is held as gaps of our own, for no longer than its subscription.
-// Bounded: kMostSubscriptions each way; a subscription ends by itself.
+// Bounded: kMaxSubscriptions each way; a subscription ends by itself.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 #include "control/load_control.h"
 #include "core/counters.h"
-#include "core/words.h"
+#include "core/random_id.h"
 #include "limits/gap_register.h"
 #include "net/outbox.h"
 #include "sip/transactions.h"
@@ -24,7 +24,7 @@
 struct GapSource {
   std::function<std::vector<limits::GapState>(Time)> gaps{};
   std::function<std::uint64_t()> digest{};
-  std::function<void(Time, const limits::Announcement&, Outbox&)> hold{};
+  std::function<void(Time, const limits::Announcement&, Outbox&)> announce{};
 };
 
 struct LoadControlSettings {
@@ -36,7 +36,7 @@
 
 class LoadControl {
  public:
-  static constexpr std::size_t kMostSubscriptions = 64;
+  static constexpr std::size_t kMaxSubscriptions = 64;
 
   LoadControl(LoadControlSettings settings, sip::Transactions& transactions, Counters& counters);
 
@@ -65,7 +65,7 @@
     Dialog dialog{};
     Time ends{};
     std::uint32_t version = 0;
-    std::uint64_t told = 0;  // digest of the register when it was told
+    std::uint64_t notified_digest = 0;  // digest of the register when it was told
   };
   struct Neighbour {  // ours, to a neighbour
     std::string address{};
@@ -73,30 +73,30 @@
     std::string transaction{};
     Time next{};                                      // to subscribe, or to refresh
     std::optional<Time> ends{};                       // of the subscription
-    bool fresh = false;                               // subscribed anew: versions count from the start
+    bool version_reset = false;                       // subscribed anew: versions count from the start
     std::optional<control::LoadDocument> document{};  // the last one
     std::set<std::string> held{};                     // gaps that it stands for
   };
 
-  void refuse(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
+  void reject(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
               const std::string& value = {});
   void accept(Time now, const std::string& key, const sip::Message& m, const Dialog& d, Duration span,
               Outbox& out);
   void notify(Time now, Subscription& s, const std::string& state, Outbox& out);
   void subscribe(Time now, Neighbour& n, Outbox& out);
-  void hold(Time now, Neighbour& n, Outbox& out);
+  void store_gaps(Time now, Neighbour& n, Outbox& out);
   sip::Message request(const Dialog& d, const std::string& method);
   std::string contact(bool reliable) const;
 
   LoadControlSettings settings_;
   sip::Transactions& transactions_;
   Counters& counters_;
-  SeldomWarning refused_;
+  RateLimitedWarning malformed_warning_;
   GapSource source_{};
   std::map<std::string, Subscription> subscriptions_;  // by Call-ID and both tags
   std::map<std::string, std::string> by_transaction_;  // of a NOTIFY under way
   std::vector<Neighbour> neighbours_;
-  Words words_;
+  RandomIdGenerator ids_;
 };
 
 }  // namespace graniterun::front
--- a/src/front/platform.cpp
+++ b/src/front/platform.cpp
@@ -14,16 +14,16 @@
 constexpr int kTemporaryFailure = 41;
 constexpr int kCongestion = 42;
 constexpr int kInvalid = 95;
-constexpr double kMostPool = 1e9;
-constexpr double kMostWidth = 64;
-constexpr std::size_t kMostHomeless = 4096;
-constexpr Duration kLook = std::chrono::milliseconds(200);
+constexpr double kMaxPool = 1e9;
+constexpr double kMaxCircuits = 64;
+constexpr std::size_t kMaxUnassignedReleases = 4096;
+constexpr Duration kReapInterval = std::chrono::milliseconds(200);
 // So long a release is told again where its connection closes before it was heard.
-constexpr Duration kToldFor = std::chrono::seconds(8);
+constexpr Duration kReleaseRetention = std::chrono::seconds(8);
 
-int cause_of(bool refused, core::Why why) {
+int cause_of(bool refused, core::RejectReason why) {
   if (refused) return kCongestion;
-  return why == core::Why::number_busy ? kBusy : kTemporaryFailure;
+  return why == core::RejectReason::number_busy ? kBusy : kTemporaryFailure;
 }
 
 jsonl::Message message(std::string type, std::string id, std::optional<int> cause = {}) {
@@ -43,53 +43,57 @@
 
 }  // namespace
 
-void Platform::start(Time now, Outbox& out) const { out.arm(net::Concern::platform, 0, now + kLook); }
+void Platform::start(Time now, Outbox& out) const { out.arm(net::Concern::platform, 0, now + kReapInterval); }
 
 void Platform::on(Time now, const net::Accepted& e, Outbox& out) {
   counters_.add("platform.connections");
   connections_.try_emplace(e.conn);
-  keeper_.accepted(now, e.conn);
-  for (auto& [id, line] : std::exchange(homeless_, {})) tell(now, e.conn, id, std::move(line), out);
+  reaper_.accepted(now, e.conn);
+  for (auto& [id, line] : std::exchange(unassigned_releases_, {}))
+    send_release(now, e.conn, id, std::move(line), out);
   make_room(now, out);
 }
 
 // Connections kept for nothing once filled the limit, and usual callers were turned away. None goes where
 // something has come that is not read yet: that may be a request.
 void Platform::make_room(Time now, Outbox& out) {
-  for (const net::ConnId conn : keeper_.too_many(now, [this](net::ConnId c) { return is_busy(c); })) {
+  for (const net::ConnId conn :
+       reaper_.excess_connections(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("platform.closed_for_room");
-    out.net.push_back(net::CloseQuiet{conn, true});
+    out.net.push_back(net::CloseIfIdle{conn, true});
   }
 }
 
-void Platform::hand_on(Outbox& out) {
-  handed_on_ = true;
-  close_quiet(out);
+void Platform::hand_over(Outbox& out) {
+  handed_over_ = true;
+  close_idle(out);
 }
 
 // Those on which no set-up is open, no line has begun and no release is still to be heard. The runtime tells
 // what has come meanwhile instead of closing.
-void Platform::close_quiet(Outbox& out) {
+void Platform::close_idle(Outbox& out) {
   for (const auto& [conn, c] : connections_) {
-    if (c.waiting.empty() && c.told.empty() && !keeper_.is_half(conn))
-      out.net.push_back(net::CloseQuiet{conn});
+    if (c.waiting.empty() && c.unconfirmed_releases.empty() && !reaper_.has_partial_message(conn))
+      out.net.push_back(net::CloseIfIdle{conn});
   }
 }
 
 void Platform::on(Time now, const net::TimerFired&, Outbox& out) {
-  out.arm(net::Concern::platform, 0, now + kLook);
-  if (handed_on_) close_quiet(out);
+  out.arm(net::Concern::platform, 0, now + kReapInterval);
+  if (handed_over_) close_idle(out);
   make_room(now, out);
-  for (const Keeper::Due& due : keeper_.due(now, [this](net::ConnId c) { return is_busy(c); })) {
+  for (const ConnectionReaper::Expired& due :
+       reaper_.expired(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("platform.closed_idle");
     if (due.stuck) {
       close(now, due.conn, out);
     } else {  // a request that came in this instant is taken instead
-      out.net.push_back(net::CloseQuiet{due.conn});
+      out.net.push_back(net::CloseIfIdle{due.conn});
     }
   }
   for (auto& [conn, c] : connections_)
-    std::erase_if(c.told, [now](const auto& told) { return now - told.second.at > kToldFor; });
+    std::erase_if(c.unconfirmed_releases,
+                  [now](const auto& pending) { return now - pending.second.sent_at > kReleaseRetention; });
 }
 
 // Whatever ends the connection here, what was read on it gets its answer first.
@@ -115,56 +119,57 @@
     if (read.state == jsonl::ReadState::more) break;
     whole = true;
     if (read.state == jsonl::ReadState::message) {
-      take(now, e.conn, read.message, out);
+      handle_message(now, e.conn, read.message, out);
       continue;
     }
-    refuse_malformed(now, e.conn, read.message.id, read.trouble, out);
-    if (read.lost || read.message.id.empty()) {
+    reject_malformed(now, e.conn, read.message.id, read.error, out);
+    if (read.unrecoverable || read.message.id.empty()) {
       return close(now, e.conn, out);
     }
   }
-  keeper_.heard(now, e.conn, whole, used < e.bytes.size());
+  reaper_.record_input(now, e.conn, whole, used < e.bytes.size());
   out.net.push_back(net::Consume{e.conn, used});
 }
 
-void Platform::refuse_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
+void Platform::reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
                                 Outbox& out) {
   counters_.add("platform.malformed");
-  refused_.line(now, "a caller's line is refused: " + trouble, out);
+  malformed_warning_.line(now, "a caller's line is refused: " + trouble, out);
   if (id.empty()) return;
   // A refusal ends what the connection itself has open under the id, or a second answer would follow it.
   // Calls of others under that id are not touched.
   if (const auto it = by_id_.find(id); it != by_id_.end() && calls_.at(it->second).conn == conn)
-    end_by_caller(it->second, kInvalid, out);
+    release_by_caller(it->second, kInvalid, out);
   jsonl::Message m = message("release", id, kInvalid);
   m.fields.emplace("reason", trouble);
   out.send(conn, m.text());
 }
 
-void Platform::take(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
-  if (m.type == "setup") return set_up(now, conn, m, out);
+void Platform::handle_message(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
+  if (m.type == "setup") return handle_setup(now, conn, m, out);
   if (m.type == "ping") {
     counters_.add("platform.pings");
     out.send(conn, message("pong", m.id, ready_ ? 1 : 0).text());
   } else if (m.type == "release") {
     counters_.add("platform.releases_in");
     const auto it = by_id_.find(m.id);
-    const bool open = it != by_id_.end() && !calls_.at(it->second).stands;
+    const bool open = it != by_id_.end() && !calls_.at(it->second).established;
     if (!open) out.send(conn, message("released", m.id).text());
     if (it == by_id_.end()) return;
     // What stands may be released on any connection; a set-up is given up on its own.
     if (open && calls_.at(it->second).conn != conn)
-      return refuse_malformed(now, conn, m.id, "the id is that of another open call", out);
-    end_by_caller(it->second, m.cause.value_or(kNormal), out);
+      return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
+    release_by_caller(it->second, m.cause.value_or(kNormal), out);
   } else if (m.type == "released") {
     counters_.add("platform.released_in");
-    if (const auto it = connections_.find(conn); it != connections_.end()) it->second.told.erase(m.id);
+    if (const auto it = connections_.find(conn); it != connections_.end())
+      it->second.unconfirmed_releases.erase(m.id);
   } else if (m.type != "progress") {
     counters_.add("platform.unknown_type");
   }
 }
 
-void Platform::set_up(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
+void Platform::handle_setup(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
   counters_.add("platform.setups");
   if (const auto it = by_id_.find(m.id); it != by_id_.end()) {
     Call& call = calls_.at(it->second);
@@ -172,9 +177,9 @@
     // Any connection may name an open id. Taken for the same call sent once more, a set-up of a bad client
     // once drew the answer away from the caller whose call it was. Only what is the same to the letter is the
     // same call: on its own connection it needs no second answer, on another it crossed a close.
-    const bool same = call.set_up == identity_of(m);
-    if (!same || (call.stands && !own))
-      return refuse_malformed(now, conn, m.id, "the id is that of another open call", out);
+    const bool same = call.identity == identity_of(m);
+    if (!same || (call.established && !own))
+      return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
     if (!own) {
       if (const auto old = connections_.find(call.conn); old != connections_.end())
         old->second.waiting.erase(it->second);
@@ -190,12 +195,12 @@
   }
   core::Request request;
   const std::string trouble = read_request(now, m, request);
-  if (!trouble.empty()) return refuse_malformed(now, conn, m.id, trouble, out);
+  if (!trouble.empty()) return reject_malformed(now, conn, m.id, trouble, out);
   request.call = core::call_id(core::Front::platform, ++last_);
   calls_.emplace(request.call, Call{m.id, conn, identity_of(m)});
   by_id_.emplace(m.id, request.call);
   connections_[conn].waiting.insert(request.call);
-  out.tell(core::RequestCame{std::move(request)});
+  out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
 std::string Platform::read_request(Time now, const jsonl::Message& m, core::Request& r) const {
@@ -210,7 +215,7 @@
   const auto key = jsonl::number_of_hex(m.field("key"));
   if (!key) return "'key' is not hex digits";
   r.number = Number{*key};
-  r.label = m.id;
+  r.correlation_id = m.id;
   r.redial = !m.field("retry").empty() && m.field("retry") != "0";
   r.description = m.description.value_or("");
   std::string_view extras = m.field("extras");
@@ -223,7 +228,7 @@
                                                        : number_in<double>(piece.substr(colon + 1));
     if (!value) return "'extras' is not name:number pairs";
     // Checked before it is converted: what no whole number can hold once became some other destination.
-    const bool whole = std::floor(*value) == *value && std::abs(*value) <= kMostPool;
+    const bool whole = std::floor(*value) == *value && std::abs(*value) <= kMaxPool;
     if (word == "dest") {
       if (!whole) return "'dest' is not a whole number";
       r.destination = Pool{static_cast<std::int64_t>(*value)};
@@ -232,8 +237,8 @@
         return "'dest' is no pool of the class";
     }
     if (word == "width") {
-      if (!whole || *value < 1 || *value > kMostWidth) return "'width' is not from 1 to 64";
-      r.lines = *value;
+      if (!whole || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
+      r.circuits = *value;
     }
     if (word == "again") r.cut_before = *value != 0.0;
   }
@@ -241,14 +246,14 @@
 }
 
 void Platform::on(Time now, const net::Closed& e, Outbox& out) {
-  keeper_.closed(e.conn);
+  reaper_.closed(e.conn);
   const auto it = connections_.find(e.conn);
   if (it == connections_.end()) return;
   Connection gone = std::move(it->second);
   connections_.erase(it);
-  give_up_waiting(gone, out);
+  cancel_waiting(gone, out);
   // A release that was not heard on this connection is told on another one: calls belong to none.
-  for (const auto& [id, told] : gone.told) tell(now, e.conn, id, told.line, out);
+  for (const auto& [id, told] : gone.unconfirmed_releases) send_release(now, e.conn, id, told.line, out);
 }
 
 // The caller has gone, though much that it sent before may still have to be read. It may have closed one half
@@ -263,39 +268,39 @@
 void Platform::answer_waiting(net::ConnId conn, Connection& c, Outbox& out) {
   for (const CallId call : c.waiting)
     out.send(conn, message("release", calls_.at(call).id, kTemporaryFailure).text());
-  give_up_waiting(c, out);
+  cancel_waiting(c, out);
 }
 
-void Platform::give_up_waiting(Connection& c, Outbox& out) {
+void Platform::cancel_waiting(Connection& c, Outbox& out) {
   for (const CallId call : std::exchange(c.waiting, {})) {
     forget(call);
-    out.tell(core::CallerGaveUp{call});
+    out.notify_broker(core::RequestCancelled{call});
   }
 }
 
 // ---- the broker's effects
 
-void Platform::apply(const core::Serve& e, Outbox& out) {
+void Platform::apply(const core::AnswerCaller& e, Outbox& out) {
   const auto it = calls_.find(e.call);
   if (it == calls_.end()) return;
   counters_.add("platform.answers");
-  it->second.stands = true;
+  it->second.established = true;
   connections_[it->second.conn].waiting.erase(e.call);
   jsonl::Message m = message("answer", it->second.id);
   m.description = e.description;
   out.send(it->second.conn, m.text());
 }
 
-void Platform::apply(const core::TurnDown& e, Outbox& out) {
+void Platform::apply(const core::RejectRequest& e, Outbox& out) {
   const auto it = calls_.find(e.call);
   if (it == calls_.end()) return;
-  counters_.add(e.refused ? "platform.refusals" : "platform.failures");
-  const bool gapped = e.why == core::Why::gapped;
+  counters_.add(e.rejected ? "platform.refusals" : "platform.failures");
+  const bool gapped = e.reason == core::RejectReason::gapped;
   jsonl::Message m =
-      message("release", it->second.id, gapped ? e.treatment.cause : cause_of(e.refused, e.why));
+      message("release", it->second.id, gapped ? e.treatment.cause : cause_of(e.rejected, e.reason));
   if (!e.treatment.words.empty()) m.fields.emplace("reason", e.treatment.words);
-  if (e.wait > Duration{}) {
-    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(e.wait).count();
+  if (e.retry_after > Duration{}) {
+    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(e.retry_after).count();
     m.fields.emplace("wait", std::to_string(ms));
   }
   out.send(it->second.conn, m.text());
@@ -308,34 +313,36 @@
   counters_.add("platform.releases_out");
   const Call call = it->second;
   forget(e.call);
-  tell(now, call.conn, call.id, message("release", call.id, e.cause).text(), out);
+  send_release(now, call.conn, call.id, message("release", call.id, e.cause).text(), out);
 }
 
-void Platform::apply(Time now, const core::PassOnRelease& e, Outbox& out) {
+void Platform::apply(Time now, const core::ForwardRelease& e, Outbox& out) {
   counters_.add("platform.releases_passed_on");
-  tell(now, {}, e.label, message("release", e.label, e.cause).text(), out);
+  send_release(now, {}, e.correlation_id, message("release", e.correlation_id, e.cause).text(), out);
 }
 
 // What ends a call may go to the callers on any connection: on its own, else another, else the next.
-void Platform::tell(Time now, net::ConnId preferred, const std::string& id, std::string line, Outbox& out) {
+void Platform::send_release(Time now, net::ConnId preferred, const std::string& id, std::string line,
+                            Outbox& out) {
   const auto hears = [](const auto& c) { return !c.second.peer_closed; };
   auto it = connections_.find(preferred);
   if (it == connections_.end() || !hears(*it)) it = std::ranges::find_if(connections_, hears);
   if (it == connections_.end()) {
-    if (homeless_.size() < kMostHomeless) homeless_.emplace_back(id, std::move(line));
+    if (unassigned_releases_.size() < kMaxUnassignedReleases)
+      unassigned_releases_.emplace_back(id, std::move(line));
     return;
   }
   out.send(it->first, line);
-  it->second.told.insert_or_assign(id, Told{std::move(line), now});
+  it->second.unconfirmed_releases.insert_or_assign(id, PendingRelease{std::move(line), now});
 }
 
-void Platform::end_by_caller(CallId call, int cause, Outbox& out) {
-  const bool stood = calls_.at(call).stands;
+void Platform::release_by_caller(CallId call, int cause, Outbox& out) {
+  const bool stood = calls_.at(call).established;
   forget(call);
   if (stood) {
-    out.tell(core::CallerReleased{call, cause});
+    out.notify_broker(core::CallerReleased{call, cause});
   } else {
-    out.tell(core::CallerGaveUp{call});
+    out.notify_broker(core::RequestCancelled{call});
   }
 }
 
--- a/src/front/platform.h
+++ b/src/front/platform.h
@@ -11,7 +11,7 @@
 
 #include "core/classes.h"
 #include "core/counters.h"
-#include "front/keeper.h"
+#include "front/connection_reaper.h"
 #include "net/outbox.h"
 #include "proto/jsonl.h"
 
@@ -19,7 +19,7 @@
 
 struct PlatformFrontSettings {
   std::shared_ptr<const core::Classes> classes{};
-  std::size_t most_connections{};
+  std::size_t max_connections{};
 };
 
 class Platform {
@@ -27,7 +27,7 @@
   Platform(PlatformFrontSettings settings, Counters& counters)
       : settings_(std::move(settings)),
         counters_(counters),
-        keeper_(settings_.most_connections, kIdle, true) {}
+        reaper_(settings_.max_connections, kIdle, true) {}
 
   void start(Time now, Outbox& out) const;
   void on(Time now, const net::Accepted& e, Outbox& out);
@@ -37,62 +37,65 @@
   void on(Time now, const net::TimerFired& e, Outbox& out);
   void ready(bool ready) { ready_ = ready; }
   // New requests are of these classes from now on.
-  void retune(std::shared_ptr<const core::Classes> classes) { settings_.classes = std::move(classes); }
+  void replace_classes(std::shared_ptr<const core::Classes> classes) {
+    settings_.classes = std::move(classes);
+  }
   // Another process takes the callers from now on: each connection is closed once nothing is open on it.
-  void hand_on(Outbox& out);
+  void hand_over(Outbox& out);
   std::size_t connected() const { return connections_.size(); }
 
-  void apply(const core::Serve& e, Outbox& out);
-  void apply(const core::TurnDown& e, Outbox& out);
+  void apply(const core::AnswerCaller& e, Outbox& out);
+  void apply(const core::RejectRequest& e, Outbox& out);
   void apply(Time now, const core::ReleaseCaller& e, Outbox& out);
-  void apply(Time now, const core::PassOnRelease& e, Outbox& out);
+  void apply(Time now, const core::ForwardRelease& e, Outbox& out);
 
  private:
   struct Call {
     std::string id;
     net::ConnId conn;
-    std::string set_up;  // what it asked for: tells one sent again from another under its id
-    bool stands = false;
+    std::string identity;  // what it asked for: tells one sent again from another under its id
+    bool established = false;
   };
-  struct Told {
+  struct PendingRelease {
     std::string line;
-    Time at;
+    Time sent_at;
   };
   struct Connection {
-    std::set<CallId> waiting;          // set-ups without an answer
-    std::map<std::string, Told> told;  // releases that were not heard yet, by id
-    bool peer_closed = false;          // its caller has gone: no set-up on it is owed an answer
+    std::set<CallId> waiting;                                    // set-ups without an answer
+    std::map<std::string, PendingRelease> unconfirmed_releases;  // releases that were not heard yet, by id
+    bool peer_closed = false;  // its caller has gone: no set-up on it is owed an answer
   };
   // Callers close an idle connection after 4 s; one that keeps it for good is not waited for longer than
   // this.
   static constexpr Duration kIdle = std::chrono::seconds(15);
 
-  void take(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
-  void set_up(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
+  void handle_message(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
+  void handle_setup(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
   std::string read_request(Time now, const jsonl::Message& m, core::Request& request) const;
-  void refuse_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
+  void reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
                         Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
-  void close_quiet(Outbox& out);
+  void close_idle(Outbox& out);
   void make_room(Time now, Outbox& out);
-  void give_up_waiting(Connection& c, Outbox& out);
+  void cancel_waiting(Connection& c, Outbox& out);
   void answer_waiting(net::ConnId conn, Connection& c, Outbox& out);
   bool is_busy(net::ConnId conn) const;
-  void tell(Time now, net::ConnId preferred, const std::string& id, std::string line, Outbox& out);
-  void end_by_caller(CallId call, int cause, Outbox& out);
+  void send_release(Time now, net::ConnId preferred, const std::string& id, std::string line, Outbox& out);
+  void release_by_caller(CallId call, int cause, Outbox& out);
   void forget(CallId call);
 
   PlatformFrontSettings settings_;
   Counters& counters_;
-  Keeper keeper_;
-  SeldomWarning refused_;
+  ConnectionReaper reaper_;
+  RateLimitedWarning malformed_warning_;
   std::map<net::ConnId, Connection> connections_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> by_id_;
-  std::deque<std::pair<std::string, std::string>> homeless_;  // releases that no connection could take
+  std::deque<std::pair<std::string, std::string>>
+      unassigned_releases_;  // releases that no connection could take
   std::uint64_t last_ = 0;
   bool ready_ = false;
-  bool handed_on_ = false;
+  bool handed_over_ = false;
 };
 
 }  // namespace graniterun::front
