--- a/src/front/sip.cpp
+++ b/src/front/sip.cpp
@@ -11,10 +11,10 @@
 using namespace std::chrono_literals;
 
 constexpr std::string_view kAllow = "INVITE, ACK, CANCEL, BYE, OPTIONS, SUBSCRIBE, NOTIFY";
-constexpr std::size_t kMostCalls = 20000;
+constexpr std::size_t kMaxCalls = 20000;
 constexpr Duration kNotReady = 2s;
-constexpr Duration kLook = 200ms;
-constexpr std::uint64_t kLookTimer = ~std::uint64_t{0} >> 2;  // apart from those of the transactions
+constexpr Duration kReapInterval = 200ms;
+constexpr std::uint64_t kReapTimer = ~std::uint64_t{0} >> 2;  // apart from those of the transactions
 
 const char* const kOthersKnown[] = {"REGISTER", "MESSAGE", "INFO", "PRACK", "UPDATE", "REFER", "PUBLISH"};
 
@@ -70,7 +70,7 @@
 sip::Flow note_source(const sip::Flow& flow, sip::Message& m) {
   sip::Flow back = flow;
   for (auto& [name, value] : m.headers) {
-    if (!sip::same_word(name, "Via")) continue;
+    if (!sip::equals_ignore_case(name, "Via")) continue;
     const std::string_view first = std::string_view(value).substr(0, value.find(','));
     const std::size_t space = first.find_first_of(" \t");
     const std::string by(sip::trim(first.substr(space == std::string_view::npos ? first.size() : space)));
@@ -102,15 +102,15 @@
 Sip::Sip(SipFrontSettings settings, Counters& counters)
     : settings_(std::move(settings)),
       counters_(counters),
-      keeper_(settings_.most_connections, std::nullopt, true),
+      reaper_(settings_.max_connections, std::nullopt, true),
       transport_(net::Concern::sip, counters),
       transactions_(net::Concern::sip, transport_, counters),
       load_control_({settings_.udp, settings_.tcp, settings_.load_control_from, settings_.seed},
                     transactions_, counters),
-      words_(settings_.seed) {}
+      ids_(settings_.seed) {}
 
 void Sip::start(Time now, Outbox& out) const {
-  if (settings_.tcp || settings_.udp) out.arm(net::Concern::sip, kLookTimer, now + kLook);
+  if (settings_.tcp || settings_.udp) out.arm(net::Concern::sip, kReapTimer, now + kReapInterval);
   if (settings_.udp) out.net.push_back(net::Bind{net::Concern::sip, *settings_.udp});
   if (settings_.tcp) out.net.push_back(net::Listen{net::Concern::sip, *settings_.tcp});
 }
@@ -120,7 +120,7 @@
 void Sip::on(Time now, const net::Accepted& e, Outbox& out) {
   counters_.add("sip.connections");
   transport_.accepted(e.conn.number);
-  keeper_.accepted(now, e.conn);
+  reaper_.accepted(now, e.conn);
   make_room(now, out);
 }
 
@@ -132,31 +132,31 @@
     });
   };
   std::vector<net::ConnId> going;
-  for (const Keeper::Due& due : keeper_.due(now, busy)) going.push_back(due.conn);
-  for (const net::ConnId conn : keeper_.too_many(now, busy)) going.push_back(conn);
+  for (const ConnectionReaper::Expired& due : reaper_.expired(now, busy)) going.push_back(due.conn);
+  for (const net::ConnId conn : reaper_.excess_connections(now, busy)) going.push_back(conn);
   for (const net::ConnId conn : going) {
     counters_.add("sip.closed_for_room");
-    keeper_.closed(conn);
+    reaper_.closed(conn);
     transport_.close(conn.number, out);
   }
 }
 void Sip::on(Time, const net::Connected& e, Outbox& out) { transport_.connected(e.conn.number, out); }
 void Sip::on(Time, const net::ConnectFailed& e, Outbox&) { transport_.connect_failed(e.conn.number); }
 void Sip::on(Time now, const net::Closed& e, Outbox& out) {
-  keeper_.closed(e.conn);
+  reaper_.closed(e.conn);
   transport_.closed(e.conn.number);
   closed_by_peer_.erase(e.conn.number);
-  give_up_unanswered(now, e.conn.number, out);
+  cancel_unanswered(now, e.conn.number, out);
 }
 
 void Sip::on(Time now, const net::PeerClosed& e, Outbox& out) {
   closed_by_peer_.insert(e.conn.number);
-  give_up_unanswered(now, e.conn.number, out);
+  cancel_unanswered(now, e.conn.number, out);
 }
 
 // A caller that closes the stream of an INVITE has gone, as one that cancels: no attempt is to begin for it.
 // The INVITE is ended as after a CANCEL, by another connection where RFC 3261 (18.2.2) knows of one.
-void Sip::give_up_unanswered(Time now, std::uint32_t conn, Outbox& out) {
+void Sip::cancel_unanswered(Time now, std::uint32_t conn, Outbox& out) {
   std::vector<CallId> left;
   for (const auto& [id, call] : calls_) {
     const sip::Flow& flow = call.dialog.flow;
@@ -165,89 +165,91 @@
   std::ranges::sort(left);
   for (const CallId id : left) {
     counters_.add("sip.callers_gone");
-    refuse(now, calls_.at(id).invite, 487, out);
-    out.tell(core::CallerGaveUp{id});
+    reject(now, calls_.at(id).invite, 487, out);
+    out.notify_broker(core::RequestCancelled{id});
     forget(id);
   }
 }
 
 void Sip::on(Time now, const net::Received& e, Outbox& out) {
   std::vector<sip::Incoming> all = transport_.received(e, out);
-  keeper_.heard(now, e.conn, !all.empty(), transport_.half(e.conn.number));
-  for (sip::Incoming& incoming : all) take(now, std::move(incoming), out);
+  reaper_.record_input(now, e.conn, !all.empty(), transport_.half(e.conn.number));
+  for (sip::Incoming& incoming : all) handle_incoming(now, std::move(incoming), out);
 }
 
-void Sip::on(Time now, const net::Datagram& e, Outbox& out) { take(now, transport_.datagram(e), out); }
+void Sip::on(Time now, const net::Datagram& e, Outbox& out) {
+  handle_incoming(now, transport_.datagram(e), out);
+}
 
-void Sip::take(Time now, sip::Incoming incoming, Outbox& out) {
+void Sip::handle_incoming(Time now, sip::Incoming incoming, Outbox& out) {
   if (incoming.read.state == sip::ReadState::more) return;
   counters_.add("sip.messages_in");
   sip::Message& m = incoming.read.message;
   if (incoming.read.state == sip::ReadState::message) {
     if (std::string trouble = missing_header(m); !trouble.empty()) {
       incoming.read.state = sip::ReadState::malformed;
-      incoming.read.trouble = std::move(trouble);
+      incoming.read.error = std::move(trouble);
     }
   }
-  if (incoming.read.state == sip::ReadState::malformed) return refuse_malformed(now, incoming, out);
+  if (incoming.read.state == sip::ReadState::malformed) return reject_malformed(now, incoming, out);
   if (m.is_request()) {
     const sip::Flow flow = note_source(incoming.flow, m);
-    return take_request(now, flow, m, out);
+    return handle_request(now, flow, m, out);
   }
   // To our BYE: nothing follows from it.
-  if (const std::string key = transactions_.take_answer(now, m, out); !key.empty())
+  if (const std::string key = transactions_.receive_response(now, m, out); !key.empty())
     load_control_.answered(now, key, m, out);
 }
 
 // 400 where the transaction can be read; else a stream is closed and a datagram dropped.
-void Sip::refuse_malformed(Time now, const sip::Incoming& incoming, Outbox& out) {
+void Sip::reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out) {
   counters_.add("sip.malformed");
-  refused_.line(now, "a SIP message is refused: " + incoming.read.trouble, out);
+  malformed_warning_.line(now, "a SIP message is refused: " + incoming.read.error, out);
   sip::Message m = incoming.read.message;
   const bool answerable = m.is_request() && !m.method.empty() && m.method != "ACK" &&
                           !m.header("Via").empty() && !m.header("Call-ID").empty() &&
                           !m.header("CSeq").empty();
   if (answerable) {
     const sip::Flow flow = note_source(incoming.flow, m);
-    sip::Message refusal = sip::answer_to(m, 400, sip::phrase_of(400), words_.next());
-    refusal.add("Warning", "399 graniterun \"" + incoming.read.trouble + "\"");
+    sip::Message refusal = sip::answer_to(m, 400, sip::phrase_of(400), ids_.next());
+    refusal.add("Warning", "399 graniterun \"" + incoming.read.error + "\"");
     transport_.send(flow, refusal.text(), out);
   }
-  if (incoming.flow.reliable && (incoming.read.lost || !answerable)) {
-    keeper_.closed({net::Concern::sip, incoming.flow.conn});
+  if (incoming.flow.reliable && (incoming.read.unrecoverable || !answerable)) {
+    reaper_.closed({net::Concern::sip, incoming.flow.conn});
     transport_.close(incoming.flow.conn, out);
   }
 }
 
-void Sip::take_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out) {
+void Sip::handle_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out) {
   std::string key;
-  switch (transactions_.take_request(now, flow, m, key, out)) {
-    case sip::Transactions::Taken::absorbed:
+  switch (transactions_.receive_request(now, flow, m, key, out)) {
+    case sip::Transactions::RequestKind::absorbed:
       return;
-    case sip::Transactions::Taken::ack:
+    case sip::Transactions::RequestKind::ack:
       return ack(now, m, out);
-    case sip::Transactions::Taken::fresh:
+    case sip::Transactions::RequestKind::initial:
       break;
   }
   if (m.method == "CANCEL") return cancel(now, key, m, out);
-  if (m.header("Max-Forwards") == "0" && m.method != "OPTIONS") return refuse(now, key, 483, out);
+  if (m.header("Max-Forwards") == "0" && m.method != "OPTIONS") return reject(now, key, 483, out);
   const bool in_dialog = !sip::parameter(m.header("To"), "tag").empty();
   if (const std::string_view required = m.header("Require"); !required.empty()) {
-    sip::Message refusal = sip::answer_to(m, 420, sip::phrase_of(420), words_.next());
+    sip::Message refusal = sip::answer_to(m, 420, sip::phrase_of(420), ids_.next());
     refusal.add("Unsupported", std::string(required));
     return transactions_.respond(now, key, refusal, out);
   }
   if (m.method == "INVITE") {
     if (!in_dialog) return invite(now, key, flow, m, out);
     Call* call = find(dialog_of(m));
-    return call == nullptr ? refuse(now, key, 481, out) : reinvite(now, key, *call, m, out);
+    return call == nullptr ? reject(now, key, 481, out) : reinvite(now, key, *call, m, out);
   }
   if (m.method == "BYE") return bye(now, key, m, out);
   if (m.method == "SUBSCRIBE") return load_control_.subscribed(now, key, flow, m, out);
   if (m.method == "NOTIFY") return load_control_.notified(now, key, m, out);
   if (m.method == "OPTIONS") {
     sip::Message answer =
-        sip::answer_to(m, ready_ ? 200 : 503, sip::phrase_of(ready_ ? 200 : 503), words_.next());
+        sip::answer_to(m, ready_ ? 200 : 503, sip::phrase_of(ready_ ? 200 : 503), ids_.next());
     answer.add("Allow", std::string(kAllow));
     answer.add("Accept", "application/sdp");
     if (!ready_) answer.add("Retry-After", retry_after(kNotReady));
@@ -256,13 +258,13 @@
   const bool known = std::any_of(std::begin(kOthersKnown), std::end(kOthersKnown),
                                  [&](const char* name) { return m.method == name; });
   counters_.add("sip.unknown_methods");
-  refuse(now, key, known ? 405 : 501, out);
+  reject(now, key, known ? 405 : 501, out);
 }
 
-void Sip::refuse(Time now, const std::string& key, int status, Outbox& out, std::string warning) {
+void Sip::reject(Time now, const std::string& key, int status, Outbox& out, std::string warning) {
   const sip::Message* request = transactions_.request_of(key);
   if (request == nullptr) return;
-  sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), words_.next());
+  sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), ids_.next());
   if (status == 405 || status == 501) m.add("Allow", std::string(kAllow));
   if (!warning.empty()) m.add("Warning", "399 graniterun \"" + warning + "\"");
   transactions_.respond(now, key, m, out);
@@ -274,7 +276,7 @@
                  Outbox& out) {
   counters_.add("sip.invites");
   while (!merged_order_.empty() &&
-         (now - merged_order_.front().first > 2 * sip::k64T1 || merged_order_.size() >= kMostCalls)) {
+         (now - merged_order_.front().first > 2 * sip::k64T1 || merged_order_.size() >= kMaxCalls)) {
     merged_.erase(merged_order_.front().second);
     merged_order_.pop_front();
   }
@@ -282,18 +284,18 @@
   const std::string merge = merge_key(m);
   if (!merged_.emplace(merge, key).second) {
     counters_.add("sip.merged");
-    return refuse(now, key, 482, out);
+    return reject(now, key, 482, out);
   }
   merged_order_.emplace_back(now, merge);
 
-  if (flow.reliable && closed_by_peer_.contains(flow.conn)) return refuse(now, key, 487, out);
+  if (flow.reliable && closed_by_peer_.contains(flow.conn)) return reject(now, key, 487, out);
   core::Request request;
   if (std::string trouble = read_request(now, m, request); !trouble.empty()) {
     counters_.add("sip.malformed");
-    return refuse(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, std::move(trouble));
+    return reject(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, std::move(trouble));
   }
-  if (calls_.size() >= kMostCalls) {
-    sip::Message busy = sip::answer_to(m, 503, sip::phrase_of(503), words_.next());
+  if (calls_.size() >= kMaxCalls) {
+    sip::Message busy = sip::answer_to(m, 503, sip::phrase_of(503), ids_.next());
     busy.add("Retry-After", retry_after(kNotReady));
     return transactions_.respond(now, key, busy, out);
   }
@@ -302,7 +304,7 @@
   call.invite = key;
   call.offer = m.body;
   Dialog& d = call.dialog;
-  const std::string tag = words_.next();
+  const std::string tag = ids_.next();
   d.call_id = m.header("Call-ID");
   d.local = std::string(m.header("To")).append(";tag=").append(tag);
   d.remote = m.header("From");
@@ -315,7 +317,7 @@
   by_invite_.emplace(key, request.call);
   calls_.emplace(request.call, std::move(call));
   transactions_.respond(now, key, sip::answer_to(m, 100, sip::phrase_of(100), {}), out);
-  out.tell(core::RequestCame{std::move(request)});
+  out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
 std::string Sip::read_request(Time now, const sip::Message& m, core::Request& r) {
@@ -324,15 +326,15 @@
   if (r.number_text.empty()) return "the URI names no number";
   r.number = Number{jsonl::number_of_hex(r.number_text).value_or(hash(r.number_text))};
   const core::Classes& classes = *settings_.classes;
-  const bool emergency = sip::same_word(m.header("Priority"), "emergency");
-  const core::NamedClass* call_class = emergency ? &classes.worth_most() : &classes.worth_least();
+  const bool emergency = sip::equals_ignore_case(m.header("Priority"), "emergency");
+  const core::NamedClass* call_class = emergency ? &classes.highest_weight() : &classes.lowest_weight();
   if (const std::string_view name = m.header("Priority-Class"); !name.empty()) {
     call_class = classes.find(name);
     if (call_class == nullptr) return "Priority-Class names no class";
   }
   r.call_class = call_class->place;
   r.class_name = call_class->name;
-  r.deadline = now + call_class->terms.patience;
+  r.deadline = now + call_class->terms.caller_timeout;
   const std::string_view ms = m.header("Expires-Ms");
   if (const std::string_view expires = ms.empty() ? m.header("Expires") : ms; !expires.empty()) {
     const auto value = whole_number(expires);
@@ -343,7 +345,7 @@
   }
   r.team = sip::host_of(sip::uri_in(m.header("From")));
   r.team = r.team.substr(0, r.team.find(':'));
-  r.label = words_.next();
+  r.correlation_id = ids_.next();
   r.description = m.body;
   return {};
 }
@@ -353,12 +355,12 @@
 void Sip::reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out) {
   counters_.add("sip.reinvites");
   const std::uint32_t number = sip::cseq_of(m)->number;
-  if (number < call.dialog.remote_cseq) return refuse(now, key, 500, out, "CSeq goes backwards");
-  if (!call.answered || !call.acknowledged || !call.reinvite.empty()) return refuse(now, key, 491, out);
+  if (number < call.dialog.remote_cseq) return reject(now, key, 500, out, "CSeq goes backwards");
+  if (!call.answered || !call.acknowledged || !call.reinvite.empty()) return reject(now, key, 491, out);
   call.dialog.remote_cseq = number;
   // The session at the setup server is what it was answered with: a refresh is accepted, a change is not.
   if (!m.body.empty() && m.body != call.offer)
-    return refuse(now, key, 488, out, "the session can't be changed");
+    return reject(now, key, 488, out, "the session can't be changed");
   if (const std::string_view contact = m.header("Contact"); !contact.empty())
     call.dialog.target = sip::uri_in(contact);
   call.reinvite = key;
@@ -378,7 +380,7 @@
   if (std::exchange(call->acknowledged, true)) return;
   counters_.add("sip.acks");
   transactions_.acknowledged(now, call->invite, out);
-  if (call->over_when_acknowledged) {
+  if (call->bye_after_ack) {
     send_bye(now, *call, call->cause, out);
     forget(dialog_of(m));
   }
@@ -387,44 +389,44 @@
 void Sip::bye(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
   const CallId id = dialog_of(m);
   const Call* call = find(id);
-  if (call == nullptr) return refuse(now, key, 481, out);
+  if (call == nullptr) return reject(now, key, 481, out);
   counters_.add("sip.byes_in");
-  refuse(now, key, 200, out);
+  reject(now, key, 200, out);
   if (!call->answered) {
     // A BYE before the answer ends the call like a CANCEL (§15.1.2).
-    refuse(now, call->invite, 487, out);
-    out.tell(core::CallerGaveUp{id});
+    reject(now, call->invite, 487, out);
+    out.notify_broker(core::RequestCancelled{id});
   } else {
     transactions_.acknowledged(now, call->invite, out);
-    if (!call->over_when_acknowledged) out.tell(core::CallerReleased{id, 16});
+    if (!call->bye_after_ack) out.notify_broker(core::CallerReleased{id, 16});
   }
   forget(id);
 }
 
 void Sip::cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
   const std::string invite = transactions_.cancelled_by(m);
-  if (invite.empty()) return refuse(now, key, 481, out);
+  if (invite.empty()) return reject(now, key, 481, out);
   counters_.add("sip.cancels_in");
-  refuse(now, key, 200, out);
+  reject(now, key, 200, out);
   // One that crosses our final answer changes nothing: the caller acknowledges that and says BYE.
   if (transactions_.has_final(invite)) return;
-  refuse(now, invite, 487, out);
+  reject(now, invite, 487, out);
   const auto it = by_invite_.find(invite);
   if (it == by_invite_.end()) return;
   const CallId id = it->second;
-  out.tell(core::CallerGaveUp{id});
+  out.notify_broker(core::RequestCancelled{id});
   forget(id);
 }
 
 void Sip::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.number == kLookTimer) {
-    out.arm(net::Concern::sip, kLookTimer, now + kLook);
+  if (e.key.number == kReapTimer) {
+    out.arm(net::Concern::sip, kReapTimer, now + kReapInterval);
     load_control_.tick(now, out);
     return make_room(now, out);
   }
-  for (const sip::Lapse& lapse : transactions_.fired(now, e.key.number, out)) {
-    if (lapse.what == sip::Lapse::What::no_answer) load_control_.unanswered(now, lapse.key);
-    if (lapse.what != sip::Lapse::What::no_ack) continue;
+  for (const sip::TimerExpiry& lapse : transactions_.fired(now, e.key.number, out)) {
+    if (lapse.what == sip::TimerExpiry::What::no_answer) load_control_.unanswered(now, lapse.key);
+    if (lapse.what != sip::TimerExpiry::What::no_ack) continue;
     const auto it = by_invite_.find(lapse.key);
     if (it == by_invite_.end()) continue;
     Call* call = find(it->second);
@@ -433,7 +435,7 @@
     counters_.add("sip.acks_missing");
     const CallId id = it->second;
     send_bye(now, *call, 102, out);
-    if (!call->over_when_acknowledged) out.tell(core::CallerReleased{id, 102});
+    if (!call->bye_after_ack) out.notify_broker(core::CallerReleased{id, 102});
     forget(id);
   }
 }
@@ -451,7 +453,7 @@
   return m;
 }
 
-void Sip::apply(Time now, const core::Serve& e, Outbox& out) {
+void Sip::apply(Time now, const core::AnswerCaller& e, Outbox& out) {
   Call* call = find(e.call);
   if (call == nullptr) return;
   counters_.add("sip.answers");
@@ -461,19 +463,19 @@
   if (request != nullptr) transactions_.respond(now, call->invite, accept(*call, *request), out);
 }
 
-void Sip::apply(Time now, const core::TurnDown& e, Outbox& out) {
+void Sip::apply(Time now, const core::RejectRequest& e, Outbox& out) {
   const Call* call = find(e.call);
   if (call == nullptr) return;
-  counters_.add(e.refused ? "sip.refusals" : "sip.failures");
+  counters_.add(e.rejected ? "sip.refusals" : "sip.failures");
   int status = 500;
-  if (e.refused) status = 503;
-  if (e.why == core::Why::number_busy) status = 486;
-  if (e.why == core::Why::overdue) status = 480;  // 408 may not carry Retry-After
+  if (e.rejected) status = 503;
+  if (e.reason == core::RejectReason::number_busy) status = 486;
+  if (e.reason == core::RejectReason::deadline_exceeded) status = 480;  // 408 may not carry Retry-After
   if (const sip::Message* request = transactions_.request_of(call->invite)) {
     const std::string_view tag = sip::parameter(call->dialog.local, "tag");
     sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), tag);
-    if (e.wait > Duration{} || status == 503) m.add("Retry-After", retry_after(e.wait));
-    if (e.why == core::Why::gapped) m.add("Reason", reason(e.treatment));
+    if (e.retry_after > Duration{} || status == 503) m.add("Retry-After", retry_after(e.retry_after));
+    if (e.reason == core::RejectReason::gapped) m.add("Reason", reason(e.treatment));
     transactions_.respond(now, call->invite, m, out);
   }
   forget(e.call);
@@ -484,7 +486,7 @@
   if (call == nullptr) return;
   counters_.add("sip.releases_out");
   if (!call->acknowledged) {  // §15: no BYE before the ACK
-    call->over_when_acknowledged = true;
+    call->bye_after_ack = true;
     call->cause = e.cause;
     return;
   }
@@ -498,7 +500,7 @@
   m.method = "BYE";
   m.uri = d.target;
   m.add("Via", std::string(d.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + address(d.flow) +
-                   ";branch=" + std::string(sip::kCookie) + words_.next());
+                   ";branch=" + std::string(sip::kCookie) + ids_.next());
   m.add("Max-Forwards", "70");
   for (const std::string& route : d.routes) m.add("Route", route);
   m.add("From", d.local);
--- a/src/front/sip.h
+++ b/src/front/sip.h
@@ -12,8 +12,8 @@
 #include "config/config.h"
 #include "core/classes.h"
 #include "core/counters.h"
-#include "core/words.h"
-#include "front/keeper.h"
+#include "core/random_id.h"
+#include "front/connection_reaper.h"
 #include "front/load_control.h"
 #include "net/outbox.h"
 #include "sip/transactions.h"
@@ -27,7 +27,7 @@
   // class worth most, those that name none of the one worth least.
   std::shared_ptr<const core::Classes> classes{};
   std::uint64_t seed{};
-  std::size_t most_connections{64};
+  std::size_t max_connections{64};
   std::vector<std::string> load_control_from{};  // neighbours whose load control is asked for
 };
 
@@ -45,12 +45,14 @@
   void on(Time now, const net::Datagram& e, Outbox& out);
   void on(Time now, const net::TimerFired& e, Outbox& out);
   void ready(bool ready) { ready_ = ready; }
-  void retune(std::shared_ptr<const core::Classes> classes) { settings_.classes = std::move(classes); }
+  void replace_classes(std::shared_ptr<const core::Classes> classes) {
+    settings_.classes = std::move(classes);
+  }
   // Where gaps can be announced: neighbours are told of them, and may ask for some.
   void share_gaps(GapSource source) { load_control_.source(std::move(source)); }
 
-  void apply(Time now, const core::Serve& e, Outbox& out);
-  void apply(Time now, const core::TurnDown& e, Outbox& out);
+  void apply(Time now, const core::AnswerCaller& e, Outbox& out);
+  void apply(Time now, const core::RejectRequest& e, Outbox& out);
   void apply(Time now, const core::ReleaseCaller& e, Outbox& out);
 
  private:
@@ -69,24 +71,24 @@
     Dialog dialog{};
     bool answered = false;
     bool acknowledged = false;
-    bool over_when_acknowledged = false;  // released before the ACK came
+    bool bye_after_ack = false;  // released before the ACK came
     int cause{16};
     std::string offer{};
     std::string description{};
     std::string reinvite{};  // key of a re-INVITE that waits for its ACK
   };
 
-  void take(Time now, sip::Incoming incoming, Outbox& out);
-  void take_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out);
+  void handle_incoming(Time now, sip::Incoming incoming, Outbox& out);
+  void handle_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out);
   void invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m, Outbox& out);
   void reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out);
   void ack(Time now, const sip::Message& m, Outbox& out);
   void bye(Time now, const std::string& key, const sip::Message& m, Outbox& out);
   void cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  void refuse(Time now, const std::string& key, int status, Outbox& out, std::string warning = {});
-  void refuse_malformed(Time now, const sip::Incoming& incoming, Outbox& out);
+  void reject(Time now, const std::string& key, int status, Outbox& out, std::string warning = {});
+  void reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out);
   void make_room(Time now, Outbox& out);
-  void give_up_unanswered(Time now, std::uint32_t conn, Outbox& out);
+  void cancel_unanswered(Time now, std::uint32_t conn, Outbox& out);
   std::string read_request(Time now, const sip::Message& m, core::Request& request);
   sip::Message accept(const Call& call, const sip::Message& request) const;
   void send_bye(Time now, Call& call, int cause, Outbox& out);
@@ -100,8 +102,8 @@
 
   SipFrontSettings settings_;
   Counters& counters_;
-  Keeper keeper_;
-  SeldomWarning refused_;
+  ConnectionReaper reaper_;
+  RateLimitedWarning malformed_warning_;
   sip::Transport transport_;
   sip::Transactions transactions_;
   LoadControl load_control_;
@@ -113,7 +115,7 @@
   std::deque<std::pair<Time, std::string>> merged_order_;
   std::set<std::uint32_t> closed_by_peer_;  // streams that are open on our side only
   std::uint64_t last_ = 0;
-  Words words_;
+  RandomIdGenerator ids_;
   bool ready_ = false;
 };
 
--- a/src/limits/gap_register.cpp
+++ b/src/limits/gap_register.cpp
@@ -122,7 +122,7 @@
 }
 
 void GapRegister::settle(Time now) {
-  while (const auto id = due_.take(now)) {
+  while (const auto id = due_.pop_due(now)) {
     Entry& entry = entries_.at(*id);
     const Announcement& a = entry.newest;
     const bool forget = a.made + kRemembered <= now;
--- a/src/limits/gap_register.h
+++ b/src/limits/gap_register.h
@@ -21,7 +21,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/due.h"
+#include "core/deadline_queue.h"
 #include "limits/gap.h"
 #include "limits/heirs.h"
 #include "limits/slots.h"
@@ -152,7 +152,7 @@
   const Heirs* heirs_ = nullptr;
   std::mt19937_64 random_;
   std::unordered_map<std::string, Entry> entries_;
-  Due<std::string> due_;  // starts, ends, and what may be forgotten
+  DeadlineQueue<std::string> due_;  // starts, ends, and what may be forgotten
   Index by_number_;
   Index by_prefix_;
   std::vector<Active*> by_class_;  // for classes alone
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -110,7 +110,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  net::hold_signals();
+  net::block_signals();
   try {
     return run(argc, argv);
   } catch (const std::exception& trouble) {
--- a/src/management/management.cpp
+++ b/src/management/management.cpp
@@ -7,11 +7,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kLook = 100ms;
+constexpr Duration kReapInterval = 100ms;
 // Who has said nothing whole for so long is told so and closed.
-constexpr Duration kLineWithin = 2s;
+constexpr Duration kLineTimeout = 2s;
 // Of those that wait for a line no more are kept: the rest of the bound is for answers on their way out.
-constexpr std::size_t kMostWaiting = kMostConnections / 2;
+constexpr std::size_t kMaxWaiting = kMaxConnections / 2;
 
 bool is_plain(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
@@ -22,14 +22,14 @@
 void Management::start(Time now, Outbox& out) const {
   if (listen_.empty()) return;
   // The calls of the service go before those of its operators: it runs on without them.
-  out.net.push_back(net::Listen{net::Concern::management, listen_, {}, kMostConnections, false});
-  out.arm(net::Concern::management, 0, now + kLook);
+  out.net.push_back(net::Listen{net::Concern::management, listen_, {}, kMaxConnections, false});
+  out.arm(net::Concern::management, 0, now + kReapInterval);
 }
 
 void Management::on(Time now, const net::Accepted& e, Outbox& out) {
   counters_.add("management.connections");
   waiting_.push_back({e.conn, now});
-  if (waiting_.size() <= kMostWaiting) return;
+  if (waiting_.size() <= kMaxWaiting) return;
   counters_.add("management.dropped_for_room");
   out.drop(waiting_.front().conn);
   waiting_.pop_front();
@@ -61,8 +61,8 @@
 void Management::on(Time, const net::Closed& e, Outbox&) { forget(e.conn); }
 
 void Management::on(Time now, const net::TimerFired&, Outbox& out) {
-  out.arm(net::Concern::management, 0, now + kLook);
-  while (!waiting_.empty() && now - waiting_.front().since > kLineWithin) {
+  out.arm(net::Concern::management, 0, now + kReapInterval);
+  while (!waiting_.empty() && now - waiting_.front().since > kLineTimeout) {
     counters_.add("management.closed_silent");
     reply(waiting_.front().conn, "ERR no whole line came within 2 s\n", out);
   }
--- a/src/management/management.h
+++ b/src/management/management.h
@@ -15,7 +15,7 @@
 namespace graniterun::management {
 
 // Connections that may be open at once, and stand beside those of callers and setup servers.
-constexpr std::size_t kMostConnections = 32;
+constexpr std::size_t kMaxConnections = 32;
 // A call's line is no longer than this, its end included.
 constexpr std::size_t kLineBound = 256;
 
--- a/src/management/telemetry.cpp
+++ b/src/management/telemetry.cpp
@@ -22,12 +22,12 @@
     text.append("gatekeeper.").append(name).append(":").append(std::to_string(value));
     text.append("|").append(1, type).append("\n");
   };
-  for (const auto& [name, tally] : f.tallies.by_class()) {
+  for (const auto& [name, tally] : f.metrics.by_class()) {
     line("ok." + safe(name), tally.served, 'c');
-    line("shed." + safe(name), tally.refused, 'c');
+    line("shed." + safe(name), tally.rejected, 'c');
     line("errors." + safe(name), tally.failed, 'c');
   }
-  line("tries", f.tries, 'c');
+  line("tries", f.attempts, 'c');
   line("active", f.active, 'g');
   line("pool_size", f.pool_size, 'g');
   line("pool_ejected", f.pool_ejected, 'g');
--- a/src/management/telemetry.h
+++ b/src/management/telemetry.h
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "core/tallies.h"
+#include "core/request_metrics.h"
 
 namespace graniterun::management {
 
 struct Figures {
-  const core::Tallies& tallies;
-  std::uint64_t tries{};            // attempts written whole to setup servers
+  const core::RequestMetrics& metrics;
+  std::uint64_t attempts{};         // attempts written whole to setup servers
   std::size_t active{};             // requests taken and not yet ended
   std::size_t pool_size{};          // setup servers in the list
   std::size_t pool_ejected{};       // of them, those that the decisions avoid now
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -886,20 +886,20 @@
     // Not before it has heard again what others hold.
     return;
   }
-  while (const auto name = suspects_.take(now)) {
+  while (const auto name = suspects_.pop_due(now)) {
     Peer* p = find(*name);
     if (p == nullptr || p->record.state != State::suspect) continue;
     Record dead = p->record;
     dead.state = State::dead;
     bury(now, *p, dead);
   }
-  while (const auto name = checks_.take(now)) {
+  while (const auto name = checks_.pop_due(now)) {
     Peer* p = find(*name);
     if (p == nullptr || !p->told_dead) continue;
     const Record dead = *p->told_dead;
     if (holds_over(dead, p->record)) bury(now, *p, dead);
   }
-  while (const auto name = gone_.take(now)) {
+  while (const auto name = gone_.pop_due(now)) {
     const auto it = peers_.find(*name);
     if (it == peers_.end() || it->second.record.member()) continue;
     if (it->second.faded) {
@@ -913,7 +913,7 @@
     gone_.set(*name, now + settings_.forget_after / 2);
   }
   // A refusal is looked at again: two make a death.
-  while (const auto name = refusals_.take(now)) {
+  while (const auto name = refusals_.pop_due(now)) {
     Peer* p = find(*name);
     if (p != nullptr && p->refused) ping(now, *p, Purpose::check);
   }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/due.h"
+#include "core/deadline_queue.h"
 #include "membership/message.h"
 #include "membership/rumours.h"
 #include "membership/suspicion.h"
@@ -294,11 +294,11 @@
   std::vector<std::string> ring_;  // the order of probing
   std::size_t ring_at_ = 0;
   Rumours rumours_;
-  Due<std::string> suspects_;   // when a suspicion ends
-  Due<std::string> refusals_;   // when a port that refused is asked again
-  Due<std::string> checks_;     // when a death that was told is believed
-  Due<std::string> gone_;       // when a record fades, then when it is forgotten
-  std::set<std::string> dead_;  // told of still: asked in turn whether they are back
+  DeadlineQueue<std::string> suspects_;  // when a suspicion ends
+  DeadlineQueue<std::string> refusals_;  // when a port that refused is asked again
+  DeadlineQueue<std::string> checks_;    // when a death that was told is believed
+  DeadlineQueue<std::string> gone_;      // when a record fades, then when it is forgotten
+  std::set<std::string> dead_;           // told of still: asked in turn whether they are back
   std::map<std::uint64_t, Asked> asked_;
   std::map<std::string, Time> strangers_;  // by address: when they were last asked who they are
   std::optional<Probe> probe_{};
--- a/src/net/counted.h
+++ b/src/net/counted.h
@@ -10,10 +10,10 @@
   all.add("net.bytes_in", c.bytes_in);
   all.add("net.bytes_out", c.bytes_out);
   all.add("net.accepted", c.accepted);
-  all.add("net.turned_away", c.turned_away);
-  all.add("net.held_at_the_door", c.held_at_the_door);
+  all.add("net.turned_away", c.rejected);
+  all.add("net.held_at_the_door", c.accept_paused);
   all.add("net.no_descriptor", c.no_descriptor);
-  all.add("net.recalled", c.recalled);
+  all.add("net.recalled", c.withdrawn);
   all.add("net.overflowed", c.overflowed);
   all.add("net.counted_written", c.counted_written);
   all.add("net.timers", c.timers);
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -18,15 +18,15 @@
   broker,
   platform,
   server,
-  journal,
+  discovery,
   sip,
   trunk,
   collector,
-  control,        // callers of the control listener
-  announced,      // gatekeepers that an announcer, or a command line, speaks to
-  management,     // operators' one-line calls
-  fleet,          // datagrams among gatekeepers
-  configuration,  // distributors of it
+  control,         // callers of the control listener
+  control_client,  // gatekeepers that an announcer, or a command line, speaks to
+  management,      // operators' one-line calls
+  fleet,           // datagrams among gatekeepers
+  configuration,   // distributors of it
   process
 };
 constexpr std::size_t kConcerns = static_cast<std::size_t>(Concern::process) + 1;
@@ -73,7 +73,7 @@
   ConnId conn;
 };
 // A Recall was in time: nothing of the message has been written, and nothing will be.
-struct Recalled {
+struct WriteWithdrawn {
   ConnId conn;
   std::uint64_t ticket{};
 };
@@ -97,18 +97,18 @@
 struct TimerFired {
   TimerKey key;
 };
-struct StopAsked {};      // SIGTERM
-struct CountersAsked {};  // SIGUSR1
-struct ReloadAsked {};    // SIGHUP
-struct FileRead {         // what ReadFile asked for; no text: it can't be read
+struct StopRequested {};      // SIGTERM
+struct CountersRequested {};  // SIGUSR1
+struct ReloadRequested {};    // SIGHUP
+struct FileRead {             // what ReadFile asked for; no text: it can't be read
   std::string path;
   std::optional<std::string> text;
 };
 struct Started {};
 
 using Event = std::variant<Started, Accepted, Connected, ConnectFailed, Received, Closed, PeerClosed,
-                           Recalled, Datagram, Unreachable, Bound, BindFailed, TimerFired, StopAsked,
-                           CountersAsked, ReloadAsked, FileRead>;
+                           WriteWithdrawn, Datagram, Unreachable, Bound, BindFailed, TimerFired,
+                           StopRequested, CountersRequested, ReloadRequested, FileRead>;
 
 // Whose event it is; none: the whole program's.
 inline std::optional<Concern> concern_of(const Event& event) {
@@ -128,8 +128,9 @@
   Concern concern{};
   std::string address;
   std::optional<int> inherited{};  // a listening socket that this process was started with, instead of an own
-  std::size_t apart = 0;  // so many connections of it stand beside the common limit; 0: all within the limit
-  bool needed = true;     // else the program goes on without it
+  std::size_t reserved_connections =
+      0;                 // so many connections of it stand beside the common limit; 0: all within the limit
+  bool required = true;  // else the program goes on without it
 };
 // Takes no more connections. What others do with the same socket goes on.
 struct StopListening {
@@ -149,7 +150,7 @@
 struct Connect {
   ConnId conn;
   std::string address;
-  Duration within{};
+  Duration timeout{};
 };
 struct Send {
   ConnId conn;
@@ -159,10 +160,10 @@
 };
 // Takes a message back of which nothing is written yet: Recalled comes. Where it is too late `otherwise` is
 // sent, if there is any.
-struct Recall {
+struct WithdrawSend {
   ConnId conn;
   std::uint64_t ticket{};
-  std::string otherwise;
+  std::string fallback;
 };
 struct SendDatagram {
   Concern concern{};
@@ -179,7 +180,7 @@
 struct Drop {  // at once, whatever can't be written now
   ConnId conn;
 };
-struct CloseQuiet {  // unless something has come that was not read yet: that is told first
+struct CloseIfIdle {  // unless something has come that was not read yet: that is told first
   ConnId conn;
   bool at_once = false;  // its descriptor is wanted: the other side's end is not awaited
 };
@@ -194,7 +195,7 @@
   std::string path;
   std::string text;
   // What comes after it in the step rests on it: where it can't be written the program ends at once, with 1.
-  bool needed = false;
+  bool required = false;
 };
 struct Log {
   Level level{};
@@ -208,13 +209,13 @@
   int status{};
 };
 // Unless something is left to write or has come and is not read yet, on any connection or as a new one.
-struct ExitIfQuiet {
+struct ExitIfIdle {
   int status{};
 };
 
 using Effect =
-    std::variant<Listen, StopListening, Bind, Unbind, Connect, Send, Recall, SendDatagram, Consume, Close,
-                 Drop, CloseQuiet, ArmTimer, ReadFile, WriteFile, Log, Print, Exit, ExitIfQuiet>;
+    std::variant<Listen, StopListening, Bind, Unbind, Connect, Send, WithdrawSend, SendDatagram, Consume,
+                 Close, Drop, CloseIfIdle, ArmTimer, ReadFile, WriteFile, Log, Print, Exit, ExitIfIdle>;
 using Effects = std::vector<Effect>;
 
 }  // namespace graniterun::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -10,14 +10,14 @@
 
 class Logger {
  public:
-  explicit Logger(Level least) : least_(least) {}
+  explicit Logger(Level least) : min_level_(least) {}
   void line(Level level, std::string_view text) const {
     constexpr std::string_view kNames[] = {"debug", "info", "warning", "error"};
-    if (level >= least_) std::cerr << kNames[static_cast<std::size_t>(level)] << ": " << text << '\n';
+    if (level >= min_level_) std::cerr << kNames[static_cast<std::size_t>(level)] << ": " << text << '\n';
   }
 
  private:
-  Level least_;
+  Level min_level_;
 };
 
 }  // namespace graniterun::net
--- a/src/net/outbox.h
+++ b/src/net/outbox.h
@@ -19,8 +19,8 @@
   void send_counted(net::ConnId conn, std::string bytes, std::uint64_t ticket) {
     net.push_back(net::Send{conn, std::move(bytes), ticket});
   }
-  void recall(net::ConnId conn, std::uint64_t ticket, std::string otherwise) {
-    net.push_back(net::Recall{conn, ticket, std::move(otherwise)});
+  void withdraw_send(net::ConnId conn, std::uint64_t ticket, std::string otherwise) {
+    net.push_back(net::WithdrawSend{conn, ticket, std::move(otherwise)});
   }
   void close(net::ConnId conn) { net.push_back(net::Close{conn}); }
   void drop(net::ConnId conn) { net.push_back(net::Drop{conn}); }
@@ -28,26 +28,26 @@
     net.push_back(net::ArmTimer{{concern, number}, at});
   }
   void log(net::Level level, std::string text) { net.push_back(net::Log{level, std::move(text)}); }
-  void tell(core::Event event) { core.push_back(std::move(event)); }
+  void notify_broker(core::Event event) { core.push_back(std::move(event)); }
 };
 
 // Warnings of one kind, one a second at most: a flood of bad input must not become a flood of lines.
-class SeldomWarning {
+class RateLimitedWarning {
  public:
   void line(Time now, std::string text, Outbox& out) {
     if (now < next_) {
-      ++left_out_;
+      ++suppressed_;
       return;
     }
     next_ = now + std::chrono::seconds(1);
-    if (left_out_ > 0)
-      text += " (" + std::to_string(std::exchange(left_out_, 0)) + " more since the last line)";
+    if (suppressed_ > 0)
+      text += " (" + std::to_string(std::exchange(suppressed_, 0)) + " more since the last line)";
     out.log(net::Level::warning, std::move(text));
   }
 
  private:
   Time next_{};
-  std::uint64_t left_out_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 }  // namespace graniterun
--- a/src/net/ring.h
+++ b/src/net/ring.h
@@ -72,12 +72,12 @@
   void drop(std::size_t count) {
     count = std::min(count, size_);
     size_ -= count;
-    if (size_ == 0 && storage_.size() > kKept) std::vector<char>().swap(storage_);
+    if (size_ == 0 && storage_.size() > kMaxRetainedBytes) std::vector<char>().swap(storage_);
     head_ = size_ == 0 || storage_.empty() ? 0 : (head_ + count) % storage_.size();
   }
 
  private:
-  static constexpr std::size_t kKept = 4096;  // an idle connection holds no more
+  static constexpr std::size_t kMaxRetainedBytes = 4096;  // an idle connection holds no more
   std::size_t bound_;
   std::vector<char> storage_;
   std::size_t head_ = 0;
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -66,9 +66,9 @@
 }
 
 // Told of a socket that is watched for anything.
-constexpr std::uint32_t kBroken = EPOLLERR | EPOLLHUP;
+constexpr std::uint32_t kErrorEvents = EPOLLERR | EPOLLHUP;
 // So many connections at one turn of the loop; timers are looked at between.
-constexpr int kMostAtOnce = 256;
+constexpr int kMaxEventsPerTurn = 256;
 
 // A source of the running thread's loop that ends with its owner.
 class Source {
@@ -124,7 +124,7 @@
 
 }  // namespace
 
-void hold_signals() {
+void block_signals() {
   const sigset_t set = watched_signals();
   pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
@@ -208,8 +208,8 @@
     Time connect_due{};
     bool connected = false;
     bool closing = false;
-    bool shut = false;  // all is written and said to be: what still comes is read and dropped
-    std::size_t dropped = 0;
+    bool write_closed = false;  // all is written and said to be: what still comes is read and dropped
+    std::size_t discarded_bytes = 0;
     struct Ticketed {  // a message that is to be counted, and may be recalled
       std::uint64_t ticket;
       std::uint64_t begin;  // both in `sent`
@@ -219,8 +219,8 @@
     std::deque<Ticketed> ticketed{};  // those not written whole, in order
     Listener* from = nullptr;         // it was accepted there
     bool peer_closed = false;         // the other side has closed, or its half
-    bool held_back = false;           // nothing is read from it until more is written to it
-    bool looked_at = false;           // a timer looks whether its other side reads
+    bool reading_paused = false;      // nothing is read from it until more is written to it
+    bool unread_check_armed = false;  // a timer looks whether its other side reads
     std::uint64_t taken = 0;          // by the other side, at the last look
     std::uint64_t written() const { return sent - out.size(); }
     ~Connection() {
@@ -237,7 +237,7 @@
     Concern concern;
     Owned<GSocket> socket;
     Source source;
-    std::size_t most_apart = 0;
+    std::size_t reserved_connections = 0;
     std::size_t open = 0;  // accepted there and not closed yet
     bool exclusive = false;
     bool stopped = false;  // it takes no more connections
@@ -258,15 +258,15 @@
     return G_SOURCE_CONTINUE;
   }
   static gboolean on_term(gpointer data) {
-    static_cast<Impl*>(data)->step(StopAsked{});
+    static_cast<Impl*>(data)->step(StopRequested{});
     return G_SOURCE_CONTINUE;
   }
   static gboolean on_user(gpointer data) {
-    static_cast<Impl*>(data)->step(CountersAsked{});
+    static_cast<Impl*>(data)->step(CountersRequested{});
     return G_SOURCE_CONTINUE;
   }
   static gboolean on_hangup(gpointer data) {
-    static_cast<Impl*>(data)->step(ReloadAsked{});
+    static_cast<Impl*>(data)->step(ReloadRequested{});
     return G_SOURCE_CONTINUE;
   }
   static gboolean on_acceptable(gint, GIOCondition, gpointer data) {
@@ -301,8 +301,8 @@
     c.watched = wanted;
   }
   void sockets_ready() {
-    epoll_event events[kMostAtOnce];
-    const int count = epoll_wait(poll_, events, kMostAtOnce, 0);
+    epoll_event events[kMaxEventsPerTurn];
+    const int count = epoll_wait(poll_, events, kMaxEventsPerTurn, 0);
     // The oldest ones first, as the loop has it with its own sources. The kernel puts who was heard last turn
     // ahead of who has just spoken: a set-up then waited for two rounds of callers that flood.
     std::sort(events, events + std::max(0, count),
@@ -312,12 +312,12 @@
       const std::uint32_t told = events[i].events;
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
         const Connection& c = *it->second;
-        if (c.reading != 0 && (told & (c.reading | kBroken)) != 0)
+        if (c.reading != 0 && (told & (c.reading | kErrorEvents)) != 0)
           readable(c.id, (told & c.reading & EPOLLRDHUP) != 0);
       }
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
         const Connection& c = *it->second;
-        if (c.writing && (told & (EPOLLOUT | kBroken)) != 0) writable(c.id);
+        if (c.writing && (told & (EPOLLOUT | kErrorEvents)) != 0) writable(c.id);
       }
     }
   }
@@ -341,14 +341,14 @@
   }
   void carry_out(const Bind& e) {
     Listen wanted{e.concern, e.address};
-    if (e.exclusive) wanted.needed = false;
+    if (e.exclusive) wanted.required = false;
     if (listen(wanted, G_SOCKET_TYPE_DATAGRAM, e.exclusive)) {
       if (!e.exclusive) return;
       listeners_.back()->exclusive = true;
       g_socket_set_option(listeners_.back()->socket.get(), IPPROTO_IP, IP_RECVERR, 1, nullptr);
-      later(Bound{e.concern});
+      defer_event(Bound{e.concern});
     } else if (e.exclusive) {
-      later(BindFailed{e.concern});
+      defer_event(BindFailed{e.concern});
     }
   }
   void carry_out(const Unbind& e) {
@@ -376,7 +376,8 @@
   }
 
   void watch_listener(const Listen& e, Owned<GSocket> socket, GSocketType type) {
-    auto listener = std::make_unique<Listener>(Listener{*this, e.concern, std::move(socket), {}, e.apart});
+    auto listener =
+        std::make_unique<Listener>(Listener{*this, e.concern, std::move(socket), {}, e.reserved_connections});
     if (type == G_SOCKET_TYPE_STREAM) {
       watch_accepting(*listener);
     } else {
@@ -413,7 +414,7 @@
     }
     logger_.line(Level::error, "cannot listen on " + wanted.address + ": " +
                                    (address == nullptr ? "not an address" : text_of(error)));
-    if (wanted.needed) carry_out(Exit{1});
+    if (wanted.required) carry_out(Exit{1});
     return false;
   }
 
@@ -422,7 +423,8 @@
   // with kept the loop spinning.
   void accept(Listener& listener) {
     for (std::size_t i = 0; i < limits_.accepted_from_each; ++i) {
-      if (listener.most_apart == 0 && accepted_in_common() >= limits_.connections) return hold(listener);
+      if (listener.reserved_connections == 0 && accepted_in_common() >= limits_.connections)
+        return pause_accepting(listener);
       GError* error = nullptr;
       Owned<GSocket> socket(g_socket_accept(listener.socket.get(), nullptr, &error));
       if (socket == nullptr) {
@@ -430,10 +432,10 @@
         g_clear_error(&error);
         if (!none_left) return;
         ++counters.no_descriptor;
-        return hold(listener);
+        return pause_accepting(listener);
       }
-      if (listener.most_apart > 0 && listener.open >= listener.most_apart) {
-        ++counters.turned_away;
+      if (listener.reserved_connections > 0 && listener.open >= listener.reserved_connections) {
+        ++counters.rejected;
         continue;
       }
       ++counters.accepted;
@@ -442,20 +444,20 @@
       step(Accepted{id});
       // What came with it is read before the next one is taken: where only a few may wait, the newest push
       // out the oldest, and one that has asked is not to be among those.
-      if (listener.most_apart > 0) read(id);
+      if (listener.reserved_connections > 0) read(id);
     }
   }
   std::size_t accepted_in_common() const {
     std::size_t all = 0;
-    for (const auto& listener : listeners_) all += listener->most_apart > 0 ? 0 : listener->open;
+    for (const auto& listener : listeners_) all += listener->reserved_connections > 0 ? 0 : listener->open;
     return all;
   }
-  void hold(Listener& listener) {
-    ++counters.held_at_the_door;
+  void pause_accepting(Listener& listener) {
+    ++counters.accept_paused;
     listener.source.end();
-    arm(Timer{clock_now() + kHeldFor, ++timer_order_, {listener.concern, kDoorTimer}});
+    arm(Timer{clock_now() + kAcceptPause, ++timer_order_, {listener.concern, kAcceptTimer}});
   }
-  void open_doors(Concern concern) {
+  void resume_accepting(Concern concern) {
     for (const auto& listener : listeners_) {
       if (listener->concern == concern && !listener->stopped && !listener->source.running())
         watch_accepting(*listener);
@@ -469,22 +471,22 @@
     c->connected = true;
     c->from = &from;
     ++from.open;
-    watch_reading(*c);
+    resume_reading(*c);
     connections_.insert_or_assign(id, std::move(c));
   }
 
   // A caller's end (EPOLLRDHUP) is looked for beside what it sends, until it is told: it is news though much
   // else has come before it, or though nothing is read from the connection for now.
-  void watch_reading(Connection& c) {
-    if (c.reading != 0 && !c.held_back) return;
-    c.held_back = false;
+  void resume_reading(Connection& c) {
+    if (c.reading != 0 && !c.reading_paused) return;
+    c.reading_paused = false;
     const bool told = c.from == nullptr || c.peer_closed;
     c.reading = told ? EPOLLIN : EPOLLIN | EPOLLRDHUP;
     update_watch(c);
   }
-  void hold_back_reading(Connection& c) {
-    if (c.held_back || c.peer_closed) return;
-    c.held_back = true;
+  void pause_reading(Connection& c) {
+    if (c.reading_paused || c.peer_closed) return;
+    c.reading_paused = true;
     c.reading = c.from == nullptr ? 0U : std::uint32_t{EPOLLRDHUP};
     update_watch(c);
   }
@@ -495,8 +497,8 @@
     if (peer_closed && !c.peer_closed) {
       c.peer_closed = true;
       // What it did not read keeps nothing back any more: the rest of what it sent is read to its end.
-      c.held_back = true;
-      watch_reading(c);
+      c.reading_paused = true;
+      resume_reading(c);
       if (!c.closing) step(PeerClosed{id});
     }
     read(id);
@@ -504,7 +506,7 @@
 
   void carry_out(const Connect& e) {
     const auto address = address_of(e.address);
-    if (address == nullptr) return later(ConnectFailed{e.conn, true});
+    if (address == nullptr) return defer_event(ConnectFailed{e.conn, true});
     GError* error = nullptr;
     Owned<GSocket> socket(g_socket_new(g_socket_address_get_family(address.get()), G_SOCKET_TYPE_STREAM,
                                        G_SOCKET_PROTOCOL_TCP, &error));
@@ -515,7 +517,7 @@
     if (!done && !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) return no_connection(e.conn, error);
     g_clear_error(&error);
     auto c = std::make_unique<Connection>(*this, e.conn, std::move(socket), limits_);
-    c->connect_due = clock_now() + e.within;
+    c->connect_due = clock_now() + e.timeout;
     c->writing = true;
     update_watch(*c);
     arm(Timer{c->connect_due, ++timer_order_, connect_key(e.conn)});
@@ -535,20 +537,20 @@
                    "no connection can be made: " + std::string(error != nullptr ? error->message : ""));
     }
     g_clear_error(&error);
-    later(ConnectFailed{id, refused, !reached});
+    defer_event(ConnectFailed{id, refused, !reached});
   }
 
   // The runtime's own timers stand under a concern's number with the top bit set.
   static constexpr std::uint64_t kConnectTimer = std::uint64_t{1} << 63;
   static constexpr std::uint64_t kCloseTimer = kConnectTimer | std::uint64_t{1} << 62;
-  static constexpr std::uint64_t kDoorTimer = kConnectTimer | std::uint64_t{1} << 61;
+  static constexpr std::uint64_t kAcceptTimer = kConnectTimer | std::uint64_t{1} << 61;
   static constexpr std::uint64_t kUnreadTimer = kConnectTimer | std::uint64_t{1} << 60;
   // So long a listener is not looked at where there was no room for who came.
-  static constexpr Duration kHeldFor = std::chrono::milliseconds(10);
+  static constexpr Duration kAcceptPause = std::chrono::milliseconds(10);
   // So long a connection that is being closed may take to write what was sent and to hear the other side's
   // end; closed at once with unread input, it would be reset, and the refusal just sent be lost.
-  static constexpr Duration kCloseWithin = std::chrono::milliseconds(700);
-  static constexpr std::size_t kMostDropped = 256 * 1024;
+  static constexpr Duration kCloseTimeout = std::chrono::milliseconds(700);
+  static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
   static TimerKey connect_key(ConnId id) { return {id.concern, kConnectTimer | id.number}; }
 
   void carry_out(const Send& e) {
@@ -568,14 +570,14 @@
     dirty_.push_back(e.conn);
   }
 
-  void carry_out(const Recall& e) {
+  void carry_out(const WithdrawSend& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end()) return;
     Connection& c = *it->second;
     const auto message = std::find_if(c.ticketed.begin(), c.ticketed.end(),
                                       [&](const auto& m) { return m.ticket == e.ticket; });
     if (message == c.ticketed.end() || message->begin < c.written()) {  // written, or begun
-      if (!e.otherwise.empty()) carry_out(Send{e.conn, e.otherwise});
+      if (!e.fallback.empty()) carry_out(Send{e.conn, e.fallback});
       return;
     }
     const std::uint64_t length = message->end - message->begin;
@@ -586,8 +588,8 @@
       after->begin -= length;
       after->end -= length;
     }
-    ++counters.recalled;
-    later(Recalled{e.conn, e.ticket});
+    ++counters.withdrawn;
+    defer_event(WriteWithdrawn{e.conn, e.ticket});
   }
 
   void overflowed(ConnId id) {
@@ -629,7 +631,7 @@
       return;
     }
     it->second->closing = true;
-    arm(Timer{clock_now() + kCloseWithin, ++timer_order_, {e.conn.concern, kCloseTimer | e.conn.number}});
+    arm(Timer{clock_now() + kCloseTimeout, ++timer_order_, {e.conn.concern, kCloseTimer | e.conn.number}});
     it->second->reading = 0;
     update_watch(*it->second);
     dirty_.push_back(e.conn);
@@ -644,11 +646,11 @@
       g_socket_send(it->second->socket.get(), bytes.data(), bytes.size(), nullptr, nullptr);
     connections_.erase(it);
   }
-  void carry_out(const CloseQuiet& e) {
+  void carry_out(const CloseIfIdle& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end() || it->second->closing) return;
     if (has_unread(*it->second)) return;
-    later(Closed{e.conn, false});
+    defer_event(Closed{e.conn, false});
     if (e.at_once && it->second->out.empty()) {
       connections_.erase(it);
       return;
@@ -668,7 +670,7 @@
     if (!g_file_set_contents_full(e.path.c_str(), e.text.data(), static_cast<gssize>(e.text.size()), kFlags,
                                   0600, &error)) {
       logger_.line(Level::error, "cannot write " + e.path + ": " + text_of(error));
-      if (e.needed) carry_out(Exit{1});
+      if (e.required) carry_out(Exit{1});
     }
   }
 
@@ -683,7 +685,7 @@
     } else {
       logger_.line(Level::warning, text_of(error));
     }
-    later(std::move(read));
+    defer_event(std::move(read));
   }
   void carry_out(const Log& e) { logger_.line(e.level, e.text); }
   void carry_out(const Print& e) { (e.answer ? std::cout : std::cerr) << e.text << std::flush; }
@@ -692,7 +694,7 @@
     g_main_loop_quit(loop_);
   }
   // Answers that were handed over in the last step are written by then, or this is not the last step.
-  void carry_out(const ExitIfQuiet& e) {
+  void carry_out(const ExitIfIdle& e) {
     for (const ConnId id : dirty_) write_some(id);
     for (const auto& [id, c] : connections_) {
       if (c->from == nullptr) continue;
@@ -707,7 +709,7 @@
   }
 
   // An event that an effect brings at once is told at the loop's next turn: reducers are not entered twice.
-  void later(Event event) {
+  void defer_event(Event event) {
     soon_.push_back(std::move(event));
     set_ready();
   }
@@ -737,8 +739,8 @@
       const Time now = clock_now();
       if (timer.at > now) break;
       timers_.pop();
-      if (timer.key.number == kDoorTimer) {
-        open_doors(timer.key.concern);
+      if (timer.key.number == kAcceptTimer) {
+        resume_accepting(timer.key.concern);
         continue;
       }
       if ((timer.key.number & kCloseTimer) == kCloseTimer) {
@@ -748,7 +750,7 @@
         continue;
       }
       if ((timer.key.number & kUnreadTimer) == kUnreadTimer) {
-        look_whether_read({timer.key.concern, static_cast<std::uint32_t>(timer.key.number)});
+        check_unread_timeout({timer.key.concern, static_cast<std::uint32_t>(timer.key.number)});
         continue;
       }
       if ((timer.key.number & kConnectTimer) != 0) {
@@ -775,22 +777,22 @@
   // Whether a caller to whom something is left to write reads at all. The kernel's own queue counts: of two
   // megabytes and more there a slow reader may take some without anything being written for long.
   void watch_writing(Connection& c) {
-    if (c.from == nullptr || std::exchange(c.looked_at, true)) return;
+    if (c.from == nullptr || std::exchange(c.unread_check_armed, true)) return;
     c.taken = taken_from(c);
-    look_again(c.id);
+    schedule_unread_check(c.id);
   }
-  void look_again(ConnId id) {
-    arm(Timer{clock_now() + limits_.unread_within, ++timer_order_, {id.concern, kUnreadTimer | id.number}});
+  void schedule_unread_check(ConnId id) {
+    arm(Timer{clock_now() + limits_.unread_timeout, ++timer_order_, {id.concern, kUnreadTimer | id.number}});
   }
-  void look_whether_read(ConnId id) {
+  void check_unread_timeout(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
     Connection& c = *it->second;
-    c.looked_at = !c.out.empty();
-    if (!c.looked_at) return;
+    c.unread_check_armed = !c.out.empty();
+    if (!c.unread_check_armed) return;
     if (const std::uint64_t taken = taken_from(c); taken != c.taken) {
       c.taken = taken;
-      return look_again(id);
+      return schedule_unread_check(id);
     }
     overflowed(id);
     for (const ConnId broken : std::exchange(broken_, {})) lose(broken, true);
@@ -819,7 +821,7 @@
         return;
       }
       c.connected = true;
-      watch_reading(c);
+      resume_reading(c);
       step(Connected{id});
     }
     flush(id);
@@ -857,7 +859,7 @@
     if (!write_some(id)) return lose(id, true);
     if (!c.out.empty()) {
       if (c.out.size() > limits_.outbound_pause)
-        hold_back_reading(c);  // takes no more requests than it reads answers
+        pause_reading(c);  // takes no more requests than it reads answers
       watch_writing(c);
       c.writing = true;
       update_watch(c);
@@ -865,11 +867,11 @@
     }
     c.writing = false;
     update_watch(c);
-    if (c.closing && !c.shut) {
-      c.shut = true;
+    if (c.closing && !c.write_closed) {
+      c.write_closed = true;
       g_socket_shutdown(c.socket.get(), FALSE, TRUE, nullptr);
     }
-    watch_reading(c);
+    resume_reading(c);
   }
 
   void read(ConnId id) {
@@ -879,8 +881,8 @@
     if (c.closing) {
       char buffer[16384];
       const gssize got = g_socket_receive(c.socket.get(), buffer, sizeof buffer, nullptr, nullptr);
-      if (got > 0) c.dropped += static_cast<std::size_t>(got);
-      if (got <= 0 || c.dropped > kMostDropped) connections_.erase(it);
+      if (got > 0) c.discarded_bytes += static_cast<std::size_t>(got);
+      if (got <= 0 || c.discarded_bytes > kMaxDiscardedBytes) connections_.erase(it);
       return;
     }
     if (c.in.room() == 0) return lose(id, true);  // the reducer leaves a whole ring unread: it is stuck
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -18,7 +18,7 @@
   // An accepted connection that has something left to be written, and whose other side has taken no byte for
   // so long, is closed at the next look, within twice as long: nothing more is read from it by then, so it
   // would be kept for good.
-  Duration unread_within = std::chrono::seconds(10);
+  Duration unread_timeout = std::chrono::seconds(10);
   std::size_t outbound_pause = 128 * 1024;  // reading from the connection waits while so many are not written
   std::size_t accepted_from_each = 64;      // at one turn of the loop
   // SIGTERM, SIGHUP and SIGUSR1 are told; false: another place of the process handles them.
@@ -29,12 +29,12 @@
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
   std::uint64_t accepted = 0;
-  std::uint64_t held_at_the_door = 0;  // times that a new connection had to wait to be let in
-  std::uint64_t turned_away = 0;       // at a listener that stands apart
-  std::uint64_t no_descriptor = 0;     // connections that could not be made or taken for want of one
-  std::uint64_t recalled = 0;          // messages taken back before they were written
-  std::uint64_t overflowed = 0;        // closed for not reading what was sent
-  std::uint64_t counted_written = 0;   // messages that were to be counted and are written whole
+  std::uint64_t accept_paused = 0;    // times that a new connection had to wait to be let in
+  std::uint64_t rejected = 0;         // at a listener that stands apart
+  std::uint64_t no_descriptor = 0;    // connections that could not be made or taken for want of one
+  std::uint64_t withdrawn = 0;        // messages taken back before they were written
+  std::uint64_t overflowed = 0;       // closed for not reading what was sent
+  std::uint64_t counted_written = 0;  // messages that were to be counted and are written whole
   std::uint64_t timers = 0;
   std::uint64_t timers_late_5ms = 0;
   std::uint64_t timers_late_20ms = 0;
@@ -48,7 +48,7 @@
 
 // Called first of all by a program that is asked to stop or to read its settings again by signals: one that
 // comes before the loop runs waits for it, and is neither lost nor the end.
-void hold_signals();
+void block_signals();
 
 // Whether the descriptor is a TCP socket that listens.
 bool is_listening_tcp(int descriptor);
--- a/src/otlp/exporter.cpp
+++ b/src/otlp/exporter.cpp
@@ -8,12 +8,12 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostSpans = 2048;  // requests that wait for export
-constexpr std::size_t kBatch = 128;       // requests in one post
-constexpr std::size_t kMostPosts = 8;     // posts that wait
-constexpr int kMostTries = 4;
-constexpr Duration kConnectWithin = 1s;
-constexpr Duration kAnswerWithin = 5s;
+constexpr std::size_t kMaxSpans = 2048;  // requests that wait for export
+constexpr std::size_t kBatch = 128;      // requests in one post
+constexpr std::size_t kMaxPosts = 8;     // posts that wait
+constexpr int kMaxTries = 4;
+constexpr Duration kConnectTimeout = 1s;
+constexpr Duration kResponseTimeout = 5s;
 constexpr int kServer = 2;  // span kinds of the specification
 constexpr int kClient = 3;
 constexpr int kOk = 1;  // status codes
@@ -26,7 +26,7 @@
   return {{"key", key}, {"value", {{"stringValue", value}}}};
 }
 
-const char* word_of(core::Why why) {
+const char* word_of(core::RejectReason why) {
   constexpr const char* kWords[] = {"gapped",     "throttled", "over_budget", "overdue", "number_busy",
                                     "no_success", "crossed",   "cut",         "ended"};
   return kWords[static_cast<std::size_t>(why)];
@@ -46,42 +46,43 @@
 }  // namespace
 
 Exporter::Exporter(ExporterSettings settings, Counters& counters)
-    : settings_(std::move(settings)), counters_(counters), words_(~settings_.seed) {}
+    : settings_(std::move(settings)), counters_(counters), ids_(~settings_.seed) {}
 
 void Exporter::start(Time now, Outbox& out) {
   started_ = now;
-  if (settings_.collector) out.arm(net::Concern::collector, 0, now + settings_.every);
+  if (settings_.collector) out.arm(net::Concern::collector, 0, now + settings_.interval);
 }
 
-void Exporter::note(Time now, const core::RequestAnswered& e,
-                    const std::function<std::string(ServerId)>& name_of) {
+void Exporter::record_request(Time now, const core::RequestAnswered& e,
+                              const std::function<std::string(ServerId)>& name_of) {
   if (!settings_.collector) return;
-  if (spans_.size() >= kMostSpans) {
+  if (spans_.size() >= kMaxSpans) {
     counters_.add("otlp.spans_dropped");
     return;
   }
-  const std::string trace = words_.next() + words_.next();
-  const std::string root = words_.next();
+  const std::string trace = ids_.next() + ids_.next();
+  const std::string root = ids_.next();
   json request = {{"traceId", trace},
                   {"spanId", root},
                   {"name", "request"},
                   {"kind", kServer},
-                  {"startTimeUnixNano", nanos(e.came)},
+                  {"startTimeUnixNano", nanos(e.received_at)},
                   {"endTimeUnixNano", nanos(now)},
                   {"status", {{"code", e.served ? kOk : kError}}}};
-  request["attributes"] = {
-      attribute("call.id", e.request->label), attribute("call.class", e.request->class_name),
-      attribute("call.team", e.request->team), attribute("call.answer", e.why ? word_of(*e.why) : "served")};
+  request["attributes"] = {attribute("call.id", e.request->correlation_id),
+                           attribute("call.class", e.request->class_name),
+                           attribute("call.team", e.request->team),
+                           attribute("call.answer", e.reject_reason ? word_of(*e.reject_reason) : "served")};
   json spans = json::array({request});
   for (const core::AttemptRecord& a : e.attempts) {
     const bool good = !a.outcome || *a.outcome == Outcome::ok;
     json attempt = {{"traceId", trace},
-                    {"spanId", words_.next()},
+                    {"spanId", ids_.next()},
                     {"parentSpanId", root},
                     {"name", "attempt"},
                     {"kind", kClient},
-                    {"startTimeUnixNano", nanos(a.began)},
-                    {"endTimeUnixNano", nanos(a.ended)},
+                    {"startTimeUnixNano", nanos(a.started_at)},
+                    {"endTimeUnixNano", nanos(a.ended_at)},
                     {"status", {{"code", good ? kOk : kError}}}};
     attempt["attributes"] = {attribute("server.id", name_of(a.server)),
                              attribute("attempt.outcome", a.outcome ? word_of(*a.outcome) : "stands")};
@@ -122,7 +123,7 @@
   resource["scopeMetrics"][0]["scope"] = scope();
   // One metric for each name, with a point for each thing it is told of.
   std::map<std::string, json> by_name;
-  for (std::size_t i = 0; i < gauges.size() && i < kMostGauges; ++i) {
+  for (std::size_t i = 0; i < gauges.size() && i < kMaxGauges; ++i) {
     const Gauge& g = gauges[i];
     json& metric = by_name[g.name];
     metric["name"] = g.name;
@@ -141,18 +142,18 @@
 
 void Exporter::on(Time now, const net::TimerFired&, const Counters& all, const std::vector<Gauge>& gauges,
                   Outbox& out) {
-  out.arm(net::Concern::collector, 0, now + settings_.every);
-  if (in_flight_ && now - sent_at_ > kAnswerWithin) {
+  out.arm(net::Concern::collector, 0, now + settings_.interval);
+  if (in_flight_ && now - sent_at_ > kResponseTimeout) {
     out.close({net::Concern::collector, conn_});
     failed(out, true);
   }
-  while (!spans_.empty() && posts_.size() < kMostPosts) {
+  while (!spans_.empty() && posts_.size() < kMaxPosts) {
     Post post;
     post.path = "/v1/traces";
     post.body = traces(post.spans);
     posts_.push_back(std::move(post));
   }
-  if (posts_.size() < kMostPosts) posts_.push_back({"/v1/metrics", metrics(now, all, gauges)});
+  if (posts_.size() < kMaxPosts) posts_.push_back({"/v1/metrics", metrics(now, all, gauges)});
   send_next(now, out);
 }
 
@@ -160,7 +161,8 @@
   if (in_flight_ || posts_.empty()) return;
   if (!up_) {
     if (std::exchange(connecting_, true)) return;
-    out.net.push_back(net::Connect{{net::Concern::collector, ++conn_}, *settings_.collector, kConnectWithin});
+    out.net.push_back(
+        net::Connect{{net::Concern::collector, ++conn_}, *settings_.collector, kConnectTimeout});
     return;
   }
   Post& post = posts_.front();
@@ -178,7 +180,7 @@
 // The connection is gone or the collector could not take the post: it is sent again with the next export, or
 // dropped when it had its tries.
 void Exporter::failed(Outbox&, bool again) {
-  if (in_flight_ && !posts_.empty() && (!again || posts_.front().tries >= kMostTries)) {
+  if (in_flight_ && !posts_.empty() && (!again || posts_.front().tries >= kMaxTries)) {
     counters_.add("otlp.posts_dropped");
     counters_.add("otlp.spans_dropped", posts_.front().spans);
     posts_.pop_front();
--- a/src/otlp/exporter.h
+++ b/src/otlp/exporter.h
@@ -11,19 +11,19 @@
 #include <vector>
 
 #include "core/counters.h"
-#include "core/words.h"
+#include "core/random_id.h"
 #include "net/outbox.h"
 #include "proto/http.h"
 
 namespace graniterun::otlp {
 
-constexpr std::size_t kMostGauges = 64;  // told in an export
+constexpr std::size_t kMaxGauges = 64;  // told in an export
 
 struct ExporterSettings {
   std::optional<std::string> collector{};  // address:port; none: it is off
   std::string host{};                      // for the Host header
   std::string service_instance{};
-  Duration every{};
+  Duration interval{};
   std::uint64_t seed{};
 };
 
@@ -32,7 +32,8 @@
   Exporter(ExporterSettings settings, Counters& counters);
 
   void start(Time now, Outbox& out);
-  void note(Time now, const core::RequestAnswered& e, const std::function<std::string(ServerId)>& name_of);
+  void record_request(Time now, const core::RequestAnswered& e,
+                      const std::function<std::string(ServerId)>& name_of);
   void on(Time now, const net::Connected& e, Outbox& out);
   void on(Time now, const net::ConnectFailed& e, Outbox& out);
   void on(Time now, const net::Received& e, Outbox& out);
@@ -55,7 +56,7 @@
 
   ExporterSettings settings_;
   Counters& counters_;
-  Words words_;
+  RandomIdGenerator ids_;
   Time started_{};
   std::deque<std::string> spans_;  // JSON, one request with its attempts each
   std::deque<Post> posts_;
--- a/src/proto/jsonl.cpp
+++ b/src/proto/jsonl.cpp
@@ -83,8 +83,8 @@
     }
     result.state = ReadState::malformed;
     result.message.id = id_in(bytes.substr(0, kLineBound));
-    result.trouble = "the line is over 16 KiB";
-    result.lost = true;
+    result.error = "the line is over 16 KiB";
+    result.unrecoverable = true;
     return result;
   }
   const std::string_view line = bytes.substr(0, end);
@@ -99,12 +99,12 @@
   const auto depth = std::count_if(line.begin(), line.end(), [](char c) { return c == '{' || c == '['; });
   const json object = depth > 64 ? json(json::value_t::discarded) : json::parse(line, nullptr, false);
   if (object.is_discarded()) {
-    result.trouble = "the line is not JSON";
+    result.error = "the line is not JSON";
     result.message.id = id_in(line);
   } else {
-    result.trouble = take_object(object, result.message);
+    result.error = take_object(object, result.message);
   }
-  if (!result.trouble.empty()) result.state = ReadState::malformed;
+  if (!result.error.empty()) result.state = ReadState::malformed;
   return result;
 }
 
--- a/src/proto/jsonl.h
+++ b/src/proto/jsonl.h
@@ -27,8 +27,8 @@
   ReadState state{};
   std::size_t used = 0;
   Message message{};  // of a malformed one, its id where that can be read
-  std::string trouble{};
-  bool lost = false;  // the line has no end within the bound
+  std::string error{};
+  bool unrecoverable = false;  // the line has no end within the bound
 };
 
 ReadResult read(std::string_view bytes);
--- a/src/proto/sip.cpp
+++ b/src/proto/sip.cpp
@@ -17,7 +17,7 @@
 std::string_view full_name(std::string_view name) {
   if (name.size() != 1) return name;
   for (const auto& [compact, full] : kCompact) {
-    if (same_word(compact, name)) return full;
+    if (equals_ignore_case(compact, name)) return full;
   }
   return name;
 }
@@ -91,8 +91,8 @@
 
 ReadResult malformed(ReadResult result, std::string trouble, bool lost) {
   result.state = ReadState::malformed;
-  result.trouble = std::move(trouble);
-  result.lost = lost;
+  result.error = std::move(trouble);
+  result.unrecoverable = lost;
   return result;
 }
 
@@ -104,7 +104,7 @@
   return text;
 }
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(),
                     [](unsigned char x, unsigned char y) { return std::tolower(x) == std::tolower(y); });
@@ -112,7 +112,7 @@
 
 std::string_view Message::header(std::string_view name) const {
   for (const auto& [n, value] : headers) {
-    if (same_word(n, name)) return value;
+    if (equals_ignore_case(n, name)) return value;
   }
   return {};
 }
@@ -120,13 +120,13 @@
 std::vector<std::string_view> Message::all(std::string_view name) const {
   std::vector<std::string_view> values;
   for (const auto& [n, value] : headers) {
-    if (same_word(n, name)) values.push_back(value);
+    if (equals_ignore_case(n, name)) values.push_back(value);
   }
   return values;
 }
 
 void Message::set(std::string_view name, std::string value) {
-  std::erase_if(headers, [name](const auto& h) { return same_word(h.first, name); });
+  std::erase_if(headers, [name](const auto& h) { return equals_ignore_case(h.first, name); });
   add(std::string(name), std::move(value));
 }
 
@@ -134,7 +134,8 @@
   std::string out = is_request() ? method + " " + uri + " SIP/2.0\r\n"
                                  : "SIP/2.0 " + std::to_string(status) + " " + phrase + "\r\n";
   for (const auto& [name, value] : headers) {
-    if (!same_word(name, "Content-Length")) out.append(name).append(": ").append(value).append("\r\n");
+    if (!equals_ignore_case(name, "Content-Length"))
+      out.append(name).append(": ").append(value).append("\r\n");
   }
   return out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n").append(body);
 }
@@ -156,7 +157,7 @@
     value.remove_prefix(at + 1);
     const std::string_view piece = trim(value.substr(0, value.find(';')));
     const std::size_t equals = piece.find('=');
-    if (same_word(trim(piece.substr(0, equals)), name))
+    if (equals_ignore_case(trim(piece.substr(0, equals)), name))
       return equals == std::string_view::npos ? std::string_view{} : trim(piece.substr(equals + 1));
   }
   return {};
@@ -235,7 +236,7 @@
   if (!trouble.empty()) return malformed(std::move(result), std::move(trouble), false);
   result.message.body = rest.substr(head, *length);
   if (!may_begin(rest.substr(head + *length))) {
-    result.whole = true;
+    result.complete = true;
     return malformed(std::move(result), "the Content-Length does not fit the message", true);
   }
   result.state = ReadState::message;
--- a/src/proto/sip.h
+++ b/src/proto/sip.h
@@ -44,17 +44,17 @@
 std::string_view user_of(std::string_view uri);
 std::string_view host_of(std::string_view uri);
 std::string_view trim(std::string_view text);
-bool same_word(std::string_view a, std::string_view b);  // without case
+bool equals_ignore_case(std::string_view a, std::string_view b);  // without case
 
 enum class ReadState { message, more, malformed };
 struct ReadResult {
   ReadState state{};
   std::size_t used = 0;  // bytes of the input that are dealt with
   Message message{};     // of a malformed one, what could be read
-  std::string trouble{};
-  bool lost = false;  // malformed, and where the next message begins can't be told
+  std::string error{};
+  bool unrecoverable = false;  // malformed, and where the next message begins can't be told
   // Malformed only by what follows it: `message` is all there, if its length is right.
-  bool whole = false;
+  bool complete = false;
 };
 
 // Whether a message may begin with these bytes, as far as they go.
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -5,7 +5,7 @@
 namespace graniterun::sip {
 namespace {
 
-constexpr std::size_t kMostServers = 20000;
+constexpr std::size_t kMaxServerTransactions = 20000;
 
 std::string_view top_via(const Message& m) {
   const std::string_view via = m.header("Via");
@@ -115,15 +115,15 @@
 }
 
 // Sends the last message again and doubles the gap: up to T2, but for a client's INVITE.
-void Transactions::resent(Time now, bool server, const std::string& key, Base& base, Outbox& out) {
+void Transactions::retransmit(Time now, bool server, const std::string& key, Base& base, Outbox& out) {
   counters_.add("sip.resent");
   transport_.send(base.flow, base.sent, out);
   base.gap = !server && base.invite ? base.gap * 2 : std::min(base.gap * 2, kT2);
-  arm(now, server, key, base, Kind::resend, base.gap, out);
+  arm(now, server, key, base, Kind::retransmit, base.gap, out);
 }
 
-std::vector<Lapse> Transactions::fired(Time now, std::uint64_t number, Outbox& out) {
-  std::vector<Lapse> lapses;
+std::vector<TimerExpiry> Transactions::fired(Time now, std::uint64_t number, Outbox& out) {
+  std::vector<TimerExpiry> lapses;
   const auto it = timers_.find(number);
   if (it == timers_.end()) return lapses;
   const Timer timer = it->second;
@@ -136,24 +136,24 @@
     const auto tx = servers_.find(timer.key);
     if (tx == servers_.end() || !current(tx->second)) return lapses;
     Server& s = tx->second;
-    if (timer.kind == Kind::resend) {  // timer G, or a 2xx that was not acknowledged
-      if (s.state == State::completed || s.state == State::accepted) resent(now, true, timer.key, s, out);
+    if (timer.kind == Kind::retransmit) {  // timer G, or a 2xx that was not acknowledged
+      if (s.state == State::completed || s.state == State::accepted) retransmit(now, true, timer.key, s, out);
     } else {
-      if (timer.kind == Kind::lapse) lapses.push_back({Lapse::What::no_ack, timer.key});  // timer H
-      servers_.erase(tx);                                                                 // timers H, I, J, L
+      if (timer.kind == Kind::timeout) lapses.push_back({TimerExpiry::What::no_ack, timer.key});  // timer H
+      servers_.erase(tx);  // timers H, I, J, L
     }
     return lapses;
   }
   const auto tx = clients_.find(timer.key);
   if (tx == clients_.end() || !current(tx->second)) return lapses;
   Client& c = tx->second;
-  if (timer.kind == Kind::resend) {  // timers A and E
+  if (timer.kind == Kind::retransmit) {  // timers A and E
     const bool waiting = c.state == State::trying || (!c.invite && c.state == State::proceeding);
-    if (waiting) resent(now, false, timer.key, c, out);
-  } else if (timer.kind == Kind::lapse) {  // timers B and F
+    if (waiting) retransmit(now, false, timer.key, c, out);
+  } else if (timer.kind == Kind::timeout) {  // timers B and F
     const bool waiting = c.state == State::trying || (!c.invite && c.state == State::proceeding);
     if (!waiting) return lapses;
-    lapses.push_back({Lapse::What::no_answer, timer.key});
+    lapses.push_back({TimerExpiry::What::no_answer, timer.key});
     clients_.erase(tx);
   } else {  // timers D, K and M
     clients_.erase(tx);
@@ -163,31 +163,31 @@
 
 // ---- server side
 
-Transactions::Taken Transactions::take_request(Time now, const Flow& flow, const Message& request,
-                                               std::string& key, Outbox& out) {
+Transactions::RequestKind Transactions::receive_request(Time now, const Flow& flow, const Message& request,
+                                                        std::string& key, Outbox& out) {
   key = server_key(request, request.method);
   const auto it = servers_.find(key);
   if (request.method == "ACK") {
-    if (it == servers_.end() || it->second.state == State::accepted) return Taken::ack;
+    if (it == servers_.end() || it->second.state == State::accepted) return RequestKind::ack;
     Server& s = it->second;
     if (s.state == State::completed) {
       s.state = State::confirmed;
-      s.timers.erase(Kind::resend);
-      s.timers.erase(Kind::lapse);
+      s.timers.erase(Kind::retransmit);
+      s.timers.erase(Kind::timeout);
       arm(now, true, key, s, Kind::end, s.flow.reliable ? Duration{} : kT4, out);  // timer I
     }
-    return Taken::absorbed;
+    return RequestKind::absorbed;
   }
   if (it != servers_.end()) {
     // A repeat, however late: it gets the same answer and starts nothing.
     counters_.add("sip.repeats_absorbed");
     const Server& s = it->second;
     if (!s.sent.empty() && s.state != State::confirmed) transport_.send(s.flow, s.sent, out);
-    return Taken::absorbed;
+    return RequestKind::absorbed;
   }
-  if (servers_.size() >= kMostServers) {  // dropped: it is sent again, or its caller goes elsewhere
+  if (servers_.size() >= kMaxServerTransactions) {  // dropped: it is sent again, or its caller goes elsewhere
     counters_.add("sip.requests_dropped");
-    return Taken::absorbed;
+    return RequestKind::absorbed;
   }
   Server s;
   s.flow = flow;
@@ -195,7 +195,7 @@
   s.state = s.invite ? State::proceeding : State::trying;
   s.request = request;
   servers_.emplace(key, std::move(s));
-  return Taken::fresh;
+  return RequestKind::initial;
 }
 
 void Transactions::respond(Time now, const std::string& key, const Message& answer, Outbox& out) {
@@ -218,21 +218,21 @@
   if (answer.status < 300) {
     // Sent again until the ACK comes, over TCP too (§13.3.1.4).
     s.state = State::accepted;
-    arm(now, true, key, s, Kind::resend, s.gap, out);
+    arm(now, true, key, s, Kind::retransmit, s.gap, out);
   } else {
     s.state = State::completed;
-    if (!s.flow.reliable) arm(now, true, key, s, Kind::resend, s.gap, out);  // timer G
+    if (!s.flow.reliable) arm(now, true, key, s, Kind::retransmit, s.gap, out);  // timer G
   }
-  arm(now, true, key, s, Kind::lapse, k64T1, out);  // timer H
+  arm(now, true, key, s, Kind::timeout, k64T1, out);  // timer H
 }
 
 void Transactions::acknowledged(Time now, const std::string& key, Outbox& out) {
   const auto it = servers_.find(key);
   if (it == servers_.end() || it->second.state != State::accepted) return;
   Server& s = it->second;
-  if (!s.timers.contains(Kind::lapse)) return;  // acknowledged before
-  s.timers.erase(Kind::resend);
-  s.timers.erase(Kind::lapse);
+  if (!s.timers.contains(Kind::timeout)) return;  // acknowledged before
+  s.timers.erase(Kind::retransmit);
+  s.timers.erase(Kind::timeout);
   arm(now, true, key, s, Kind::end, k64T1, out);  // timer L
 }
 
@@ -269,13 +269,13 @@
   c.sent = request.text();
   c.gap = kT1;
   transport_.send(flow, c.sent, out, ticket);
-  if (!flow.reliable) arm(now, false, key, c, Kind::resend, c.gap, out);  // timers A and E
-  arm(now, false, key, c, Kind::lapse, k64T1, out);                       // timers B and F
+  if (!flow.reliable) arm(now, false, key, c, Kind::retransmit, c.gap, out);  // timers A and E
+  arm(now, false, key, c, Kind::timeout, k64T1, out);                         // timers B and F
   clients_.insert_or_assign(key, std::move(c));
   return key;
 }
 
-std::string Transactions::take_answer(Time now, const Message& answer, Outbox& out) {
+std::string Transactions::receive_response(Time now, const Message& answer, Outbox& out) {
   const std::string key = client_key(answer);
   const auto it = clients_.find(key);
   if (it == clients_.end()) {
@@ -300,20 +300,20 @@
     return key;  // repeats too: the user acknowledges each
   }
   if (c.state == State::accepted) return {};
-  ack_refusal(c, answer, out);
+  ack_failure(c, answer, out);
   if (c.state == State::completed) return {};
   c.state = State::completed;
   arm(now, false, key, c, Kind::end, c.flow.reliable ? Duration{} : k64T1, out);  // timer D
   return key;
 }
 
-void Transactions::stop_resending(const Message& request) {
+void Transactions::stop_retransmitting(const Message& request) {
   if (const auto it = clients_.find(client_key(request)); it != clients_.end())
-    it->second.timers.erase(Kind::resend);
+    it->second.timers.erase(Kind::retransmit);
 }
 
 // §17.1.1.3: within the transaction, on the same branch.
-void Transactions::ack_refusal(Client& c, const Message& answer, Outbox& out) {
+void Transactions::ack_failure(Client& c, const Message& answer, Outbox& out) {
   Message ack;
   ack.method = "ACK";
   ack.uri = c.request.uri;
--- a/src/sip/transactions.h
+++ b/src/sip/transactions.h
@@ -18,7 +18,7 @@
 constexpr std::string_view kCookie = "z9hG4bK";
 
 // What a transaction user is told of the passing of time.
-struct Lapse {
+struct TimerExpiry {
   enum class What {
     no_answer,  // timer B or F: the other side did not answer
     no_ack,     // timer H, or 64 T1 after a 2xx
@@ -32,9 +32,10 @@
       : concern_(concern), transport_(transport), counters_(counters) {}
 
   // ---- server side
-  enum class Taken { fresh, absorbed, ack };  // ack: to a 2xx, for the dialog
+  enum class RequestKind { initial, absorbed, ack };  // ack: to a 2xx, for the dialog
   // A request came in. `key` names its transaction.
-  Taken take_request(Time now, const Flow& flow, const Message& request, std::string& key, Outbox& out);
+  RequestKind receive_request(Time now, const Flow& flow, const Message& request, std::string& key,
+                              Outbox& out);
   void respond(Time now, const std::string& key, const Message& answer, Outbox& out);
   // The ACK to the transaction's 2xx has come: it is not sent again.
   void acknowledged(Time now, const std::string& key, Outbox& out);
@@ -50,19 +51,19 @@
   std::string send_request(Time now, const Flow& flow, const Message& request, Outbox& out,
                            std::uint64_t ticket = 0);
   // An answer came in: the key of its transaction where the user is to see it; empty where it was absorbed.
-  std::string take_answer(Time now, const Message& answer, Outbox& out);
+  std::string receive_response(Time now, const Message& answer, Outbox& out);
 
   // Sends a request no more; its transaction still takes what comes.
-  void stop_resending(const Message& request);
+  void stop_retransmitting(const Message& request);
   // Ends a client transaction whose request was taken back before it was written.
   void forget(const std::string& key) { clients_.erase(key); }
 
-  std::vector<Lapse> fired(Time now, std::uint64_t timer, Outbox& out);
+  std::vector<TimerExpiry> fired(Time now, std::uint64_t timer, Outbox& out);
   std::size_t size() const { return servers_.size() + clients_.size(); }
 
  private:
   enum class State { trying, proceeding, completed, confirmed, accepted };
-  enum class Kind { resend, lapse, end };
+  enum class Kind { retransmit, timeout, end };
   struct Base {
     Flow flow{};
     bool invite{};
@@ -85,8 +86,8 @@
   };
 
   void arm(Time now, bool server, const std::string& key, Base& base, Kind kind, Duration after, Outbox& out);
-  void resent(Time now, bool server, const std::string& key, Base& base, Outbox& out);
-  void ack_refusal(Client& client, const Message& answer, Outbox& out);
+  void retransmit(Time now, bool server, const std::string& key, Base& base, Outbox& out);
+  void ack_failure(Client& client, const Message& answer, Outbox& out);
 
   net::Concern concern_;
   Transport& transport_;
--- a/src/sip/transport.cpp
+++ b/src/sip/transport.cpp
@@ -6,8 +6,8 @@
 namespace graniterun::sip {
 namespace {
 
-constexpr Duration kConnectWithin = std::chrono::seconds(2);
-constexpr std::size_t kMostWaiting = 64;  // messages for a connection that is being made
+constexpr Duration kConnectTimeout = std::chrono::seconds(2);
+constexpr std::size_t kMaxWaitingMessages = 64;  // messages for a connection that is being made
 // Connections made from here are numbered apart from those accepted.
 constexpr std::uint32_t kDialled = 1U << 31;
 
@@ -70,7 +70,7 @@
     incoming.read = read_stream(e.bytes.substr(used));
     used += incoming.read.used;
     if (incoming.read.state == ReadState::more) break;
-    const bool lost = incoming.read.lost;
+    const bool lost = incoming.read.unrecoverable;
     messages.push_back(std::move(incoming));
     if (lost) return messages;  // the reader of the messages closes the connection
   }
@@ -102,19 +102,19 @@
   Dialled& dialled = it->second;
   if (fresh) {
     dialled.conn = kDialled | ++last_dialled_;
-    out.net.push_back(net::Connect{{concern_, dialled.conn}, flow.peer, kConnectWithin});
+    out.net.push_back(net::Connect{{concern_, dialled.conn}, flow.peer, kConnectTimeout});
   }
   if (dialled.up) return out.send_counted({concern_, dialled.conn}, std::move(text), ticket);
-  if (dialled.waiting.size() < kMostWaiting) dialled.waiting.push_back({std::move(text), ticket});
+  if (dialled.waiting.size() < kMaxWaitingMessages) dialled.waiting.push_back({std::move(text), ticket});
 }
 
-bool Transport::recall(const Flow& flow, std::uint64_t ticket, Outbox& out) {
+bool Transport::withdraw(const Flow& flow, std::uint64_t ticket, Outbox& out) {
   const auto it = dialled_.find(flow.peer);
   if (it == dialled_.end()) return false;
   Dialled& dialled = it->second;
   if (!dialled.up)
     return std::erase_if(dialled.waiting, [ticket](const auto& m) { return m.ticket == ticket; }) > 0;
-  out.recall({concern_, dialled.conn}, ticket, {});
+  out.withdraw_send({concern_, dialled.conn}, ticket, {});
   return false;
 }
 
--- a/src/sip/transport.h
+++ b/src/sip/transport.h
@@ -45,7 +45,7 @@
   void send(const Flow& flow, std::string text, Outbox& out, std::uint64_t ticket = 0);
   // Takes back the message to that peer, over a connection made from here. True: it still waited for the
   // connection and is gone. False: the runtime looks, and tells Recalled where it was in time.
-  bool recall(const Flow& flow, std::uint64_t ticket, Outbox& out);
+  bool withdraw(const Flow& flow, std::uint64_t ticket, Outbox& out);
   void close(std::uint32_t conn, Outbox& out);
   // A message has begun on the connection and is not whole.
   bool half(std::uint32_t conn) const { return half_.contains(conn); }
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -37,11 +37,11 @@
   ActionWriter(std::string& reply, int instance, const std::vector<std::string>& addresses)
       : reply_(reply), instance_(instance), addresses_(addresses) {}
 
-  void operator()(const SendSetUp& a) const {
+  void operator()(const SendSetup& a) const {
     begin("DELIVER");
     call(a.call);
     field("server", addresses_[static_cast<std::uint32_t>(a.server)]);
-    field("cutAtNs", a.give_up_at.time_since_epoch().count());
+    field("cutAtNs", a.deadline.time_since_epoch().count());
     end();
   }
   void operator()(const CancelAttempt& a) const {
@@ -50,10 +50,10 @@
     field("try", a.attempt);
     end();
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const Reject& a) const {
     begin("SHED");
     call(a.call);
-    field("coolDownNs", a.stay_away.count());
+    field("coolDownNs", a.retry_after.count());
     end();
   }
   void operator()(const Fail& a) const {
@@ -63,11 +63,11 @@
   }
   void operator()(const SetTimer& a) const {
     begin("DEFER");
-    field("spanNs", a.after.count());
+    field("spanNs", a.delay.count());
     field("cookie", static_cast<std::uint64_t>(a.timer));
     end();
   }
-  void operator()(const TellPeers& a) const {
+  void operator()(const NotifyPeers& a) const {
     std::string hex;
     for (const std::uint8_t byte : a.bytes) append_hex(hex, byte, 2);
     begin("POST");
@@ -203,27 +203,27 @@
       m.one_of<ProcessorReports>("familyInfo.peerLoad", {{"none", ProcessorReports::none},
                                                          {"probe", ProcessorReports::probe},
                                                          {"answers", ProcessorReports::answers}});
-  s.full_tells_wait = m.one_of("familyInfo.tellsWait", kTruth);
+  s.full_server_sends_retry_after = m.one_of("familyInfo.tellsWait", kTruth);
   s.zone = Zone{m.number<std::uint32_t>("az")};
   s.own_index = m.number<std::uint32_t>("me");
   s.senders = m.number<std::uint32_t>("replicasOfMe");
   s.max_attempts = m.number<int>("limits.maxAttempts");
   s.may_cancel = m.one_of("limits.cancel", kTruth);
-  s.may_tell_peers = m.one_of("limits.peers", kTruth);
-  s.callers_heed_stay_away = m.one_of("limits.retryAfter", kTruth);
-  s.max_stay_away = m.duration("limits.maxRetryAfterNs");
-  s.callers_mark_redials = m.one_of("clients.marksRetry", kTruth);
-  s.repeat_after = m.duration("familyInfo.resendNs");
-  s.round = m.duration("roundNs");
-  if (m.find("limits.connectTimeoutNs")) s.connect_within = m.duration("limits.connectTimeoutNs");
+  s.may_notify_peers = m.one_of("limits.peers", kTruth);
+  s.callers_honor_retry_after = m.one_of("limits.retryAfter", kTruth);
+  s.max_retry_after = m.duration("limits.maxRetryAfterNs");
+  s.callers_flag_redial = m.one_of("clients.marksRetry", kTruth);
+  s.retransmit_delay = m.duration("familyInfo.resendNs");
+  s.scheduling_interval = m.duration("roundNs");
+  if (m.find("limits.connectTimeoutNs")) s.connect_timeout = m.duration("limits.connectTimeoutNs");
   s.release_guard = m.duration("familyInfo.releaseGuardNs");
   s.drain_grace = m.duration("guarantees.stopSendingWithinNs");
   s.answer_slack = m.duration("guarantees.answerSlackNs");
-  s.ask_within = m.duration("guarantees.askEveryNs");
-  s.cold_share = m.number<double>("guarantees.coldFrom");
-  s.cold_time = m.duration("guarantees.coldNs");
-  s.fall_multiple = m.number<double>("guarantees.fallMultiple");
-  s.fall_window = m.duration("guarantees.tipAfterNs");
+  s.poll_interval = m.duration("guarantees.askEveryNs");
+  s.slow_start_fraction = m.number<double>("guarantees.coldFrom");
+  s.slow_start_duration = m.duration("guarantees.coldNs");
+  s.overload_multiple = m.number<double>("guarantees.fallMultiple");
+  s.overload_window = m.duration("guarantees.tipAfterNs");
   s.worst_class_weight = m.number<double>("objectiveMix.worstClass");
   s.late_fail_price = m.number<double>("prices.lateFail");
   s.waste_price = m.number<double>("prices.waste");
@@ -235,15 +235,14 @@
   for (std::size_t i = 0; i < count; ++i) {
     const std::string path = "classes." + std::to_string(i) + ".";
     CallClass c;
-    c.aim = m.duration(path + "promiseNs");
-    c.patience = m.duration(path + "hardLimitNs");
-    c.worth = m.number<double>(path + "worth");
-    c.late_worth_share = m.number<double>(path + "lateWorth");
-    c.mean_hold = Duration(holds[i]);
-    c.repeatability =
-        m.one_of<Repeatability>(path + "effect", {{"idempotent", Repeatability::idempotent},
-                                                  {"deduplicated", Repeatability::deduplicated},
-                                                  {"at_most_once", Repeatability::at_most_once}});
+    c.latency_objective = m.duration(path + "promiseNs");
+    c.caller_timeout = m.duration(path + "hardLimitNs");
+    c.priority_weight = m.number<double>(path + "worth");
+    c.late_weight_fraction = m.number<double>(path + "lateWorth");
+    c.mean_holding_time = Duration(holds[i]);
+    c.idempotency = m.one_of<Idempotency>(path + "effect", {{"idempotent", Idempotency::idempotent},
+                                                            {"deduplicated", Idempotency::keyed},
+                                                            {"at_most_once", Idempotency::non_idempotent}});
     c.deduplication_scope =
         m.one_of<DeduplicationScope>(path + "group", {{"all", DeduplicationScope::all},
                                                       {"zone", DeduplicationScope::zone},
@@ -272,8 +271,8 @@
 
 void note_value(LoadReport& report, std::string_view name, double figure) {
   if (!(figure >= 0)) return;
-  if (name == "spare" || name == "x0") report.free_lines = figure;
-  if (name == "total" || name == "x1") report.lines = figure;
+  if (name == "spare" || name == "x0") report.free_circuits = figure;
+  if (name == "total" || name == "x1") report.circuits = figure;
   if (name == "active" || name == "inflight") report.messages_active = figure;
   if (name == "waiting" || name == "queue") report.messages_waiting = figure;
   if (name == "cpu" || name == "util") report.busy_share = figure;
@@ -281,7 +280,7 @@
     report.wait = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(figure));
   }
   if (name == "allowed" || name == "qps") report.allowed_per_s = figure;
-  if (name == "cut_by" || name == "eps") report.hold_back_share = figure;
+  if (name == "cut_by" || name == "eps") report.shed_fraction = figure;
 }
 
 // ---- Host
@@ -365,7 +364,7 @@
     e.number = Number{m.number<std::uint64_t>("entity")};
     e.destination = Pool{m.find_number<std::int64_t>("dest").value_or(-1)};
     e.deadline = m.time("deadlineNs");
-    e.lines = m.find_number<double>("circuits").value_or(1);
+    e.circuits = m.find_number<double>("circuits").value_or(1);
     e.in_transit = m.find_flag("transit");
     e.cut_before = m.find_flag("reconnect");
     e.redial = m.find_flag("retry");
@@ -377,38 +376,38 @@
     e.server = instance(m).id_of(m.text("server"));
     e.outcome = m.one_of("ending", kOutcomes);
     e.delay = m.duration("elapsedNs");
-    e.call_over = m.find_flag("doneFlag");
+    e.call_finished = m.find_flag("doneFlag");
     const int why = m.find_number<int>("why").value_or(0);
     constexpr int kReasons = 16;  // above it, the wait in milliseconds
     if (why < 0) m.fail("why", "is below 0");
     if (why == 18) {
       e.reason = FullReason::returned;
     } else {
-      constexpr FullReason kMeaning[] = {FullReason::none, FullReason::no_line, FullReason::returned,
+      constexpr FullReason kMeaning[] = {FullReason::none, FullReason::no_circuit, FullReason::returned,
                                          FullReason::processor, FullReason::number_busy};
       if (const int reason = why % kReasons; reason <= 4) e.reason = kMeaning[reason];
-      if (why >= kReasons) e.told_wait = std::chrono::milliseconds(why / kReasons);
+      if (why >= kReasons) e.retry_after = std::chrono::milliseconds(why / kReasons);
     }
     e.report = parse_report(m, "feedback");
     hand_over(m, e);
   } else if (name == "FIRST_BYTE") {
-    hand_over(m, CallStands{m.call("corr"), m.number<int>("try"), instance(m).id_of(m.text("server")),
-                            m.duration("elapsedNs")});
+    hand_over(m, CallEstablished{m.call("corr"), m.number<int>("try"), instance(m).id_of(m.text("server")),
+                                 m.duration("elapsedNs")});
   } else if (name == "TIMER") {
     hand_over(m, TimerDue{TimerId{m.number<std::uint64_t>("cookie")}});
   } else if (name == "LEFT") {
-    hand_over(m, CallerLeft{m.call("corr")});
+    hand_over(m, CallerDisconnected{m.call("corr")});
   } else if (name == "PROBE_RESULT") {
     hand_over(m, ServerReport{instance(m).id_of(m.text("server")), parse_report(m, "feedback")});
   } else if (name == "PEER_DATA") {
-    hand_over(m, PeerNote{m.number<std::uint32_t>("srcPeer"), m.bytes("contents")});
+    hand_over(m, PeerMessage{m.number<std::uint32_t>("srcPeer"), m.bytes("contents")});
   } else if (name == "BACKENDS_CHANGED") {
     ServerList e;
     e.kind = m.one_of<ListKind>("kind", {{"changes", ListKind::changes},
                                          {"all", ListKind::all},
-                                         {"remembered", ListKind::remembered},
-                                         {"refused", ListKind::refused}});
-    if (e.kind != ListKind::refused) {
+                                         {"remembered", ListKind::cached},
+                                         {"refused", ListKind::rejected}});
+    if (e.kind != ListKind::rejected) {
       const auto list = lists_.find(m.number<int>("setId"));
       if (list == lists_.end()) m.fail("setId", "names a list that was not sent");
       for (const Entry& entry : list->second) {
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -15,10 +15,10 @@
 
 constexpr Time kStart{1'000'000s};
 
-core::RequestCame request(std::uint64_t number, Time deadline, const std::string& team = {}) {
-  core::RequestCame e;
+core::RequestReceived request(std::uint64_t number, Time deadline, const std::string& team = {}) {
+  core::RequestReceived e;
   e.request.call = core::call_id(core::Front::platform, number);
-  e.request.label = std::to_string(number);
+  e.request.correlation_id = std::to_string(number);
   e.request.team = team;
   e.request.deadline = deadline;
   return e;
@@ -45,7 +45,7 @@
             core::call_id(core::Front::platform, last - std::min<std::uint64_t>(last, random() % 6));
         switch (random() % 8) {
           case 0:
-            actions.push_back(Refuse{call, 1s});
+            actions.push_back(Reject{call, 1s});
             break;
           case 1:
             actions.push_back(Fail{call});
@@ -57,7 +57,7 @@
             actions.push_back(SetTimer{std::chrono::milliseconds(random() % 300), TimerId{random() % 50}});
             break;
           default:
-            actions.push_back(SendSetUp{call, ServerId{static_cast<std::uint32_t>(random() % 5)}, now + 5s});
+            actions.push_back(SendSetup{call, ServerId{static_cast<std::uint32_t>(random() % 5)}, now + 5s});
         }
       }
     };
@@ -95,30 +95,30 @@
           c.server = e->server;
           std::deque<Time>& sends = sent_to[e->server];
           sends.push_back(now);
-          while (now - sends.front() > settings.fall_window) sends.pop_front();
+          while (now - sends.front() > settings.overload_window) sends.pop_front();
           const auto count = static_cast<double>(sends.size());
           if (e->server == ServerId{3}) {
-            while (!stood_cold.empty() && now - stood_cold.front() > settings.fall_window)
+            while (!stood_cold.empty() && now - stood_cold.front() > settings.overload_window)
               stood_cold.pop_front();
             const double can_do =
-                std::max(settings.cold_share * busiest, static_cast<double>(stood_cold.size()));
-            CHECK(count <= std::ceil(std::max(4.0, settings.fall_multiple * can_do)));
+                std::max(settings.slow_start_fraction * busiest, static_cast<double>(stood_cold.size()));
+            CHECK(count <= std::ceil(std::max(4.0, settings.overload_multiple * can_do)));
           } else {
             busiest = std::max(busiest, count);
           }
         } else if (const auto* a = std::get_if<core::AbandonAttempt>(&effect)) {
           CHECK(calls.at(a->request->call).out == a->attempt);
           abandoned.emplace_back(a->request->call, a->attempt);
-        } else if (const auto* s = std::get_if<core::Serve>(&effect)) {
+        } else if (const auto* s = std::get_if<core::AnswerCaller>(&effect)) {
           CHECK_EQ(++calls.at(s->call).finals, 1);
-        } else if (const auto* t = std::get_if<core::TurnDown>(&effect)) {
+        } else if (const auto* t = std::get_if<core::RejectRequest>(&effect)) {
           CHECK_EQ(++calls.at(t->call).finals, 1);
           CHECK(!calls.at(t->call).left && now <= calls.at(t->call).deadline);
-        } else if (const auto* p = std::get_if<core::PassOnRelease>(&effect)) {
+        } else if (const auto* p = std::get_if<core::ForwardRelease>(&effect)) {
           // Passed on, it is a final answer: never for a call that is held open.
-          const auto it = calls.find(core::call_id(core::Front::platform, std::stoull(p->label)));
+          const auto it = calls.find(core::call_id(core::Front::platform, std::stoull(p->correlation_id)));
           CHECK(it == calls.end() || it->second.finals == 1 || it->second.left);
-        } else if (const auto* al = std::get_if<core::SetAlarm>(&effect)) {
+        } else if (const auto* al = std::get_if<core::ArmTimer>(&effect)) {
           alarms.emplace(al->at, al->timer);
         }
       }
@@ -127,11 +127,11 @@
       Call& c = calls.at(id);
       const int attempt = *std::exchange(c.out, std::nullopt);
       if (outcome == Outcome::reset || outcome == Outcome::cancelled) c.ended = now;
-      core::AttemptOver over;
+      core::AttemptFinished over;
       over.call = id;
       over.attempt = attempt;
       over.outcome = outcome;
-      over.crossed = crossed;
+      over.late_success = crossed;
       tell(over);
       if (crossed) CHECK(c.finals == 1 || c.left);
     };
@@ -147,7 +147,7 @@
         now = std::max(now, alarms.begin()->first);
         const std::uint64_t timer = alarms.begin()->second;
         alarms.erase(alarms.begin());
-        tell(core::TimerRang{timer});
+        tell(core::TimerExpired{timer});
       }
       now = until;
       for (const auto& [id, attempt] : std::exchange(abandoned, {})) {
@@ -177,7 +177,7 @@
         Call& c = it->second;
         if (pick == 5 && c.finals == 0 && !c.left) {
           c.left = true;
-          tell(core::CallerGaveUp{it->first});
+          tell(core::RequestCancelled{it->first});
         } else if (c.out && !c.stands && pick < 8) {
           constexpr Outcome kOutcomes[] = {Outcome::full, Outcome::reset, Outcome::busy_or_fault,
                                            Outcome::no_connection};
@@ -185,7 +185,7 @@
         } else if (c.out && !c.stands && c.finals == 0 && !c.left) {
           c.stands = true;
           if (c.server == ServerId{3}) stood_cold.push_back(now);
-          tell(core::AttemptStood{it->first, *c.out, "a"});
+          tell(core::AttemptEstablished{it->first, *c.out, "a"});
           c.stands = c.finals == 1;
           if (!c.stands) c.out.reset();
         } else if (c.out && c.stands) {
@@ -197,7 +197,7 @@
       now = std::max(now, alarms.begin()->first);
       const std::uint64_t timer = alarms.begin()->second;
       alarms.erase(alarms.begin());
-      if (now < kStart + 60s) tell(core::TimerRang{timer});
+      if (now < kStart + 60s) tell(core::TimerExpired{timer});
     }
     for (const auto& [id, c] : calls) CHECK_EQ(c.finals, c.left ? 0 : 1);
     CHECK_EQ(broker.unanswered(), 0U);
@@ -209,19 +209,19 @@
   std::optional<Duration> told;
   const auto listen = [&](Time now, const Event& event, std::vector<Action>& actions) {
     if (const auto* e = std::get_if<NewCall>(&event))
-      actions.push_back(SendSetUp{e->call, ServerId{0}, now + 5s});
-    if (const auto* e = std::get_if<AttemptEnded>(&event)) told = e->told_wait;
+      actions.push_back(SendSetup{e->call, ServerId{0}, now + 5s});
+    if (const auto* e = std::get_if<AttemptEnded>(&event)) told = e->retry_after;
   };
   Counters counters;
   core::Broker broker(config_for_tests().settings, listen, core::Contracts{}, counters);
   core::Effects effects;
   broker.step(kStart, servers({server(0, ServerState::in_service)}), effects);
   broker.step(kStart, request(1, kStart + 5s), effects);
-  core::AttemptOver over;
+  core::AttemptFinished over;
   over.call = core::call_id(core::Front::platform, 1);
   over.outcome = Outcome::full;
   over.reason = FullReason::processor;
-  over.told_wait = 2900ms;
+  over.retry_after = 2900ms;
   broker.step(kStart + 30ms, over, effects);
   CHECK(told == Duration(2900ms));
 }
@@ -231,7 +231,7 @@
 void cold_servers_get_more_once_they_answer() {
   const auto eager = [](Time now, const Event& event, std::vector<Action>& actions) {
     if (const auto* e = std::get_if<NewCall>(&event))
-      actions.push_back(SendSetUp{e->call, ServerId{0}, now + 5s});
+      actions.push_back(SendSetup{e->call, ServerId{0}, now + 5s});
   };
   const Settings settings = config_for_tests().settings;
   const auto sent_of_40 = [&](bool answers) {
@@ -241,7 +241,7 @@
     broker.step(kStart, servers({server(0, ServerState::in_service, kStart)}), effects);
     int sent = 0;
     for (std::uint64_t call = 1; call <= 40; ++call) {
-      const Time now = kStart + call * settings.fall_window / 10;
+      const Time now = kStart + call * settings.overload_window / 10;
       effects.clear();
       broker.step(now, request(call, now + 5s), effects);
       const bool out = std::any_of(effects.begin(), effects.end(), [](const core::Effect& effect) {
@@ -251,7 +251,7 @@
       ++sent;
       if (!answers) continue;
       core::Effects ignored;
-      broker.step(now + 20ms, core::AttemptStood{core::call_id(core::Front::platform, call), 0, "a"},
+      broker.step(now + 20ms, core::AttemptEstablished{core::call_id(core::Front::platform, call), 0, "a"},
                   ignored);
     }
     return sent;
@@ -265,16 +265,16 @@
   const auto mute = [](Time, const Event&, std::vector<Action>&) {};
   for (const auto& [most, wanted] : {std::pair(2000ms, 500ms), std::pair(150ms, 150ms)}) {
     Settings settings = config_for_tests().settings;
-    settings.max_stay_away = most;
+    settings.max_retry_after = most;
     Counters counters;
     core::Broker broker(settings, mute, core::Contracts{}, counters);
     core::Effects effects;
     broker.step(kStart, request(1, kStart + 5s), effects);
     effects.clear();
-    broker.step(kStart + 100ms, core::Stopping{}, effects);
+    broker.step(kStart + 100ms, core::ShutdownStarted{}, effects);
     Duration told{};
     for (const core::Effect& effect : effects) {
-      if (const auto* e = std::get_if<core::TurnDown>(&effect)) told = e->wait;
+      if (const auto* e = std::get_if<core::RejectRequest>(&effect)) told = e->retry_after;
     }
     CHECK(told == wanted);
   }
@@ -295,11 +295,11 @@
     core::Effects effects;
     broker.step(now, request(++last, now + 5s, team), effects);
     for (const core::Effect& effect : effects) {
-      if (const auto* t = std::get_if<core::TurnDown>(&effect)) {
-        CHECK(t->refused && t->why == core::Why::over_budget);
-        return t->wait;
+      if (const auto* t = std::get_if<core::RejectRequest>(&effect)) {
+        CHECK(t->rejected && t->reason == core::RejectReason::over_budget);
+        return t->retry_after;
       }
-      if (const auto* a = std::get_if<core::SetAlarm>(&effect); a != nullptr && team == "guides")
+      if (const auto* a = std::get_if<core::ArmTimer>(&effect); a != nullptr && team == "guides")
         CHECK(a->at == now + 1s);  // the contract's deadline
     }
     return Duration{};
--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -217,7 +217,7 @@
   }
   void carry_out(Program& p, const net::ArmTimer& e) { p.timers.emplace(e.at, e.key); }
   void carry_out(Program& p, const net::WriteFile& e) {
-    CHECK(e.needed);  // a vote that no file holds must not go out
+    CHECK(e.required);  // a vote that no file holds must not go out
     ++p.writes;
     if (p.files != nullptr) (*p.files)[e.path] = e.text;
   }
@@ -334,14 +334,14 @@
   }
   void send(std::uint32_t source, const json& line, net::Effects& out) {
     if (conns_.contains(source))
-      out.push_back(net::Send{{Concern::announced, conns_[source]}, line_of(line)});
+      out.push_back(net::Send{{Concern::control_client, conns_[source]}, line_of(line)});
   }
   void carry_out(const Open& e, net::Effects& out) {
     conns_[e.source] = ++last_;
-    out.push_back(net::Connect{{Concern::announced, last_}, distributors_[e.source], 1s});
+    out.push_back(net::Connect{{Concern::control_client, last_}, distributors_[e.source], 1s});
   }
   void carry_out(const Shut& e, net::Effects& out) {
-    if (conns_.contains(e.source)) out.push_back(net::Close{{Concern::announced, conns_[e.source]}});
+    if (conns_.contains(e.source)) out.push_back(net::Close{{Concern::control_client, conns_[e.source]}});
     conns_.erase(e.source);
   }
   void carry_out(const Subscribe& e, net::Effects& out) {
@@ -398,7 +398,7 @@
   ~Terminal() { net_.kill(*program); }
   void say(const std::string& bytes) {
     to_send_.push_back(bytes);
-    net_.tell(*program, net::CountersAsked{});
+    net_.tell(*program, net::CountersRequested{});
   }
   void say(const json& line) { say(line_of(line)); }
   json ask(const json& line) {
@@ -414,7 +414,7 @@
   Program* program = nullptr;
 
  private:
-  static constexpr ConnId kConn{Concern::announced, 1};
+  static constexpr ConnId kConn{Concern::control_client, 1};
   Net& net_;
   std::string wanted_;
   std::vector<std::string> to_send_;
@@ -1108,10 +1108,10 @@
 void the_end_and_the_counters() {
   Lab lab;
   lab.all_vote();
-  lab.net.tell(*lab.p[0], net::CountersAsked{});
+  lab.net.tell(*lab.p[0], net::CountersRequested{});
   check_has(lab.p[0]->printed, "distributor.now.standing_voting 1");
   check_has(lab.p[0]->printed, "distributor.now.peers_up 2");
-  lab.net.tell(*lab.p[0], net::StopAsked{});
+  lab.net.tell(*lab.p[0], net::StopRequested{});
   CHECK(lab.p[0]->status == 0);
 }
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -165,7 +165,7 @@
     return json::parse(take(kDesk));
   }
   void load(const json& f) {
-    tell(net::ReloadAsked{});
+    tell(net::ReloadRequested{});
     tell(net::FileRead{"", f.dump()});
   }
   // What a set-up of the class is answered with at once; empty: it was sent on.
@@ -449,7 +449,7 @@
   Served lab;
   json other = file_with_two_servers();
   other["journal"] = "127.0.0.1:8700";
-  lab.tell(net::ReloadAsked{});
+  lab.tell(net::ReloadRequested{});
   lab.published(document("calls", 1, classes_with({"extra"})));
   CHECK(lab.takes("extra"));
   lab.tell(net::FileRead{"", other.dump()});
@@ -536,7 +536,7 @@
   fresh.documents = old.documents;
   fresh.run(500ms);
   CHECK_EQ(fresh.readyz(), "OK ready\n");
-  old.tell(net::StopAsked{});
+  old.tell(net::StopRequested{});
   const Document change = document("calls", 2, classes_with({"other"}));
   old.published(change);
   fresh.published(change);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -581,7 +581,7 @@
     ctls.push_back(std::make_unique<Ctl>(std::move(s)));
     Ctl* ctl = ctls.back().get();
     Net::Node& node =
-        net.add("", Concern::announced,
+        net.add("", Concern::control_client,
                 [ctl](Time now, const net::Event& e, net::Effects& effects) { ctl->step(now, e, effects); });
     net.start(node);
     net.run(span);
@@ -666,7 +666,7 @@
     fleet.ctls.push_back(std::make_unique<Ctl>(s));
     Ctl* ctl = fleet.ctls.back().get();
     Net::Node& node =
-        fleet.net.add("", Concern::announced,
+        fleet.net.add("", Concern::control_client,
                       [ctl](Time now, const net::Event& e, net::Effects& f) { ctl->step(now, e, f); });
     fleet.net.start(node);
     fleet.net.budget = after;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -14,7 +14,7 @@
 
 Settings once_only() {  // a call that may have run is not sent again
   Settings settings = settings_with();
-  settings.classes[0].repeatability = Repeatability::at_most_once;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   return settings;
 }
 
@@ -22,7 +22,7 @@
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1), entry(2)});
   for (unsigned i = 0; i < 20; ++i) {
-    const auto set_up = first<SendSetUp>(script.call(i * 1ms, i, i % 3));
+    const auto set_up = first<SendSetup>(script.call(i * 1ms, i, i % 3));
     ASSERT_TRUE(set_up);
     EXPECT_EQ(set_up->server, ServerId{i % 3});
   }
@@ -32,13 +32,13 @@
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   LoadReport full;
-  full.free_lines = 0.0;
+  full.free_circuits = 0.0;
   script.tell(0s, ServerReport{ServerId{0}, full});
   // Of the two, the one with fewer own unanswered set-ups is taken: server 1 first, at the latest after a
   // tie.
   int elsewhere = 0;
   for (unsigned i = 0; i < 20; ++i) {
-    if (first<SendSetUp>(script.call(i * 1ms, i, 0))->server == ServerId{1}) ++elsewhere;
+    if (first<SendSetup>(script.call(i * 1ms, i, 0))->server == ServerId{1}) ++elsewhere;
   }
   EXPECT_GE(elsewhere, 8);
 }
@@ -48,14 +48,14 @@
   settings.classes[0].open_pools = {Pool{1}};
   Script script(settings);
   script.list(0s, {entry(0), entry(1)});
-  EXPECT_EQ(first<SendSetUp>(script.call(0s, 1, 0))->server, ServerId{1});
+  EXPECT_EQ(first<SendSetup>(script.call(0s, 1, 0))->server, ServerId{1});
 }
 
 TEST(Answer, RefusesWithoutAnyServer) {
   Script script(settings_with());
-  const auto refused = first<Refuse>(script.call(0s, 1));
+  const auto refused = first<Reject>(script.call(0s, 1));
   ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->stay_away, settings_with().max_stay_away);  // callers once dialled again at once
+  EXPECT_EQ(refused->retry_after, settings_with().max_retry_after);  // callers once dialled again at once
 }
 
 TEST(Answer, RefusesCallsInTransitAndMeshedLayouts) {
@@ -65,13 +65,13 @@
   transit.deadline = at(3s);
   Script groups(settings_with());
   groups.list(0s, {entry(0)});
-  EXPECT_TRUE(has<Refuse>(groups.tell(0s, transit)));
+  EXPECT_TRUE(has<Reject>(groups.tell(0s, transit)));
 
   Settings settings = settings_with();
   settings.layout = Layout::meshed;
   Script meshed(settings);
   meshed.list(0s, {entry(0)});
-  EXPECT_TRUE(has<Refuse>(meshed.call(0s, 1)));
+  EXPECT_TRUE(has<Reject>(meshed.call(0s, 1)));
 }
 
 TEST(Answer, FailsACallToABusyNumberAtOnce) {
@@ -80,20 +80,20 @@
   script.call(0s, 1);
   const auto actions = script.ends(50ms, 1, 0, Outcome::busy_or_fault, 0, false, FullReason::number_busy);
   EXPECT_TRUE(has<Fail>(actions));
-  EXPECT_FALSE(has<SendSetUp>(actions));
+  EXPECT_FALSE(has<SendSetup>(actions));
 }
 
 TEST(Drain, SendsNothingToAServerThatDrainsOrIsGoneOrIsMissingFromAWholeList) {
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   script.list(1s, {entry(0, ServerState::terminating)}, ListKind::changes);
-  EXPECT_EQ(first<SendSetUp>(script.call(1s, 1, 0))->server, ServerId{1});
+  EXPECT_EQ(first<SendSetup>(script.call(1s, 1, 0))->server, ServerId{1});
   script.stands(1040ms, 1, 1, 40ms);
   script.list(2s, {entry(0, ServerState::terminated)}, ListKind::changes);
-  EXPECT_EQ(first<SendSetUp>(script.call(2s, 2, 0))->server, ServerId{1});
+  EXPECT_EQ(first<SendSetup>(script.call(2s, 2, 0))->server, ServerId{1});
   script.stands(2040ms, 2, 1, 40ms);
   script.list(3s, {entry(0)});
-  EXPECT_EQ(first<SendSetUp>(script.call(3s, 3, 1))->server, ServerId{0});
+  EXPECT_EQ(first<SendSetup>(script.call(3s, 3, 1))->server, ServerId{0});
 }
 
 TEST(List, ForgetsServersThatAreGoneAndTakesTheirLateOutcomes) {  // replaced machines have new ids for ever
@@ -104,7 +104,7 @@
   script.tell(1s, ServerReport{ServerId{0}, LoadReport{}});
   const auto held = first<SetTimer>(script.ends(1100ms, 1, 0, Outcome::reset));
   ASSERT_TRUE(held);
-  const auto again = first<SendSetUp>(script.tell(1100ms + held->after, TimerDue{held->timer}));
+  const auto again = first<SendSetup>(script.tell(1100ms + held->delay, TimerDue{held->timer}));
   ASSERT_TRUE(again);
   EXPECT_EQ(again->server, ServerId{1});
 }
@@ -112,18 +112,18 @@
 TEST(List, KeepsTheOldListWhenARequestForItWasRefused) {
   Script script(settings_with());
   script.list(0s, {entry(0)});
-  script.list(1s, {}, ListKind::refused);
-  EXPECT_TRUE(has<SendSetUp>(script.call(1s, 1)));
+  script.list(1s, {}, ListKind::rejected);
+  EXPECT_TRUE(has<SendSetup>(script.call(1s, 1)));
 }
 
 TEST(List, IsFollowedWhereItComesOnlyOnRequestAndAskedForAgainAfterARefusal) {
   Settings settings = settings_with();
   settings.discovery = Discovery::on_request;
   Script script(settings);
-  EXPECT_TRUE(has<FollowList>(script.tell(0s, ServerList{ListKind::remembered, {entry(0)}})));
-  const auto timer = first<SetTimer>(script.tell(1s, ServerList{ListKind::refused, {}}));
+  EXPECT_TRUE(has<FollowList>(script.tell(0s, ServerList{ListKind::cached, {entry(0)}})));
+  const auto timer = first<SetTimer>(script.tell(1s, ServerList{ListKind::rejected, {}}));
   ASSERT_TRUE(timer);
-  EXPECT_TRUE(has<FollowList>(script.tell(1s + timer->after, TimerDue{timer->timer})));
+  EXPECT_TRUE(has<FollowList>(script.tell(1s + timer->delay, TimerDue{timer->timer})));
 }
 
 TEST(Release, IsAwaitedBeforeAFurtherAttempt) {
@@ -131,18 +131,18 @@
   script.list(0s, {entry(0), entry(1)});
   script.call(0s, 1, 0);
   const auto actions = script.ends(100ms, 1, 0, Outcome::reset);
-  EXPECT_FALSE(has<SendSetUp>(actions));
+  EXPECT_FALSE(has<SendSetup>(actions));
   const auto timer = first<SetTimer>(actions);
   ASSERT_TRUE(timer);
-  EXPECT_GE(timer->after, 250ms);
-  EXPECT_TRUE(has<SendSetUp>(script.tell(100ms + timer->after, TimerDue{timer->timer})));
+  EXPECT_GE(timer->delay, 250ms);
+  EXPECT_TRUE(has<SendSetup>(script.tell(100ms + timer->delay, TimerDue{timer->timer})));
 }
 
 TEST(FurtherAttempt, GoesElsewhereAtOnceWhenTheFirstProvablyNeverRan) {
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   script.call(0s, 1, 0);
-  const auto again = first<SendSetUp>(script.ends(50ms, 1, 0, Outcome::no_connection));
+  const auto again = first<SendSetup>(script.ends(50ms, 1, 0, Outcome::no_connection));
   ASSERT_TRUE(again);
   EXPECT_EQ(again->server, ServerId{1});
 }
@@ -153,7 +153,7 @@
   script.call(0s, 1, 0);
   const auto actions = script.ends(50ms, 1, 0, Outcome::reset);
   EXPECT_TRUE(has<Fail>(actions));
-  EXPECT_FALSE(has<Refuse>(actions));
+  EXPECT_FALSE(has<Reject>(actions));
 }
 
 TEST(FurtherAttempt, IsMadeForASetUpThatWasLost) {  // it once stayed out until the caller gave up
@@ -163,23 +163,23 @@
   script.call(100ms, 2, 0);
   const auto timer = first<SetTimer>(script.stands(140ms, 2, 0, 40ms));  // sent later, answered
   ASSERT_TRUE(timer);
-  const Duration due = 140ms + timer->after;
+  const Duration due = 140ms + timer->delay;
   EXPECT_LT(due, 1s);
   EXPECT_TRUE(has<CancelAttempt>(script.tell(due, TimerDue{timer->timer})));
   const auto held = first<SetTimer>(script.ends(due, 1, 0, Outcome::cancelled));
   ASSERT_TRUE(held);
-  EXPECT_TRUE(has<SendSetUp>(script.tell(due + held->after, TimerDue{held->timer})));
+  EXPECT_TRUE(has<SendSetup>(script.tell(due + held->delay, TimerDue{held->timer})));
 }
 
-TEST(CallerLeft, CancelsWhatIsOutAndAnswersNothing) {
+TEST(CallerDisconnected, CancelsWhatIsOutAndAnswersNothing) {
   Script script(settings_with());
   script.list(0s, {entry(0)});
   script.call(0s, 1, 0);
-  const auto actions = script.tell(1s, CallerLeft{CallId{1}});
+  const auto actions = script.tell(1s, CallerDisconnected{CallId{1}});
   EXPECT_TRUE(has<CancelAttempt>(actions));
   EXPECT_EQ(actions.size(), 1U);
   EXPECT_TRUE(script.ends(1s, 1, 0, Outcome::cancelled, 0, true).empty());
-  EXPECT_TRUE(script.tell(1s, CallerLeft{CallId{1}}).empty());  // already dropped
+  EXPECT_TRUE(script.tell(1s, CallerDisconnected{CallId{1}}).empty());  // already dropped
 }
 
 // Lets `count` calls stand at the server after `delay` each, one every `gap`.
@@ -187,7 +187,7 @@
            Duration delay) {
   for (unsigned i = 0; i < count; ++i) {
     const Duration sent = from + i * gap;
-    if (has<SendSetUp>(script.call(sent, first_id + i, server))) {
+    if (has<SendSetup>(script.call(sent, first_id + i, server))) {
       script.stands(sent + delay, first_id + i, server, delay);
     }
   }
@@ -213,7 +213,7 @@
 Sent offer(Script& script, Duration from, Duration gap, unsigned count, unsigned first_id) {
   Sent sent;
   for (unsigned i = 0; i < count; ++i) {
-    const auto set_up = first<SendSetUp>(script.call(from + i * gap, first_id + i, 0));
+    const auto set_up = first<SendSetup>(script.call(from + i * gap, first_id + i, 0));
     if (!set_up) {
       ++sent.refused;
     } else {
@@ -242,7 +242,7 @@
     const Duration now = 6s + i * 100ms;
     for (; !out.empty() && out.front().first + kDelay <= now; out.pop_front())
       script.stands(out.front().first + kDelay, out.front().second, 0, kDelay);
-    if (!has<SendSetUp>(script.call(now, 1000 + i, 0, 0, 1000 + i))) continue;
+    if (!has<SendSetup>(script.call(now, 1000 + i, 0, 0, 1000 + i))) continue;
     out.emplace_back(now, 1000 + i);
     if (i >= 10 && i < 25) ++sent;  // with the wait known, and its own rate not yet down by it
   }
@@ -267,7 +267,7 @@
   int to_first = 0;
   for (unsigned i = 0; i < 80; ++i) {
     const Duration now = 6500ms + i * 50ms;
-    const auto set_up = first<SendSetUp>(script.call(now, 100 + i, 0));
+    const auto set_up = first<SendSetup>(script.call(now, 100 + i, 0));
     ASSERT_TRUE(set_up);
     if (set_up->server == ServerId{0}) ++to_first;
     if (set_up->server == ServerId{1}) script.stands(now + 40ms, 100 + i, 1, 40ms);
@@ -279,13 +279,13 @@
   Script script(settings_with());
   warm_up(script, 1);
   script.call(4s, 99, 0);
-  EXPECT_TRUE(has<CancelAttempt>(script.tell(6s, CallerLeft{CallId{99}})));
+  EXPECT_TRUE(has<CancelAttempt>(script.tell(6s, CallerDisconnected{CallId{99}})));
   AttemptEnded off;
   off.call = CallId{99};
   off.server = ServerId{0};
   off.outcome = Outcome::cancelled;
   off.delay = 2s;
-  off.call_over = true;
+  off.call_finished = true;
   script.tell(6s, off);
   EXPECT_GT(offer(script, 6010ms, 1ms, 100, 1000).refused, 80);
 }
@@ -342,7 +342,8 @@
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   LoadReport report;
-  report.free_lines = report.lines = 80.0;  // 10 set-ups a second from 5 senders: one unanswered makes 0.5 s
+  report.free_circuits = report.circuits =
+      80.0;  // 10 set-ups a second from 5 senders: one unanswered makes 0.5 s
   script.tell(0s, ServerReport{ServerId{1}, report});
   stand(script, 0s, 100ms, 10, 1, 0, 40ms);
   stand(script, 1s, 100ms, 10, 50, 1, 40ms);
@@ -362,7 +363,7 @@
   int refused = 0;
   for (unsigned i = 0; i < 30; ++i) {
     const Duration now = 7200ms + i * 20ms;
-    if (has<Refuse>(script.call(now, 200 + i, 0))) ++refused;
+    if (has<Reject>(script.call(now, 200 + i, 0))) ++refused;
     script.stands(now + 10ms, 200 + i, 0, 10ms);
   }
   EXPECT_EQ(refused, 0);
@@ -373,12 +374,12 @@
   Script script(settings_with());
   warm_up(script, 2);
   script.call(4s, 99, 0);
-  EXPECT_TRUE(has<SendSetUp>(script.ends(4030ms, 99, 0, Outcome::no_connection)));
+  EXPECT_TRUE(has<SendSetup>(script.ends(4030ms, 99, 0, Outcome::no_connection)));
   script.stands(4080ms, 99, 1, 40ms, 1);
   int to_first = 0;
   for (unsigned i = 0; i < 40; ++i) {
     const Duration now = 4400ms + i * 50ms;
-    const auto set_up = first<SendSetUp>(script.call(now, 100 + i, 0));
+    const auto set_up = first<SendSetup>(script.call(now, 100 + i, 0));
     if (set_up && set_up->server == ServerId{0}) ++to_first;
     if (set_up) script.stands(now + 30ms, 100 + i, static_cast<unsigned>(set_up->server), 30ms);
     if (to_first > 0) break;  // an answer would open it
@@ -403,7 +404,7 @@
   script.list(0s, {entry(0), entry(1)});
   stand(script, 0s, 200ms, 20, 1, 0, 40ms);
   LoadReport report;
-  report.free_lines = report.lines = 80.0;
+  report.free_circuits = report.circuits = 80.0;
   script.tell(0s, ServerReport{ServerId{1}, report});
   stand(script, 0s, 200ms, 20, 50, 1, 40ms);
   script.call(4s, 99, 1);
@@ -417,7 +418,7 @@
 std::pair<std::vector<Action>, Duration> outcome_of_hold(Script& script, Duration now,
                                                          std::vector<Action> actions, Duration early = 0ns) {
   while (const auto timer = first<SetTimer>(actions)) {
-    now += timer->after - (timer->after > early ? early : 0ns);
+    now += timer->delay - (timer->delay > early ? early : 0ns);
     actions = script.tell(now, TimerDue{timer->timer});
     if (!actions.empty() && !has<SetTimer>(actions)) break;
   }
@@ -434,7 +435,7 @@
     script.call(4s, 99, 0);  // never answered
     offer(script, 6s, 20ms, 40, 1000);
     const auto [actions, when] = outcome_of_hold(script, 7s, script.call(7s, 98, 0, 0, 98), early);
-    if (!has<Refuse>(actions)) continue;  // sent, by chance
+    if (!has<Reject>(actions)) continue;  // sent, by chance
     ++refused;
     EXPECT_GE(when, 7s + 600ms);
     EXPECT_LE(when, 7s + 1300ms);  // the aim
@@ -455,7 +456,7 @@
   ASSERT_TRUE(has<SetTimer>(held));
   script.stands(7s, 99, 0, 3s);
   for (unsigned id = 1000; id < 1040; ++id) script.stands(7s, id, 0, 30ms);
-  EXPECT_TRUE(has<SendSetUp>(outcome_of_hold(script, 7s, held).first));
+  EXPECT_TRUE(has<SendSetup>(outcome_of_hold(script, 7s, held).first));
 }
 
 TEST(Hold, OutlivesATimerThatComesEarly) {  // a clock of microseconds rounds down: the call was lost
@@ -465,7 +466,7 @@
 TEST(Hold, IsNotForCallsThatNoServerCanTake) {
   Script script(settings_with());
   script.list(0s, {entry(0, ServerState::terminating)});
-  EXPECT_TRUE(has<Refuse>(script.call(0s, 1)));
+  EXPECT_TRUE(has<Reject>(script.call(0s, 1)));
 }
 
 // Every other one of 20 set-ups to the server stays unanswered and is overtaken by the next.
@@ -499,8 +500,8 @@
   lose_every_other(script, 1000);
   const auto timer = first<SetTimer>(script.call(6s, 99, 0));
   ASSERT_TRUE(timer);
-  EXPECT_LE(timer->after, 1300ms - 250ms);  // aim and release
-  EXPECT_TRUE(has<CancelAttempt>(script.tell(6s + timer->after, TimerDue{timer->timer})));
+  EXPECT_LE(timer->delay, 1300ms - 250ms);  // aim and release
+  EXPECT_TRUE(has<CancelAttempt>(script.tell(6s + timer->delay, TimerDue{timer->timer})));
 }
 
 TEST(Losses, NothingIsCalledOffWhereNoneAreSeen) {  // a slow server would work in vain
@@ -521,7 +522,7 @@
     e.number = Number{98};
     e.deadline = at(8500ms + (waited ? 1600ms : 3s));  // others have 3 s
     const auto actions = script.tell(8500ms, e);
-    if (has<Refuse>(actions)) ++passed[waited];
+    if (has<Reject>(actions)) ++passed[waited];
   }
   EXPECT_EQ(passed[0], 0);  // held for a while
   EXPECT_EQ(passed[1], 1);  // turned away: it came 1.4 s ago
@@ -536,7 +537,7 @@
   for (unsigned i = 0; i < 200; ++i) {  // 8 of 10 are of the class of little worth
     const ClassIndex call_class = i % 5 == 0 ? 1 : 0;
     const Duration now = 5250ms + i * 10ms;
-    if (!has<SendSetUp>(script.call(now, 2000 + i, 0, call_class, 2000 + i))) ++refused[call_class];
+    if (!has<SendSetup>(script.call(now, 2000 + i, 0, call_class, 2000 + i))) ++refused[call_class];
   }
   EXPECT_GT(refused[0], 20);
   EXPECT_LE(refused[1] * 4, refused[0]);
@@ -546,22 +547,22 @@
   Settings settings = settings_with();
   settings.senders = 250;
   LoadReport report;
-  report.lines = 240.0;  // 30 set-ups a second, 0.12 for each sender
-  report.free_lines = 0.0;
+  report.circuits = 240.0;  // 30 set-ups a second, 0.12 for each sender
+  report.free_circuits = 0.0;
   int sent = 0;
   for (std::uint32_t i = 0; i < settings.senders; ++i) {
     settings.own_index = i;
     Script script(settings, i);
     script.list(0s, {entry(0)});
     script.tell(0s, ServerReport{ServerId{0}, report});
-    report.free_lines = 100.0;
+    report.free_circuits = 100.0;
     script.tell(0s, ServerReport{ServerId{0}, report});
-    report.free_lines = 0.0;
+    report.free_circuits = 0.0;
     script.call(0s, 1000, 0);
     script.ends(30ms, 1000, 0, Outcome::full, 0, false, FullReason::processor);
     for (unsigned n = 0; n < 10; ++n) {  // 85 a second in all, from 5 s to 34 s, each answered 'full'
       const Duration now = 5s + n * 3s;
-      if (!has<SendSetUp>(script.call(now, n, 0))) continue;
+      if (!has<SendSetup>(script.call(now, n, 0))) continue;
       ++sent;
       script.ends(now + 30ms, n, 0, Outcome::full, 0, false, FullReason::processor);
     }
@@ -574,12 +575,12 @@
   Script script(settings_with());
   script.list(0s, {entry(0)});
   LoadReport report;
-  report.lines = 80.0;
-  report.free_lines = 4.0;
+  report.circuits = 80.0;
+  report.free_circuits = 4.0;
   script.tell(0s, ServerReport{ServerId{0}, report});
   int sent = 0;
   for (unsigned i = 0; i < 20; ++i) {
-    if (has<SendSetUp>(script.call(i * 1ms, i, 0))) ++sent;
+    if (has<SendSetup>(script.call(i * 1ms, i, 0))) ++sent;
   }
   EXPECT_LE(sent, 1);
 }
@@ -591,23 +592,23 @@
   Script script(settings);
   script.list(0s, {entry(0)});
   LoadReport report;
-  report.lines = 240.0;
-  report.free_lines = 120.0;
+  report.circuits = 240.0;
+  report.free_circuits = 120.0;
   script.tell(0s, ServerReport{ServerId{0}, report});
-  EXPECT_TRUE(has<SendSetUp>(script.call(0s, 1, 0)));
+  EXPECT_TRUE(has<SendSetup>(script.call(0s, 1, 0)));
 }
 
 TEST(Pick, DrawsSecondChoicesInProportionToTheirLines) {  // equal draws jam the small ones
   Script script(settings_with());
   script.list(0s, {entry(1), entry(2)});
   LoadReport report;
-  report.free_lines = report.lines = 400.0;
+  report.free_circuits = report.circuits = 400.0;
   script.tell(0s, ServerReport{ServerId{1}, report});
-  report.free_lines = report.lines = 40.0;
+  report.free_circuits = report.circuits = 40.0;
   script.tell(0s, ServerReport{ServerId{2}, report});
   int small = 0;
   for (unsigned i = 0; i < 110; ++i) {  // all for a destination that is not there
-    const auto set_up = first<SendSetUp>(script.call(i * 1ms, i, 0));
+    const auto set_up = first<SendSetup>(script.call(i * 1ms, i, 0));
     if (set_up && set_up->server == ServerId{2}) ++small;
   }
   EXPECT_LT(small, 16);
@@ -618,14 +619,14 @@
   Script script(settings_with());
   script.list(0s, {entry(0, ServerState::in_service, at(0s))});
   LoadReport report;
-  report.lines = 80.0;
+  report.circuits = 80.0;
   for (const double free_lines : {0.0, 80.0}) {  // all were busy before its start
-    report.free_lines = free_lines;
+    report.free_circuits = free_lines;
     script.tell(0s, ServerReport{ServerId{0}, report});
   }
   int sent = 0;
   for (unsigned i = 0; i < 60; ++i) {
-    if (!has<SendSetUp>(script.call(i * 30ms, i, 0))) continue;
+    if (!has<SendSetup>(script.call(i * 30ms, i, 0))) continue;
     ++sent;
     script.stands(i * 30ms + 20ms, i, 0, 20ms);
   }
@@ -650,10 +651,10 @@
     Settings settings = settings_with();
     settings.senders = senders;
     LoadReport busy;  // before its start: 800 lines busy at 8 s a call are 100 set-ups a second
-    busy.lines = 800.0;
-    busy.free_lines = 0.0;
+    busy.circuits = 800.0;
+    busy.free_circuits = 0.0;
     LoadReport idle = busy;
-    idle.free_lines = 800.0;
+    idle.free_circuits = 800.0;
     std::vector<Script> scripts;
     for (std::uint32_t i = 0; i < senders; ++i) {
       settings.own_index = i;
@@ -678,7 +679,7 @@
         const Duration place = gap * i / senders;  // they do not call in step
         const bool due = now >= place && (now - place) / gap != (now - kStep - place) / gap;
         for (unsigned n = (now == 0s ? calls_at_once : 0U) + (due ? 1U : 0U); n > 0; --n, ++id) {
-          if (!has<SendSetUp>(scripts[i].call(now, id, 0))) continue;
+          if (!has<SendSetup>(scripts[i].call(now, id, 0))) continue;
           sent.push_back(now);
           line.push_back({i, id, now});
         }
@@ -746,10 +747,10 @@
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   script.call(0s, 1, 0);
-  const auto second = first<SendSetUp>(script.ends(30ms, 1, 0, kFault));
+  const auto second = first<SendSetup>(script.ends(30ms, 1, 0, kFault));
   ASSERT_TRUE(second);
   EXPECT_EQ(second->server, ServerId{1});
-  ASSERT_TRUE(has<SendSetUp>(script.ends(60ms, 1, 1, kFault, 1)));
+  ASSERT_TRUE(has<SendSetup>(script.ends(60ms, 1, 1, kFault, 1)));
   EXPECT_TRUE(has<Fail>(script.ends(90ms, 1, 0, kFault, 2)));
 }
 
@@ -769,7 +770,7 @@
 
 // A call to `0` that ends with a fault there and then stands at 1.
 void meet_fault(Script& script, Duration now, unsigned id) {
-  ASSERT_EQ(first<SendSetUp>(script.call(now, id, 0, 0, id))->server, ServerId{0});
+  ASSERT_EQ(first<SendSetup>(script.call(now, id, 0, 0, id))->server, ServerId{0});
   script.ends(now + 1ms, id, 0, kFault);
   script.stands(now + 2ms, id, 1, 1ms, 1);
 }
@@ -781,7 +782,7 @@
   EXPECT_EQ(script.avoided(40ms), 1U);
   for (unsigned i = 10; i < 40; ++i) {
     // Some are tried out there, no more than one in 500 ms.
-    const auto sent = first<SendSetUp>(script.call(40ms + i * 1ms, i, 0, 0, i));
+    const auto sent = first<SendSetup>(script.call(40ms + i * 1ms, i, 0, 0, i));
     if (sent->server == ServerId{0}) {
       EXPECT_EQ(i, 10U);
       script.ends(41ms + i * 1ms, i, 0, kFault);
@@ -791,12 +792,12 @@
   // The fault has passed: two try-outs that stand bring it back.
   for (unsigned i = 50; i < 52; ++i) {
     const Duration now = (i - 49) * 600ms;
-    ASSERT_EQ(first<SendSetUp>(script.call(now, i, 0, 0, i))->server, ServerId{0});
+    ASSERT_EQ(first<SendSetup>(script.call(now, i, 0, 0, i))->server, ServerId{0});
     script.stands(now + 2ms, i, 0, 2ms);
   }
   EXPECT_EQ(script.avoided(1300ms), 0U);
   for (unsigned i = 60; i < 65; ++i)
-    EXPECT_EQ(first<SendSetUp>(script.call(1300ms + i * 1ms, i, 0, 0, i))->server, ServerId{0});
+    EXPECT_EQ(first<SendSetup>(script.call(1300ms + i * 1ms, i, 0, 0, i))->server, ServerId{0});
 }
 
 TEST(Fault, ServerIsTheLastToBeAskedNotNever) {  // refused beside 230 free lines, calls once came to nothing
@@ -804,17 +805,17 @@
   script.list(0s, {entry(0), entry(1)});
   for (unsigned i = 0; i < 4; ++i) meet_fault(script, i * 10ms, i);
   LoadReport full;
-  full.free_lines = 0.0;
-  full.lines = 40.0;
+  full.free_circuits = 0.0;
+  full.circuits = 40.0;
   script.tell(60ms, ServerReport{ServerId{1}, full});
   int taken = 0;
   for (unsigned i = 10; i < 20; ++i) {
-    const auto sent = first<SendSetUp>(script.call(60ms + i * 1ms, i, 0, 0, i));
+    const auto sent = first<SendSetup>(script.call(60ms + i * 1ms, i, 0, 0, i));
     taken += sent && sent->server == ServerId{0} ? 1 : 0;
   }
   EXPECT_GE(taken, 8);
   // And a call that met a fault there tries it again, where no other has a line.
-  const auto again = first<SendSetUp>(script.ends(90ms, 19, 0, kFault));
+  const auto again = first<SendSetup>(script.ends(90ms, 19, 0, kFault));
   ASSERT_TRUE(again);
   EXPECT_EQ(again->server, ServerId{0});
 }
@@ -823,7 +824,7 @@
   Script script(settings_with());
   script.list(0s, {entry(0), entry(1)});
   for (unsigned i = 0; i < 10; ++i) {
-    ASSERT_EQ(first<SendSetUp>(script.call(i * 10ms, i, 0))->server, ServerId{0});
+    ASSERT_EQ(first<SendSetup>(script.call(i * 10ms, i, 0))->server, ServerId{0});
     script.ends(i * 10ms + 1ms, i, 0, kFault, 0, false, FullReason::number_busy);
   }
   EXPECT_EQ(script.avoided(200ms), 0U);
@@ -835,10 +836,10 @@
   script.list(0s, {entry(0), entry(1)});
   for (unsigned i = 0; i < 20; ++i) {
     unsigned server = 0;
-    auto sent = first<SendSetUp>(script.call(i * 10ms, i, 0, 0, i));
+    auto sent = first<SendSetup>(script.call(i * 10ms, i, 0, 0, i));
     for (int attempt = 0; sent; ++attempt) {
       server = static_cast<unsigned>(sent->server);
-      sent = first<SendSetUp>(script.ends(i * 10ms + 1ms, i, server, kFault, attempt));
+      sent = first<SendSetup>(script.ends(i * 10ms + 1ms, i, server, kFault, attempt));
     }
   }
   EXPECT_EQ(script.avoided(200ms), 0U);
@@ -853,22 +854,22 @@
   script.call(0s, 1, 0);
   settings.max_attempts = 1;
   script.tell(10ms, SettingsChanged{settings});
-  EXPECT_TRUE(has<SendSetUp>(script.ends(20ms, 1, 0, Outcome::full, 0, false, FullReason::processor)));
+  EXPECT_TRUE(has<SendSetup>(script.ends(20ms, 1, 0, Outcome::full, 0, false, FullReason::processor)));
   // Server 0 told that it is full: that is remembered, and a new call has one attempt.
   EXPECT_EQ(script.avoided(30ms), 1U);
-  ASSERT_TRUE(has<SendSetUp>(script.call(30ms, 2, 1, 1)));
-  EXPECT_TRUE(has<Fail>(script.ends(40ms, 2, 1, Outcome::full, 0, false, FullReason::no_line)));
+  ASSERT_TRUE(has<SendSetup>(script.call(30ms, 2, 1, 1)));
+  EXPECT_TRUE(has<Fail>(script.ends(40ms, 2, 1, Outcome::full, 0, false, FullReason::no_circuit)));
 }
 
 TEST(Retune, ANewClassIsTakenAtItsPlace) {
   Settings settings = settings_with(1);
   Script script(settings);
   script.list(0s, {entry(0), entry(1)});
-  EXPECT_TRUE(has<Refuse>(script.call(0s, 1, 0, 1)));
+  EXPECT_TRUE(has<Reject>(script.call(0s, 1, 0, 1)));
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].open_pools = {Pool{1}};
   script.tell(10ms, SettingsChanged{settings});
-  EXPECT_EQ(first<SendSetUp>(script.call(20ms, 2, 0, 1))->server, ServerId{1});
+  EXPECT_EQ(first<SendSetup>(script.call(20ms, 2, 0, 1))->server, ServerId{1});
 }
 
 }  // namespace
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -385,7 +385,7 @@
   lab.receive(kCaller, set_up(kId, 9000));                    // its server hangs
   lab.receive(kCaller, set_up("00000000000000bb", 9000, 1));  // and so does the other
   lab.messages(lab.s0);
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(3300ms);
   CHECK(!lab.exit_status);
   CHECK(lab.lines(kCaller).empty());
@@ -403,13 +403,13 @@
 // Another customer's deadlines are short, and SIGKILL is as near.
 void short_deadlines_end_it_sooner() {
   PlatformConfig config = config_for_tests();
-  for (CallClass& c : config.settings.classes) c.patience = 800ms;
+  for (CallClass& c : config.settings.classes) c.caller_timeout = 800ms;
   Lab lab(config);
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
-  lab.tell(net::StopAsked{});
-  lab.tell(net::StopAsked{});  // a second one changes nothing
+  lab.tell(net::StopRequested{});
+  lab.tell(net::StopRequested{});  // a second one changes nothing
   lab.pass(600ms);
   lab.receive(kCaller, set_up(kId, 9000));  // longer than there is
   CHECK_EQ(invites(lab, s0), 1U);
@@ -422,7 +422,7 @@
 void the_end_waits_for_what_is_unread_or_unwritten() {
   Ready lab;
   lab.quiet_at_exit = false;
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(1500ms);
   CHECK(!lab.exit_status);
   lab.receive(kCaller, set_up());
@@ -435,7 +435,7 @@
 
   Ready stuck;
   stuck.quiet_at_exit = false;
-  stuck.tell(net::StopAsked{});
+  stuck.tell(net::StopRequested{});
   stuck.pass(3700ms);
   CHECK_EQ(stuck.exit_status.value_or(-1), 0);
 }
@@ -445,7 +445,7 @@
   Ready lab;
   const std::string line = set_up();
   lab.receive(kCaller, line.substr(0, line.size() / 2));
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(550ms);
   lab.receive(kCaller, line.substr(line.size() / 2));
   const sip::Message invite = lab.invite(lab.s0);
@@ -460,8 +460,8 @@
   PlatformConfig config = config_for_tests();
   config.known.clear();
   Lab lab(config);
-  lab.tell(net::StopAsked{});
-  lab.tell(net::ReloadAsked{});
+  lab.tell(net::StopRequested{});
+  lab.tell(net::ReloadRequested{});
   lab.pass(1s);
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
@@ -475,7 +475,7 @@
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
   lab.receive(kCaller, set_up(kId, 9000));
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(5300ms);
   CHECK(lab.lines(kCaller).empty());
   lab.pass(200ms);  // SIGKILL: 5.7 s at the soonest
@@ -503,7 +503,7 @@
     for (const Time end = now + span; now < end;) {
       pass(50ms);
       for (const net::Connect& c : std::exchange(connects, {})) {
-        if (c.conn.concern != Concern::journal) {
+        if (c.conn.concern != Concern::discovery) {
           tell(net::Connected{c.conn});
           continue;
         }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -182,7 +182,7 @@
   }
   std::string printed() {
     net::Effects effects;
-    gatekeeper.step(now, net::CountersAsked{}, effects);
+    gatekeeper.step(now, net::CountersRequested{}, effects);
     for (const net::Effect& e : effects) {
       if (const auto* print = std::get_if<net::Print>(&e)) return "\n" + print->text;
     }
@@ -266,7 +266,7 @@
     FleetLab lab(config);
     lab.pass(1s);  // no seed answers: it is there alone
     CHECK_EQ(lab.ask("view")["member"], true);
-    lab.tell(net::StopAsked{});
+    lab.tell(net::StopRequested{});
     CHECK_EQ(lab.unbinds, 0);  // it is told first
     lab.pass(400ms);
     CHECK_EQ(lab.unbinds, inherited ? 1 : 0);
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -83,8 +83,8 @@
   template <class Other>
   void note_effect(const Other&) {}
   void note_effect(const net::Send& e) { text_ += "send " + name_of(e.conn) + " " + shown(e.bytes) + "\n"; }
-  void note_effect(const net::Recall& e) {
-    text_ += "withdraw or send " + name_of(e.conn) + " " + shown(e.otherwise) + "\n";
+  void note_effect(const net::WithdrawSend& e) {
+    text_ += "withdraw or send " + name_of(e.conn) + " " + shown(e.fallback) + "\n";
   }
   void note_effect(const net::SendDatagram& e) {
     text_ += "datagram " + e.peer + " " + shown(e.bytes) + "\n";
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -262,7 +262,7 @@
     run.receive(conn, call);
   }
   run.transcript.title("SIGUSR1");
-  run.step(net::CountersAsked{});
+  run.step(net::CountersRequested{});
   check_golden("figures_and_counters.txt", run.transcript.text());
 }
 
@@ -315,8 +315,8 @@
   run.receive(kCaller, set_up_line("9b1f03aa5c7e2d46", "voice", 1500, 0, "offer"));
   run.pass(2s);
   run.transcript.title("SIGTERM and SIGUSR1");
-  run.step(net::StopAsked{});
-  run.step(net::CountersAsked{});
+  run.step(net::StopRequested{});
+  run.step(net::CountersRequested{});
   check_golden("platform_messages.txt", run.transcript.text());
 }
 
@@ -383,7 +383,7 @@
     run.pass(600ms);
     run.receive(kCaller, release_line(kCallId, 16));
     run.pass(2s);
-    run.step(net::CountersAsked{});
+    run.step(net::CountersRequested{});
     text += run.transcript.text();
   }
   check_golden("trunk_messages.txt", text);
@@ -463,8 +463,8 @@
     run.receive(kOperator, bad);
   run.pass(3s);
   run.transcript.title("SIGUSR1 and SIGTERM");
-  run.step(net::CountersAsked{});
-  run.step(net::StopAsked{});
+  run.step(net::CountersRequested{});
+  run.step(net::StopRequested{});
   check_golden("gap_publisher_lines.txt", run.transcript.text());
   check_golden("../data/stored_by_342e4bc/gaps_written_again", run.files.at("gaps"));
 }
@@ -731,8 +731,8 @@
   config({{"what", "status"}, {"service", "trail"}});
   run.pass(30s);
   run.transcript.title("SIGUSR1 and SIGTERM");
-  run.step(net::CountersAsked{});
-  run.step(net::StopAsked{});
+  run.step(net::CountersRequested{});
+  run.step(net::StopRequested{});
   check_golden("distributor_lines.txt", run.transcript.text());
 }
 
@@ -752,7 +752,7 @@
   CHECK_EQ(distributor.held().records().at("trail").committed->content, R"({"settings":{"a":1}})");
   run.pass(60ms);
   run.bring_up();
-  const ConnId peer{Concern::announced, 1};
+  const ConnId peer{Concern::control_client, 1};
   run.receive(peer, R"({"event":"notices","entries":[],"complete":true,"standing":"voting"})"
                     "\n");
   run.step(net::Accepted{kOperator});
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -21,25 +21,25 @@
   s.senders = 5;
   s.max_attempts = 5;
   s.may_cancel = true;
-  s.callers_heed_stay_away = true;
-  s.max_stay_away = 2s;
-  s.repeat_after = 500ms;
-  s.round = 5ms;
+  s.callers_honor_retry_after = true;
+  s.max_retry_after = 2s;
+  s.retransmit_delay = 500ms;
+  s.scheduling_interval = 5ms;
   s.release_guard = 250ms;
   s.drain_grace = 800ms;
   s.answer_slack = 20ms;
-  s.ask_within = 10s;
-  s.cold_share = 0.4;
-  s.cold_time = 12s;
-  s.fall_multiple = 2;
-  s.fall_window = 2s;
+  s.poll_interval = 10s;
+  s.slow_start_fraction = 0.4;
+  s.slow_start_duration = 12s;
+  s.overload_multiple = 2;
+  s.overload_window = 2s;
   for (std::size_t i = 0; i < classes; ++i) {
     CallClass c;
-    c.aim = 1300ms;
-    c.patience = 9s;
-    c.worth = 1.0 + 4.0 * static_cast<double>(i);
-    c.late_worth_share = 0.2;
-    c.mean_hold = 8s;
+    c.latency_objective = 1300ms;
+    c.caller_timeout = 9s;
+    c.priority_weight = 1.0 + 4.0 * static_cast<double>(i);
+    c.late_weight_fraction = 0.2;
+    c.mean_holding_time = 8s;
     s.classes.push_back(c);
   }
   return s;
@@ -77,10 +77,10 @@
     return tell(when, e);
   }
 
-  std::size_t avoided(Duration when) const { return controller_.avoided(at(when)); }
+  std::size_t avoided(Duration when) const { return controller_.ejected(at(when)); }
 
   std::vector<Action> stands(Duration when, unsigned id, unsigned server, Duration delay, int attempt = 0) {
-    return tell(when, CallStands{CallId{id}, attempt, ServerId{server}, delay});
+    return tell(when, CallEstablished{CallId{id}, attempt, ServerId{server}, delay});
   }
 
   std::vector<Action> ends(Duration when, unsigned id, unsigned server, Outcome outcome, int attempt = 0,
@@ -91,7 +91,7 @@
     e.server = ServerId{server};
     e.outcome = outcome;
     e.delay = 30ms;
-    e.call_over = over;
+    e.call_finished = over;
     e.reason = reason;
     return tell(when, e);
   }
--- a/tests/lab.h
+++ b/tests/lab.h
@@ -29,31 +29,31 @@
   s.senders = 3;
   s.max_attempts = 5;
   s.may_cancel = true;
-  s.max_stay_away = 2s;
-  s.round = 5ms;
+  s.max_retry_after = 2s;
+  s.scheduling_interval = 5ms;
   s.release_guard = 200ms;
-  s.cold_share = 0.35;
-  s.cold_time = 15s;
-  s.fall_multiple = 2.5;
-  s.fall_window = 1500ms;
+  s.slow_start_fraction = 0.35;
+  s.slow_start_duration = 15s;
+  s.overload_multiple = 2.5;
+  s.overload_window = 1500ms;
   s.drain_grace = 2s;
   for (const double worth : {1.0, 6.0}) {
     CallClass call_class;
-    call_class.aim = 1500ms;
-    call_class.patience = 9s;
-    call_class.worth = worth;
-    call_class.mean_hold = 8s;
+    call_class.latency_objective = 1500ms;
+    call_class.caller_timeout = 9s;
+    call_class.priority_weight = worth;
+    call_class.mean_holding_time = 8s;
     s.classes.push_back(call_class);
   }
-  HostList list;
-  list.whole = true;
+  EndpointList list;
+  list.complete = true;
   for (int i = 0; i < servers; ++i) {
-    Host h;
+    Endpoint h;
     h.uid = "s" + std::to_string(i);
     h.address = "127.0.0.1:" + std::to_string(9000 + i);
     h.pool = Pool{i};
     h.state = ServerState::in_service;
-    list.hosts.push_back(h);
+    list.endpoints.push_back(h);
   }
   c.known.push_back(list);
   return c;
@@ -80,11 +80,11 @@
     for (const net::Effect& effect : effects) {
       if (const auto* e = std::get_if<net::Connect>(&effect)) connects.push_back(*e);
       if (const auto* e = std::get_if<net::Send>(&effect)) sent[e->conn] += e->bytes;
-      if (const auto* e = std::get_if<net::Recall>(&effect)) {  // as the runtime does it
+      if (const auto* e = std::get_if<net::WithdrawSend>(&effect)) {  // as the runtime does it
         if (unwritten.contains(e->conn)) {
           recalled.push_back({e->conn, e->ticket});
-        } else if (!e->otherwise.empty()) {
-          sent[e->conn] += e->otherwise;
+        } else if (!e->fallback.empty()) {
+          sent[e->conn] += e->fallback;
         }
       }
       if (const auto* e = std::get_if<net::Log>(&effect)) log += e->text + "\n";
@@ -99,17 +99,17 @@
         closed.push_back(e->conn);
         dropped.push_back(e->conn);
       }
-      if (const auto* e = std::get_if<net::CloseQuiet>(&effect)) quiet.push_back(e->conn);
+      if (const auto* e = std::get_if<net::CloseIfIdle>(&effect)) quiet.push_back(e->conn);
       if (const auto* e = std::get_if<net::Listen>(&effect)) listens.push_back(*e);
       if (const auto* e = std::get_if<net::StopListening>(&effect)) stopped_listening.push_back(e->concern);
       if (const auto* e = std::get_if<net::Exit>(&effect)) exit_status = e->status;
-      if (const auto* e = std::get_if<net::ExitIfQuiet>(&effect); e != nullptr && quiet_at_exit)
+      if (const auto* e = std::get_if<net::ExitIfIdle>(&effect); e != nullptr && quiet_at_exit)
         exit_status = e->status;
       if (const auto* e = std::get_if<net::ArmTimer>(&effect)) timers.push({e->at, ++order, e->key});
       if (const auto* e = std::get_if<net::Consume>(&effect)) unread[e->conn].erase(0, e->count);
     }
     if (watch) watch();
-    for (const net::Recalled& e : std::exchange(recalled, {})) tell(e);
+    for (const net::WriteWithdrawn& e : std::exchange(recalled, {})) tell(e);
     for (const ConnId conn : std::exchange(quiet, {})) {  // as the runtime does it
       closed.push_back(conn);
       tell(net::Closed{conn, false});
@@ -190,12 +190,12 @@
   std::vector<net::Bind> binds;
   int unbinds = 0;
   std::vector<ConnId> closed;
-  std::size_t closed_unread = 0;        // of those, callers', without a look whether something has come
-  std::vector<ConnId> dropped;          // of those, at once
-  std::vector<ConnId> quiet;            // to be closed if nothing unread has come
-  std::vector<net::Recalled> recalled;  // to be told
-  std::set<ConnId> unwritten;           // nothing that was sent there is written yet: recalls are in time
-  bool quiet_at_exit = true;            // nothing is left to write or to read
+  std::size_t closed_unread = 0;              // of those, callers', without a look whether something has come
+  std::vector<ConnId> dropped;                // of those, at once
+  std::vector<ConnId> quiet;                  // to be closed if nothing unread has come
+  std::vector<net::WriteWithdrawn> recalled;  // to be told
+  std::set<ConnId> unwritten;  // nothing that was sent there is written yet: recalls are in time
+  bool quiet_at_exit = true;   // nothing is left to write or to read
   std::vector<net::Listen> listens;
   std::vector<Concern> stopped_listening;
   std::optional<int> exit_status;
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -31,7 +31,7 @@
   const auto it = std::find_if(desk.listens.begin(), desk.listens.end(), there);
   CHECK(it != desk.listens.end());
   CHECK_EQ(it->address, "127.0.0.1:9901");
-  CHECK(it->apart > 0 && !it->needed);
+  CHECK(it->reserved_connections > 0 && !it->required);
   Lab none;
   CHECK(std::none_of(none.listens.begin(), none.listens.end(), there));
 }
@@ -42,7 +42,7 @@
   desk.bring_up();
   CHECK(desk.ask("readyz\n").starts_with("OK"));
   CHECK(desk.ask("readyz\r\n").starts_with("OK"));
-  desk.tell(net::StopAsked{});
+  desk.tell(net::StopRequested{});
   CHECK(desk.ask("readyz\n").starts_with("ERR "));
   CHECK(desk.ask("telemetry\n").ends_with("\nEND\n"));
 }
@@ -84,7 +84,7 @@
   desk.closed.clear();
   std::vector<ConnId> all;
   for (int i = 0; i < 200; ++i) all.push_back(desk.open_management());
-  CHECK(desk.closed.size() >= 200 - management::kMostConnections);
+  CHECK(desk.closed.size() >= 200 - management::kMaxConnections);
   CHECK(desk.closed.front() == all.front());  // the oldest goes first
   CHECK(desk.ask("readyz\n").size() > 3);     // and who asks is answered all the same
 }
--- a/tests/otlp_test.cpp
+++ b/tests/otlp_test.cpp
@@ -16,10 +16,10 @@
   void request() {
     core::RequestAnswered e;
     e.request = std::make_shared<const core::Request>();
-    e.came = now - 100ms;
-    e.why = core::Why::overdue;
-    e.attempts = {{ServerId{0}, e.came, now, Outcome::timed_out}};
-    exporter.note(now, e, [](ServerId) { return std::string("s0"); });
+    e.received_at = now - 100ms;
+    e.reject_reason = core::RejectReason::deadline_exceeded;
+    e.attempts = {{ServerId{0}, e.received_at, now, Outcome::timed_out}};
+    exporter.record_request(now, e, [](ServerId) { return std::string("s0"); });
   }
   void export_now() {
     now += 1s;
@@ -85,7 +85,7 @@
   CHECK_EQ(metrics[0]["gauge"]["dataPoints"].size(), 2U);
   CHECK_EQ(metrics[0]["gauge"]["dataPoints"][0]["asDouble"], 41.5);
   CHECK_EQ(metrics[0]["gauge"]["dataPoints"][1]["attributes"][0]["value"]["stringValue"], "4712");
-  CHECK_EQ(metrics[1]["gauge"]["dataPoints"].size(), otlp::kMostGauges - 2);  // bounded
+  CHECK_EQ(metrics[1]["gauge"]["dataPoints"].size(), otlp::kMaxGauges - 2);  // bounded
 }
 
 void a_silent_collector_costs_bounded_memory() {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -100,7 +100,7 @@
   const auto told = [](const std::string& header) {
     const std::string text =
         "SIP/2.0 503 x\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\n" + header + "Content-Length: 0\r\n\r\n";
-    return back::wait_told(sip::read_stream(text).message);
+    return back::retry_after_of(sip::read_stream(text).message);
   };
   CHECK(told("P-Wait: 2949\r\n") == Duration(2949ms));
   CHECK(told("P-Wait: 0\r\n") == Duration(0ms));
@@ -119,7 +119,7 @@
 // What the program has counted under a name.
 std::uint64_t counted(Lab& lab, const std::string& name) {
   net::Effects effects;
-  lab.gatekeeper.step(lab.now, net::CountersAsked{}, effects);
+  lab.gatekeeper.step(lab.now, net::CountersRequested{}, effects);
   for (const net::Effect& effect : effects) {
     const auto* print = std::get_if<net::Print>(&effect);
     const std::size_t at = print == nullptr ? std::string::npos : print->text.find(name + " ");
@@ -759,7 +759,7 @@
 
 void a_stop_lets_open_requests_finish() {
   Ready lab;
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(800ms);
   lab.receive(kCaller, set_up());  // still comes after SIGTERM
   const sip::Message invite = lab.invite(lab.s0);
--- a/tests/proto_test.cpp
+++ b/tests/proto_test.cpp
@@ -33,14 +33,14 @@
 
 void sip_refuses_what_is_malformed() {
   const auto read = [](std::string text) { return sip::read_stream(text); };
-  CHECK(
-      read("INVITE sip:a@b SIP/2.0\r\nCall-ID: x\r\n\r\n").lost);  // no length: nothing after it can be read
-  CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: -1\r\n\r\n").lost);
-  CHECK(read("X\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n").lost);
-  CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: 99999\r\n\r\n").lost);
-  CHECK(read(std::string(20000, 'a')).lost);
+  CHECK(read("INVITE sip:a@b SIP/2.0\r\nCall-ID: x\r\n\r\n")
+            .unrecoverable);  // no length: nothing after it can be read
+  CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: -1\r\n\r\n").unrecoverable);
+  CHECK(read("X\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n").unrecoverable);
+  CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: 99999\r\n\r\n").unrecoverable);
+  CHECK(read(std::string(20000, 'a')).unrecoverable);
   const sip::ReadResult kept = read("INVITE sip:a@b SIP/3.0\r\nCall-ID: x\r\nContent-Length: 0\r\n\r\n");
-  CHECK(kept.state == sip::ReadState::malformed && !kept.lost);
+  CHECK(kept.state == sip::ReadState::malformed && !kept.unrecoverable);
   CHECK_EQ(kept.message.header("Call-ID"), "x");
   CHECK(sip::read_datagram("INVITE sip:a@b SIP/2.0\r\nContent-Length: 9\r\n\r\nshort").state ==
         sip::ReadState::malformed);
@@ -64,7 +64,7 @@
   CHECK(bad.state == jsonl::ReadState::malformed);
   CHECK_EQ(bad.message.id, "9b1f03aa5c7e2d41");
   CHECK(jsonl::read("{\"type\":\"setup\",\"id\":\"short\"}\n").message.id.empty());
-  CHECK(jsonl::read(std::string(jsonl::kLineBound, 'x')).lost);
+  CHECK(jsonl::read(std::string(jsonl::kLineBound, 'x')).unrecoverable);
   CHECK(jsonl::read(std::string(5000, '[') + "\n").state == jsonl::ReadState::malformed);
 }
 
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -28,7 +28,7 @@
     tell(net::Accepted{kCaller});
   }
   void load(const std::string& text) {
-    tell(net::ReloadAsked{});
+    tell(net::ReloadRequested{});
     tell(net::FileRead{"", text});
   }
   std::uint64_t count(const std::string& name) {
@@ -123,7 +123,7 @@
   f["settings"]["classes"][0]["hardLimitNs"] = 3e9;
   f["settings"]["limits"]["maxAttempts"] = 2.0;
   const PlatformConfig c = read_platform_config(f.dump());
-  CHECK(c.settings.classes[0].patience == 3s);
+  CHECK(c.settings.classes[0].caller_timeout == 3s);
   CHECK_EQ(c.settings.max_attempts, 2);
 }
 
@@ -209,7 +209,7 @@
       if (draw() % 2 == 0) continue;
       names.push_back("c" + std::to_string(i));
       CallClass c;
-      c.aim = Duration(1 + draw() % 3);
+      c.latency_objective = Duration(1 + draw() % 3);
       terms.push_back(c);
     }
     if (names.empty()) continue;
@@ -220,7 +220,7 @@
       in_use[o.place] = true;
     }
     const core::ClassTable before = table;
-    const auto after = core::placed(table, names, terms, in_use);
+    const auto after = core::assign_places(table, names, terms, in_use);
     CHECK(after.has_value());
     table = *after;
     std::vector<ClassIndex> seen;
@@ -245,12 +245,12 @@
 
 void open_calls_of_too_many_classes_turn_a_file_down() {
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < core::ClassTable::kMost; ++i) names.push_back(std::to_string(i));
+  for (std::size_t i = 0; i < core::ClassTable::kMaxClasses; ++i) names.push_back(std::to_string(i));
   const std::vector<CallClass> terms(names.size());
-  const auto full = core::placed({}, names, terms, {});
+  const auto full = core::assign_places({}, names, terms, {});
   CHECK(full.has_value());
-  CHECK(!core::placed(*full, {"new"}, {CallClass{}}, std::vector<bool>(names.size(), true)));
-  CHECK(core::placed(*full, {"new"}, {CallClass{}}, {}).has_value());
+  CHECK(!core::assign_places(*full, {"new"}, {CallClass{}}, std::vector<bool>(names.size(), true)));
+  CHECK(core::assign_places(*full, {"new"}, {CallClass{}}, {}).has_value());
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -23,7 +23,7 @@
 
   void play(Duration length) {
     for (unsigned s = 0; s < 3; ++s) listed_[s] = entry(s);
-    send_list(ListKind::remembered);
+    send_list(ListKind::cached);
     for (; now_ < length; now_ += kStep) step(true);
     for (; now_ < length + 5s; now_ += kStep) step(false);
     EXPECT_TRUE(calls_.empty()) << calls_.size() << " calls never answered";
@@ -83,7 +83,7 @@
       ASSERT_LE(at(now_), call.deadline + settings_.answer_slack + kStep) << "call " << id << " is overdue";
       if (chance(0.0005)) {
         call.over = true;
-        tell(CallerLeft{CallId{id}});
+        tell(CallerDisconnected{CallId{id}});
       }
     }
     if (!call.out) {
@@ -98,7 +98,7 @@
       end(id, Outcome::timed_out, call.over);
     } else if (!call.over && chance(trouble_ ? 0.002 : 0.05)) {
       out.stands = true;
-      tell(CallStands{CallId{id}, out.attempt, ServerId{out.server}, at(now_) - out.since});
+      tell(CallEstablished{CallId{id}, out.attempt, ServerId{out.server}, at(now_) - out.since});
     } else if (chance(trouble_ ? 0.02 : 0.005)) {
       constexpr Outcome kEnds[] = {Outcome::full, Outcome::no_connection, Outcome::reset, Outcome::not_sent,
                                    Outcome::busy_or_fault};
@@ -115,8 +115,8 @@
     e.server = ServerId{call.out->server};
     e.outcome = outcome;
     e.delay = at(now_) - call.out->since;
-    e.call_over = over;
-    if (outcome == Outcome::full) e.reason = chance(0.5) ? FullReason::processor : FullReason::no_line;
+    e.call_finished = over;
+    if (outcome == Outcome::full) e.reason = chance(0.5) ? FullReason::processor : FullReason::no_circuit;
     if (outcome == Outcome::busy_or_fault && chance(0.5)) e.reason = FullReason::number_busy;
     if (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled) {
       call.not_before = at(now_) + settings_.release_guard;
@@ -153,12 +153,12 @@
 
   void report() {
     LoadReport r;
-    r.free_lines = static_cast<double>(draw_() % 3);
+    r.free_circuits = static_cast<double>(draw_() % 3);
     if (chance(0.5)) r.wait = std::chrono::milliseconds(draw_() % 2000);
     if (chance(0.5)) r.allowed_per_s = static_cast<double>(draw_() % 50);
     tell(ServerReport{ServerId{static_cast<unsigned>(draw_() % 4)}, r});
-    if (!settings_.may_tell_peers) return;
-    PeerNote note{1, {}};
+    if (!settings_.may_notify_peers) return;
+    PeerMessage note{1, {}};
     for (auto n = draw_() % 20; n > 0; --n) note.bytes.push_back(static_cast<std::uint8_t>(draw_()));
     tell(note);
   }
@@ -169,7 +169,7 @@
     for (const Action& action : actions) std::visit([this](const auto& a) { check(a); }, action);
   }
 
-  void check(const SendSetUp& a) {
+  void check(const SendSetup& a) {
     ++sent_;
     const auto it = calls_.find(static_cast<std::uint64_t>(a.call));
     ASSERT_NE(it, calls_.end());
@@ -187,19 +187,19 @@
       EXPECT_LE(at(now_), told_[server] + settings_.drain_grace) << "sent to a draining server";
     }
     const auto& since = listed_[server].online_since;
-    if (since && at(now_) < *since + settings_.cold_time) {
+    if (since && at(now_) < *since + settings_.slow_start_duration) {
       // Reports tell 50 set-ups a second at most, calls come at 30 a second to each of 5 senders: a fifth of
       // twice what either makes in a window of 2 s.
       auto& window = cold_[server];
       window.push_back(at(now_));
-      while (at(now_) - window.front() > settings_.fall_window) window.pop_front();
+      while (at(now_) - window.front() > settings_.overload_window) window.pop_front();
       EXPECT_LE(window.size(), 2 * 50 * 2 / 5) << "a cold server was pushed";
     }
-    call.out = Out{call.attempts++, server, at(now_), a.give_up_at};
+    call.out = Out{call.attempts++, server, at(now_), a.deadline};
   }
-  void check(const Refuse& a) {
+  void check(const Reject& a) {
     const Known& call = calls_.at(static_cast<std::uint64_t>(a.call));
-    if (settings_.classes[0].repeatability != Repeatability::idempotent) {
+    if (settings_.classes[0].idempotency != Idempotency::idempotent) {
       EXPECT_FALSE(call.may_have_run) << "a call that may have run was refused";
     }
     answer(a.call);
@@ -207,11 +207,11 @@
   void check(const Fail& a) { answer(a.call); }
   void check(const CancelAttempt& a) { EXPECT_TRUE(calls_.count(static_cast<std::uint64_t>(a.call))); }
   void check(const SetTimer& a) {
-    EXPECT_GT(a.after, Duration{0});
-    timers_.emplace(at(now_) + a.after, a.timer);
+    EXPECT_GT(a.delay, Duration{0});
+    timers_.emplace(at(now_) + a.delay, a.timer);
   }
-  void check(const TellPeers& a) {
-    EXPECT_TRUE(settings_.may_tell_peers);
+  void check(const NotifyPeers& a) {
+    EXPECT_TRUE(settings_.may_notify_peers);
     EXPECT_LE(a.bytes.size(), 256U);
   }
   void check(const FollowList&) { EXPECT_EQ(settings_.discovery, Discovery::on_request); }
@@ -248,16 +248,16 @@
 
 TEST_P(Rules, HoldForCallsThatMayRunOnlyOnce) {
   Settings settings = settings_with(1);
-  settings.classes[0].repeatability = Repeatability::at_most_once;
+  settings.classes[0].idempotency = Idempotency::non_idempotent;
   RandomDay day(settings, GetParam() + 1000);
   day.play(20s);
 }
 
 TEST_P(Rules, HoldWithPeersAndReports) {
   Settings settings = settings_with(2);
-  settings.may_tell_peers = true;
+  settings.may_notify_peers = true;
   settings.processor_reports = ProcessorReports::answers;
-  settings.callers_mark_redials = true;
+  settings.callers_flag_redial = true;
   RandomDay day(settings, GetParam() + 2000);
   day.play(20s);
 }
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -88,7 +88,7 @@
       callers[1].send("unread");  // it is there when the loop looks, since nobody has read yet
       effects.push_back(net::StopListening{net::Concern::platform});
       effects.push_back(net::Send{open[0], "whole", 1});
-      for (const net::ConnId conn : open) effects.push_back(net::CloseQuiet{conn});
+      for (const net::ConnId conn : open) effects.push_back(net::CloseIfIdle{conn});
       quiet_asked = true;
     } else if (const auto* gone = std::get_if<net::Closed>(&event)) {
       CHECK(quiet_asked);
@@ -130,7 +130,7 @@
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
       ++(accepted->conn.concern == net::Concern::management ? apart : common);
     }
-    if (common + runtime.counters().turned_away >= 9) effects.push_back(net::Exit{0});
+    if (common + runtime.counters().rejected >= 9) effects.push_back(net::Exit{0});
     if (common == 2 && apart == 3) effects.push_back(net::Exit{0});
   });
   CHECK_EQ(status, 0);
@@ -313,7 +313,7 @@
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.outbound = limits.outbound_all = 256 * 1024 * 1024;
-  limits.unread_within = std::chrono::milliseconds(700);
+  limits.unread_timeout = std::chrono::milliseconds(700);
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> callers;
   std::vector<net::ConnId> open;
@@ -372,13 +372,13 @@
       effects.push_back(net::ArmTimer{{net::Concern::server, 0}, now});
     } else if (const auto* e = std::get_if<net::TimerFired>(&event)) {
       if (e->key.number == 0) {
-        effects.push_back(net::Recall{conn, 1, "<cancel first>"});
+        effects.push_back(net::WithdrawSend{conn, 1, "<cancel first>"});
         effects.push_back(net::Send{conn, std::string(much, 'x')});
         effects.push_back(net::Send{conn, "<second>", 2});
         effects.push_back(net::Send{conn, "<third>", 3});
         effects.push_back(net::ArmTimer{{net::Concern::server, 1}, now});
       } else if (e->key.number == 1) {
-        effects.push_back(net::Recall{conn, 2, "<cancel second>"});
+        effects.push_back(net::WithdrawSend{conn, 2, "<cancel second>"});
         effects.push_back(net::Send{conn, "<end>"});
         effects.push_back(net::ArmTimer{{net::Concern::server, 2}, now});
       } else {
@@ -388,7 +388,7 @@
               net::ArmTimer{{net::Concern::server, 2}, now + std::chrono::milliseconds(1)});
         effects.push_back(net::Exit{0});
       }
-    } else if (const auto* back = std::get_if<net::Recalled>(&event)) {
+    } else if (const auto* back = std::get_if<net::WriteWithdrawn>(&event)) {
       recalled = back->ticket == 2;
     }
   });
@@ -396,7 +396,7 @@
   CHECK(recalled);
   CHECK(heard == "<first><cancel first>" + std::string(much, 'x') + "<third><end>");
   CHECK_EQ(runtime.counters().counted_written, 2U);
-  CHECK_EQ(runtime.counters().recalled, 1U);
+  CHECK_EQ(runtime.counters().withdrawn, 1U);
 }
 
 // Who comes while all places are taken is let in when one is free; it was closed at once, with its request.
@@ -430,7 +430,7 @@
   CHECK_EQ(status, 0);
   CHECK_EQ(most, 2U);
   for (Socket& caller : callers) CHECK_EQ(caller.until("answer"), "answer");
-  CHECK(runtime.counters().held_at_the_door > 0);
+  CHECK(runtime.counters().accept_paused > 0);
 }
 
 // With every descriptor taken a connect says that it is for want of one, a caller waits at the door without
@@ -492,11 +492,11 @@
       }
       put_off = got > 0;
       got += caller.some(1 << 20).size();
-      effects.push_back(net::ExitIfQuiet{0});
+      effects.push_back(net::ExitIfIdle{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(1)});
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
       effects.push_back(net::Send{accepted->conn, std::string(kMuch, 'x')});
-      effects.push_back(net::ExitIfQuiet{0});
+      effects.push_back(net::ExitIfIdle{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(1)});
     }
   });
@@ -520,11 +520,11 @@
       callers[0].send("late");
       callers.push_back(Socket::connected(port));
       callers[1].send("last");
-      effects.push_back(net::ExitIfQuiet{0});
+      effects.push_back(net::ExitIfIdle{0});
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
       asked += received->bytes;
       effects.push_back(net::Consume{received->conn, received->bytes.size()});
-      effects.push_back(net::ExitIfQuiet{0});  // the other is still to be read
+      effects.push_back(net::ExitIfIdle{0});  // the other is still to be read
     }
   });
   CHECK_EQ(status, 0);
@@ -534,7 +534,7 @@
 // SIGTERM and SIGHUP that come before the loop runs: the one ended the program as a signal does, the other
 // was lost and the program went on by settings that had been replaced.
 void signals_before_the_loop_are_not_lost() {
-  net::hold_signals();
+  net::block_signals();
   ::raise(SIGHUP);
   ::raise(SIGTERM);
   net::Runtime runtime({}, net::Logger(net::Level::error));
@@ -542,8 +542,8 @@
   bool stop = false;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
     if (std::holds_alternative<net::Started>(event)) end_at_last(now, effects);
-    reload = reload || std::holds_alternative<net::ReloadAsked>(event);
-    stop = stop || std::holds_alternative<net::StopAsked>(event);
+    reload = reload || std::holds_alternative<net::ReloadRequested>(event);
+    stop = stop || std::holds_alternative<net::StopRequested>(event);
     if (is_too_long(event)) effects.push_back(net::Exit{1});
     if (reload && stop) effects.push_back(net::Exit{0});
   });
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -46,7 +46,7 @@
   lab.tell(net::Accepted{kCaller});
   lab.tell(net::Accepted{kOther});
   lab.receive(kCaller, set_up_line("00000000000000aa"));
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   CHECK_EQ(lab.stopped_listening.size(), 1U);
   CHECK_EQ(lab.closed.size(), 1U);
   CHECK(lab.closed.front() == kOther);
@@ -74,7 +74,7 @@
 // Stopped before it was ready, it took callers from the socket later, in its last second.
 void one_that_is_stopped_before_it_is_ready_takes_nobody() {
   Lab lab(inherited());
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.bring_up();
   CHECK(!listens_for_callers(lab));
   lab.pass(1s);
@@ -87,7 +87,7 @@
   lab.tell(net::Accepted{kCaller});
   const std::string line = set_up_line("00000000000000aa");
   lab.receive(kCaller, line.substr(0, 40));
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(300ms);
   CHECK(lab.closed.empty());
   lab.receive(kCaller, line.substr(40));
@@ -103,7 +103,7 @@
   lab.tell(net::Accepted{kCaller});
   lab.receive(kCaller, set_up_line("00000000000000aa"));
   lab.receive(s0, server_answer(lab.messages(s0).back(), 200, "answer"));
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   lab.pass(6500ms);
   CHECK(!lab.exit_status);
   lab.pass(1s);
@@ -115,7 +115,7 @@
   Lab lab;
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
-  lab.tell(net::StopAsked{});
+  lab.tell(net::StopRequested{});
   CHECK(lab.stopped_listening.empty() && lab.closed.empty());
   lab.receive(kCaller, kPing);
   CHECK_EQ(lab.lines(kCaller).back().cause.value_or(-1), 0);
@@ -147,7 +147,7 @@
     lab.tell(net::Accepted{kCaller});
     lab.receive(kCaller, set_up_line(ids[i]));
     // The next one is ready: this one is asked to stop, with its call still unanswered.
-    if (i < 2) lab.tell(net::StopAsked{});
+    if (i < 2) lab.tell(net::StopRequested{});
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
     server_answers_all(*all[i], servers[i]);
@@ -188,7 +188,7 @@
     old.tell(net::Accepted{kOther});
     old.receive(kCaller,
                 R"({"type":"progress","id":"00000000000000cc","fields":{)");  // half a line: kept open
-    old.tell(net::StopAsked{});
+    old.tell(net::StopRequested{});
     Lab& told = old_one_hears ? old : fresh;
     Lab& other = old_one_hears ? fresh : old;
     drain(told, to[&told]["127.0.0.1:8500"]);
@@ -231,9 +231,9 @@
   old.tell(net::Accepted{kCaller});
   old.receive(kCaller, set_up_line("00000000000000e1", read.class_names.at(0)));
   Lab fresh(config);
-  old.tell(net::StopAsked{});
+  old.tell(net::StopRequested{});
   for (Lab* lab : {&old, &fresh}) {
-    lab->tell(net::ReloadAsked{});
+    lab->tell(net::ReloadRequested{});
     lab->tell(net::FileRead{"", text});
     CHECK_EQ(lab->figure("config_applied"), "1|c");
   }
@@ -261,7 +261,7 @@
   std::vector<ConnId> servers;
   for (const net::Connect& c : fresh.connects) servers.push_back(c.conn);
   fresh.bring_up();
-  old.tell(net::StopAsked{});
+  old.tell(net::StopRequested{});
   fresh.tell(net::Accepted{kCaller});
   fresh.receive(kCaller, R"({"type":"release","id":"00000000000000f1","fields":{},"cause":16})"
                          "\n");
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -151,14 +151,14 @@
   const std::string line =
       "X\tfeedback=spare:3,total:9,active:1,waiting:2,cpu:0.5,avg_ms:12.5,allowed:25,cut_by:0.25";
   const LoadReport report = parse_report(Message(line, 1), "feedback");
-  EXPECT_EQ(report.free_lines, 3.0);
-  EXPECT_EQ(report.lines, 9.0);
+  EXPECT_EQ(report.free_circuits, 3.0);
+  EXPECT_EQ(report.circuits, 9.0);
   EXPECT_EQ(report.messages_active, 1.0);
   EXPECT_EQ(report.messages_waiting, 2.0);
   EXPECT_EQ(report.busy_share, 0.5);
   EXPECT_EQ(report.wait, Duration(std::chrono::microseconds(12500)));
   EXPECT_EQ(report.allowed_per_s, 25.0);
-  EXPECT_EQ(report.hold_back_share, 0.25);
+  EXPECT_EQ(report.shed_fraction, 0.25);
   const LoadReport untold = parse_report(Message("X\tfeedback=spare:3,total:9,avg_ms:-1", 1), "feedback");
   EXPECT_EQ(untold.wait, std::nullopt);
 }
@@ -171,11 +171,11 @@
   EXPECT_EQ(s.processor_reports, ProcessorReports::answers);
   EXPECT_EQ(s.senders, 6U);
   EXPECT_EQ(s.own_index, 2U);
-  EXPECT_EQ(s.fall_window, Duration(std::chrono::seconds(2)));
+  EXPECT_EQ(s.overload_window, Duration(std::chrono::seconds(2)));
   ASSERT_EQ(s.classes.size(), 1U);
-  EXPECT_EQ(s.classes[0].worth, 2.5);
-  EXPECT_EQ(s.classes[0].aim, Duration(std::chrono::milliseconds(1100)));
-  EXPECT_EQ(s.classes[0].mean_hold, Duration(std::chrono::seconds(7)));
+  EXPECT_EQ(s.classes[0].priority_weight, 2.5);
+  EXPECT_EQ(s.classes[0].latency_objective, Duration(std::chrono::milliseconds(1100)));
+  EXPECT_EQ(s.classes[0].mean_holding_time, Duration(std::chrono::seconds(7)));
   EXPECT_EQ(s.classes[0].open_pools, (std::vector<Pool>{Pool{0}, Pool{1}}));
 }
 
