--- a/bench/capacity/sums.cpp
+++ b/bench/capacity/sums.cpp
@@ -235,7 +235,7 @@
     const double listed = given(large ? "listed_large" : "listed");
     const double changes = given(large ? "list_changes_large" : "list_changes_each");
     r.part = "discovery, " + text_of(listed) + " servers listed";
-    r.mechanism = "`back/journal`: server-sent events; `back/setup_servers` keeps connections";
+    r.mechanism = "`back/discovery`: server-sent events; `back/setup_servers` keeps connections";
     r.state = slope("servers_state", listed);
     r.messages = exact(given("comments") + changes) + slope("servers_probes", listed);
     r.bytes = slope("discovery_change_bytes", listed) * changes + exact(given("comments") * given("comment"));
@@ -310,7 +310,7 @@
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
     limits(r);
-    r.verdicts.push_back(bound("kMostMembers"));
+    r.verdicts.push_back(bound("kMaxMembers"));
     r.family = "membership";
     rows.push_back(r);
   }
@@ -338,7 +338,7 @@
     r.bytes = slope("announcer_dealt_bytes", n) * given("dealt");
     r.cpu = slope("control_dealt_cpu", n) * 0.001;
     limits(r);
-    r.verdicts.push_back(bound("control::kLineBound"));
+    r.verdicts.push_back(bound("control::kMaxLineBytes"));
     r.family = "slots dealt by demand";
     r.other_case = true;
     rows.push_back(r);
@@ -440,7 +440,7 @@
     r.messages = exact((given("demands_told") * given("dealt") + given("reports")) * n);
     r.bytes = slope("announcer_dealt_bytes", n) * n;
     r.cpu = slope("announcer_dealt_cpu", n) * (n / 1000.0);
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("control::kLineBound")};
+    r.verdicts = {against(r.cpu, given("core"), "core"), bound("control::kMaxLineBytes")};
     r.family = "slots dealt by demand";
     r.other_case = true;
     rows.push_back(r);
@@ -462,7 +462,7 @@
     r.messages = slope("membership_datagrams", n) * 2.0;
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("kMostMembers")};
+    r.verdicts = {against(r.cpu, given("core"), "core"), bound("kMaxMembers")};
     r.family = "membership";
     r.other_case = true;
     rows.push_back(r);
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -14,8 +14,8 @@
 #include <set>
 
 #include "app/gatekeeper.h"
-#include "control/announcer.h"
 #include "control/control.h"
+#include "control/gap_publisher.h"
 #include "fleet/datagram.h"
 #include "lab/fleet_sim.h"
 #include "limits/gap_register.h"
@@ -235,13 +235,13 @@
   limits::Announcement a;
   a.id = "gap-" + std::to_string(100'000 + i);
   a.version = version;
-  a.by = "operator on duty";
-  a.made = a.start = now;
+  a.author = "operator on duty";
+  a.created_at = a.start = now;
   a.end = now + 1h;
   a.gap.emplace();
   a.gap->criteria.numbers = {std::to_string(4'711'000'000 + i)};
   a.gap->interval = 500ms;
-  a.gap->treatment.words = "lines are kept free";
+  a.gap->treatment.text = "lines are kept free";
   return a;
 }
 
@@ -264,9 +264,9 @@
 class Announced {
  public:
   explicit Announced(std::size_t size) {
-    control::AnnouncerSettings s;
+    control::GapPublisherSettings s;
     s.listen = "127.0.0.1:7300";
-    s.life = 1;
+    s.incarnation = 1;
     for (std::size_t i = 0; i < size; ++i) {
       s.gatekeepers.push_back("10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250) + ":7400");
       control::ControlSettings c;
@@ -279,7 +279,7 @@
       Outbox out;
       desks_.back()->start(now_, out);
     }
-    announcer_ = std::make_unique<control::Announcer>(s);
+    announcer_ = std::make_unique<control::GapPublisher>(s);
     to_announcer({net::Started{}});
     pump();
   }
@@ -387,7 +387,7 @@
   Time now_ = kStart;
   std::vector<std::unique_ptr<Counters>> counters_;
   std::vector<std::unique_ptr<control::Control>> desks_;
-  std::unique_ptr<control::Announcer> announcer_;
+  std::unique_ptr<control::GapPublisher> announcer_;
   std::vector<net::Event> connected_;
   std::vector<Bytes> to_desks_;
   std::vector<Bytes> from_desks_;
--- a/bench/fleet_sim_bench.cpp
+++ b/bench/fleet_sim_bench.cpp
@@ -42,7 +42,7 @@
 }
 
 // The last of those who are up to find it, from now on; nothing: not all did within `most`.
-std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, What what, Duration most) {
+std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, MemberEventKind what, Duration most) {
   const std::string name = FleetSim::name_of(of);
   std::set<std::size_t> by;
   std::size_t looked = sim.found().size();
@@ -51,7 +51,7 @@
   return sim.until(most, [&] {
     for (; looked < sim.found().size(); ++looked) {
       const auto& f = sim.found()[looked];
-      if (f.what.what == what && f.what.record.name == name && f.by != of) by.insert(f.by);
+      if (f.what.kind == what && f.what.record.name == name && f.by != of) by.insert(f.by);
     }
     return by.size() >= there;
   });
@@ -173,13 +173,13 @@
   for (int round = 0; round < rounds; ++round) {
     const std::size_t i = 3 + (static_cast<std::size_t>(round) * 7) % (size - 3);
     sim.kill(i);
-    if (const auto t = known_everywhere(sim, i, What::died, 5s)) killed.push_back(ms(*t));
+    if (const auto t = known_everywhere(sim, i, MemberEventKind::died, 5s)) killed.push_back(ms(*t));
     sim.run(500ms);
     sim.start(i);
-    if (const auto t = known_everywhere(sim, i, What::joined, 5s)) joined.push_back(ms(*t));
+    if (const auto t = known_everywhere(sim, i, MemberEventKind::joined, 5s)) joined.push_back(ms(*t));
     sim.run(1s);
     sim.leave(i);
-    if (const auto t = known_everywhere(sim, i, What::left, 5s)) left.push_back(ms(*t));
+    if (const auto t = known_everywhere(sim, i, MemberEventKind::left, 5s)) left.push_back(ms(*t));
     sim.kill(i);
     sim.run(500ms);
     sim.start(i);
@@ -188,7 +188,7 @@
   for (int round = 0; round < std::min(rounds, 4); ++round) {
     const std::size_t i = 3 + (static_cast<std::size_t>(round) * 11) % (size - 3);
     sim.kill(i, true);
-    if (const auto t = known_everywhere(sim, i, What::died, 20s)) vanished.push_back(ms(*t));
+    if (const auto t = known_everywhere(sim, i, MemberEventKind::died, 20s)) vanished.push_back(ms(*t));
     sim.start(i);
     sim.run(2s);
   }
@@ -298,10 +298,10 @@
   }
   pass(began + span + 15s);
   w.false_deaths = sim.false_deaths();
-  for (const auto& f : sim.found()) w.suspicions += f.what.what == What::suspected ? 1 : 0;
+  for (const auto& f : sim.found()) w.suspicions += f.what.kind == MemberEventKind::suspected ? 1 : 0;
   w.lost = sim.counts().lost;
   sim.kill(4);
-  const auto known = known_everywhere(sim, 4, What::died, 30s);
+  const auto known = known_everywhere(sim, 4, MemberEventKind::died, 30s);
   w.detection_ms = known ? ms(*known) : -1.0;
   return w;
 }
@@ -395,10 +395,14 @@
   };
   weather("with_all", {}, true);
   const std::pair<const char*, bool Refinements::*> kEach[] = {
-      {"indirect", &Refinements::indirect},   {"local_health", &Refinements::local_health},
-      {"shrinking", &Refinements::shrinking}, {"told_at_once", &Refinements::told_at_once},
-      {"refusals", &Refinements::refusals},   {"pauses", &Refinements::pauses},
-      {"checks", &Refinements::checks},       {"anti_entropy", &Refinements::anti_entropy}};
+      {"indirect", &Refinements::indirect_probing},
+      {"local_health", &Refinements::local_health},
+      {"shrinking", &Refinements::shrinking_suspicion},
+      {"told_at_once", &Refinements::notify_suspect_at_once},
+      {"refusals", &Refinements::unreachable_ports},
+      {"pauses", &Refinements::pause_detection},
+      {"checks", &Refinements::verify_reported_deaths},
+      {"anti_entropy", &Refinements::anti_entropy}};
   for (const auto& [name, part] : kEach) {
     Refinements r;
     r.*part = false;
--- a/bench/gap_bench.cpp
+++ b/bench/gap_bench.cpp
@@ -36,7 +36,7 @@
     limits::Announcement a;
     a.id = "g" + std::to_string(i);
     a.version = 1;
-    a.made = a.start = kStart;
+    a.created_at = a.start = kStart;
     a.end = kStart + 1h;
     a.gap.emplace();
     // Numbers, and prefixes of some lengths: each length that is there costs a look-up.
--- a/lab/fleet_sim.h
+++ b/lab/fleet_sim.h
@@ -34,7 +34,7 @@
   struct Found {
     Time at{};
     std::size_t by{};
-    membership::Happened what;
+    membership::MemberEvent what;
   };
   struct Counts {
     std::uint64_t sent = 0;
@@ -66,10 +66,11 @@
     s.name = name_of(i);
     s.advertise = address_of(i);
     s.seeds = {address_of(0), address_of(1), address_of(2)};
-    s.birth = random_();
+    s.start_nonce = random_();
     s.seed = random_();
-    s.life = 1'000'000 + static_cast<membership::Life>(
-                             std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kStart).count());
+    s.incarnation =
+        1'000'000 + static_cast<membership::Incarnation>(
+                        std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kStart).count());
     if (edit_) edit_(i, s);
     n.address = s.advertise;
     n.member = std::make_unique<membership::Membership>(std::move(s));
@@ -105,9 +106,9 @@
       n.late_tick = false;
       tick(i, n.run);
     }
-    for (const Datagram& d : std::exchange(n.waiting, {})) feed(i, membership::Heard{d});
+    for (const Datagram& d : std::exchange(n.waiting, {})) feed(i, membership::DatagramReceived{d});
   }
-  void leave(std::size_t i, bool successor = false) { feed(i, membership::LeaveAsked{successor}); }
+  void leave(std::size_t i, bool successor = false) { feed(i, membership::LeaveRequested{successor}); }
 
   void link(std::size_t from, std::size_t to, const Link& l) { links_[{from, to}] = l; }
   void all_links(const Link& l) {
@@ -176,7 +177,8 @@
   std::size_t false_deaths(const std::set<std::size_t>& but = {}) const {
     std::size_t count = 0;
     for (const Found& f : found_) {
-      if (f.what.what != membership::What::died || f.what.record.evidence == membership::Evidence::replaced)
+      if (f.what.kind != membership::MemberEventKind::died ||
+          f.what.record.evidence == membership::Evidence::replaced)
         continue;
       const std::size_t of = index_of(f.what.record.name);
       count += !but.contains(of) && !but.contains(f.by) ? 1 : 0;
@@ -252,10 +254,10 @@
     membership::Effects effects;
     n.member->step(now_, event, effects);
     for (membership::Effect& e : effects) {
-      if (auto* tell = std::get_if<membership::Tell>(&e)) {
+      if (auto* tell = std::get_if<membership::SendDatagram>(&e)) {
         send(i, tell->address, std::move(tell->datagram));
       } else {
-        found_.push_back({now_, i, std::move(std::get<membership::Happened>(e))});
+        found_.push_back({now_, i, std::move(std::get<membership::MemberEvent>(e))});
       }
     }
   }
@@ -288,7 +290,7 @@
     if (!nodes_[to].up && !nodes_[to].vanished) {
       ++counts_.refused;
       push(arrives + draw(l.least, l.most), [this, from, address, run = nodes_[from].run] {
-        if (nodes_[from].run == run) feed(from, membership::Refused{address});
+        if (nodes_[from].run == run) feed(from, membership::PortUnreachable{address});
       });
       return;
     }
@@ -310,7 +312,7 @@
       if (n.waiting.size() < kSocketHolds) n.waiting.push_back(d);
       return;
     }
-    feed(to, membership::Heard{d});
+    feed(to, membership::DatagramReceived{d});
   }
 
   std::mt19937_64 random_;
--- a/lab/hollow.cpp
+++ b/lab/hollow.cpp
@@ -84,7 +84,7 @@
     control::ControlSettings s = *deploy.control;
     s.name = config_.name;
     s.seed = config_.seed;
-    s.longest_wait = config_.settings.max_retry_after;
+    s.max_retry_after = config_.settings.max_retry_after;
     control_.emplace(std::move(s), counters_);
   }
   if (deploy.fleet) fleet_.emplace(*deploy.fleet, counters_);
--- a/lab/hollow_main.cpp
+++ b/lab/hollow_main.cpp
@@ -104,8 +104,8 @@
     }
     if (deploy.fleet) {
       deploy.fleet->key = *key;
-      deploy.fleet->membership.birth = deploy.fleet->membership.seed = std::hash<std::string>{}(c.name);
-      deploy.fleet->membership.life = static_cast<membership::Life>(now_ns() / 1'000'000);
+      deploy.fleet->membership.start_nonce = deploy.fleet->membership.seed = std::hash<std::string>{}(c.name);
+      deploy.fleet->membership.incarnation = static_cast<membership::Incarnation>(now_ns() / 1'000'000);
     }
     all.emplace_back(std::move(c), std::move(deploy));
   }
--- a/src/app/gatekeeper.cpp
+++ b/src/app/gatekeeper.cpp
@@ -64,7 +64,7 @@
   control::ControlSettings s = deploy.control.value_or(control::ControlSettings{});
   s.name = config.name;
   s.seed = config.seed;
-  s.longest_wait = config.settings.max_retry_after;
+  s.max_retry_after = config.settings.max_retry_after;
   return s;
 }
 
@@ -142,35 +142,37 @@
   part(net::Concern::fleet) = handler_of(fleet_);
   if (subscription_) {
     part(net::Concern::configuration) = handler_of(*subscription_);
-    control_.answers("configuration", [this](Time, const nlohmann::json& line, Outbox&) {
+    control_.add_operation("configuration", [this](Time, const nlohmann::json& line, Outbox&) {
       return subscription_->answer(line);
     });
   }
   if (deploy_.fleet) {
-    control_.answers("fleet", [this](Time now, const nlohmann::json& line, Outbox& out) {
+    control_.add_operation("fleet", [this](Time now, const nlohmann::json& line, Outbox& out) {
       return fleet_.answer(now, line, out);
     });
     fleet_.places(
-        {[this](Time now, bool holds) { control_.holds_place(now, holds); },
-         [this](Time now, const std::string& name, Time asked) { control_.absent(now, name, asked); },
-         [this](Time now) { return control_.to_ask(now); }});
-    fleet_.watch([this](Time now, const membership::Happened& e, Outbox& out) {
-      if (e.what == membership::What::joined) control_.present(e.record.name);
-      control_.tell_watchers(now,
-                             {{"event", "fleet"},
-                              {"what", membership::word_of(e.what)},
-                              {"member", e.record.name},
-                              {"life", e.record.life},
-                              {"evidence", e.evidence}},
-                             out);
+        {[this](Time now, bool holds) { control_.set_place_owned(now, holds); },
+         [this](Time now, const std::string& name, Time asked) { control_.port_released(now, name, asked); },
+         [this](Time now) { return control_.ports_to_watch(now); }});
+    fleet_.watch([this](Time now, const membership::MemberEvent& e, Outbox& out) {
+      if (e.kind == membership::MemberEventKind::joined) control_.member_joined(e.record.name);
+      control_.notify_watchers(now,
+                               {{"event", "fleet"},
+                                {"what", membership::to_string(e.kind)},
+                                {"member", e.record.name},
+                                {"life", e.record.incarnation},
+                                {"evidence", e.evidence}},
+                               out);
     });
   }
   management_.answers("readyz", [this](Time now) { return readiness(now); });
   management_.answers("telemetry", [this](Time now) { return telemetry(now); });
   if (deploy_.control) {
-    sip_.share_gaps(
-        {[this](Time now) { return control_.gaps().list(now); }, [this] { return control_.gaps().digest(); },
-         [this](Time now, const limits::Announcement& a, Outbox& out) { control_.hold(now, a, out); }});
+    sip_.share_gaps({[this](Time now) { return control_.gaps().list(now); },
+                     [this] { return control_.gaps().digest(); },
+                     [this](Time now, const limits::Announcement& a, Outbox& out) {
+                       control_.store_announcement(now, a, out);
+                     }});
   }
   part(net::Concern::discovery) = [this, step = handler_of(journal_)](Time now, const net::Event& event,
                                                                       Outbox& out) {
--- a/src/cli/announcer.cpp
+++ b/src/cli/gap_publisher.cpp
@@ -1,5 +1,5 @@
 // graniterun_announcer: holds a fleet's call gaps and pushes them to every gatekeeper.
-#include "control/announcer.h"
+#include "control/gap_publisher.h"
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -13,7 +13,7 @@
 using namespace graniterun;
 
 int run(int argc, char** argv) {
-  control::AnnouncerSettings s;
+  control::GapPublisherSettings s;
   CLI::App app{"Holds the call gaps of a fleet, pushes them to every gatekeeper, and deals its slots."};
   app.add_option("--listen", s.listen, "where operators connect, address:port")->required();
   app.add_option("--gatekeeper", s.gatekeepers, "control addresses of all gatekeepers of the fleet")
@@ -23,8 +23,8 @@
   app.add_option("--name", s.name, "its name in answers")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   std::random_device device;
-  s.life = std::uint64_t{device()} << 32 | device();
-  control::Announcer announcer(std::move(s));
+  s.incarnation = std::uint64_t{device()} << 32 | device();
+  control::GapPublisher announcer(std::move(s));
   net::Runtime runtime({}, net::Logger(net::Level::info));
   return runtime.run([&announcer](Time now, const net::Event& event, net::Effects& effects) {
     announcer.step(now, event, effects);
--- a/src/cli/graniterunctl.cpp
+++ b/src/cli/graniterunctl.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 
 #include "control/config_ctl.h"
-#include "control/ctl.h"
+#include "control/gap_client.h"
 #include "net/runtime.h"
 
 namespace {
@@ -73,12 +73,12 @@
 
 limits::Announcement announcement_of(const Options& o, Time now, bool lifted) {
   limits::Announcement a;
-  const std::int64_t ms = to_ms(now);
+  const std::int64_t ms = to_unix_ms(now);
   a.id = o.id;
-  a.by = o.by;
+  a.author = o.by;
   // The time as version: of two announcements the later one holds, and nobody has to ask which was the last.
   a.version = o.version != 0 ? o.version : static_cast<std::uint64_t>(ms);
-  a.made = a.start = a.end = from_ms(ms);
+  a.created_at = a.start = a.end = from_unix_ms(ms);
   if (lifted) return a;
   a.start += duration_of(o.starts_in, "--in");
   a.end = a.start + duration_of(o.lasts, "--for");
@@ -96,7 +96,7 @@
     if (o.one_in != "none") g.interval = duration_of(o.one_in, "--one-in");
   }
   a.gap = std::move(g);
-  if (const std::string trouble = limits::trouble_with(a, now); !trouble.empty())
+  if (const std::string trouble = limits::find_error(a, now); !trouble.empty())
     throw CLI::ValidationError("gap", trouble);
   return a;
 }
@@ -159,7 +159,7 @@
   }
   try {
     text = canonical_patch(text);
-  } catch (const BadLine& trouble) {
+  } catch (const ProtocolError& trouble) {
     throw CLI::ValidationError("publish", trouble.what());
   }
   if (const std::string trouble = trouble_with(o.service, text); !trouble.empty())
@@ -238,32 +238,32 @@
         ->capture_default_str();
 
   const ConfigCommands config = add_config(app, c);
-  CtlSettings s;
+  GapClientSettings s;
   ConfigCtlSettings config_settings;
   try {
     app.parse(argc, argv);
     if (config.parsed()) {
       config_settings = settings_of(config, c);
     } else {
-      s.to = o.to;
+      s.addresses = o.to;
       s.json = o.json;
       const bool watches = watch->parsed() || events->parsed();
-      s.within = duration_of(watches ? o.watch_for : o.within, "--within");
-      s.what = list->parsed()      ? CtlSettings::What::list
-               : watches           ? CtlSettings::What::watch
-               : members->parsed() ? CtlSettings::What::members
-               : view->parsed()    ? CtlSettings::What::view
-               : leave->parsed()   ? CtlSettings::What::leave
-                                   : CtlSettings::What::announce;
+      s.timeout = duration_of(watches ? o.watch_for : o.within, "--within");
+      s.command = list->parsed()      ? GapClientSettings::Command::list
+                  : watches           ? GapClientSettings::Command::watch
+                  : members->parsed() ? GapClientSettings::Command::members
+                  : view->parsed()    ? GapClientSettings::Command::view
+                  : leave->parsed()   ? GapClientSettings::Command::leave
+                                      : GapClientSettings::Command::announce;
       if (announce->parsed() || lift->parsed())
         s.announcement = announcement_of(o, net::clock_now(), lift->parsed());
     }
   } catch (const CLI::ParseError& trouble) {
     const int status = app.exit(trouble);
-    return status == 0 ? 0 : Ctl::kUsage;
+    return status == 0 ? 0 : GapClient::kUsage;
   }
   if (config.parsed()) return run_to_the_end(ConfigCtl(std::move(config_settings)));
-  return run_to_the_end(Ctl(std::move(s)));
+  return run_to_the_end(GapClient(std::move(s)));
 }
 
 }  // namespace
@@ -274,6 +274,6 @@
     return run(argc, argv);
   } catch (const std::exception& trouble) {
     std::cerr << "graniterunctl: " << trouble.what() << '\n';
-    return Ctl::kUsage;
+    return GapClient::kUsage;
   }
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -254,29 +254,30 @@
   constexpr std::int64_t kDayMs = 86'400'000;
   control::ControlSettings c;
   c.listen = text(control, "listen");
-  c.most_connections = static_cast<std::size_t>(whole(control, "connections", 32, 1, 1024));
+  c.max_connections = static_cast<std::size_t>(whole(control, "connections", 32, 1, 1024));
   c.fleet.size = static_cast<std::uint32_t>(whole(gaps, "fleet_size", fleet.size, 1, 1024));
   c.fleet.index = static_cast<std::uint32_t>(whole(gaps, "fleet_index", fleet.index, 0, 1023));
   if (c.fleet.index >= c.fleet.size) throw BadConfig("'fleet_index' is not below 'fleet_size'");
-  c.wait_for_announcer = milliseconds(whole(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
+  c.publisher_wait = milliseconds(whole(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
   if (!gaps.contains("hot")) return c;
   const json& hot = gaps["hot"];
   limits::HotSettings h;
-  h.hot_from = static_cast<double>(whole(hot, "from_per_second", 20, 1, 1'000'000));
-  h.cool_below = static_cast<double>(whole(hot, "below_per_second", 5, 0, 1'000'000));
-  if (h.cool_below >= h.hot_from) throw BadConfig("'below_per_second' is not below 'from_per_second'");
-  h.hot_for = milliseconds(whole(hot, "hot_after_ms", 2000, 0, kDayMs));
-  h.cool_for = milliseconds(whole(hot, "cool_after_ms", 30'000, 0, kDayMs));
-  h.most_gaps = static_cast<std::size_t>(whole(hot, "gaps", 0, 0, 100));
+  h.hot_threshold = static_cast<double>(whole(hot, "from_per_second", 20, 1, 1'000'000));
+  h.cool_threshold = static_cast<double>(whole(hot, "below_per_second", 5, 0, 1'000'000));
+  if (h.cool_threshold >= h.hot_threshold)
+    throw BadConfig("'below_per_second' is not below 'from_per_second'");
+  h.hot_duration = milliseconds(whole(hot, "hot_after_ms", 2000, 0, kDayMs));
+  h.cool_duration = milliseconds(whole(hot, "cool_after_ms", 30'000, 0, kDayMs));
+  h.max_gaps = static_cast<std::size_t>(whole(hot, "gaps", 0, 0, 100));
   c.hot = h;
-  c.hot_interval = milliseconds(whole(hot, "interval_ms", 1000, 10, kDayMs));
-  c.hot_lasts = milliseconds(whole(hot, "lasts_ms", 900'000, 1000, kDayMs));
+  c.hot_gap_interval = milliseconds(whole(hot, "interval_ms", 1000, 10, kDayMs));
+  c.hot_gap_duration = milliseconds(whole(hot, "lasts_ms", 900'000, 1000, kDayMs));
   return c;
 }
 
 std::string address_in(const json& object, const char* name) {
   const std::string address = text(object, name);
-  if (!is_address(address) || address.size() > membership::kLongestAddress)
+  if (!is_address(address) || address.size() > membership::kMaxAddressLength)
     throw BadConfig("'" + std::string(name) + "' is '" + address + "', not an address and a port");
   return address;
 }
@@ -304,27 +305,27 @@
   }
   fleet::FleetSettings f;
   f.fleet = text(fleet, "name");
-  if (f.fleet.empty() || f.fleet.size() > membership::kLongestName)
+  if (f.fleet.empty() || f.fleet.size() > membership::kMaxNameLength)
     throw BadConfig("the fleet's 'name' is not 1 to 64 bytes long");
   f.listen = address_in(fleet, "listen");
   membership::Settings& m = f.membership;
   m.name = name;
-  if (m.name.empty() || m.name.size() > membership::kLongestName)
+  if (m.name.empty() || m.name.size() > membership::kMaxNameLength)
     throw BadConfig("this gatekeeper's name is not 1 to 64 bytes long: a fleet needs one");
   m.advertise = fleet.contains("advertise") ? address_in(fleet, "advertise") : f.listen;
-  m.seeds = names_in(fleet, "seeds", 64, membership::kLongestAddress);
+  m.seeds = names_in(fleet, "seeds", 64, membership::kMaxAddressLength);
   for (const std::string& seed : m.seeds) {
     if (!is_address(seed)) throw BadConfig("the seed '" + seed + "' is not an address and a port");
   }
-  for (std::string& one : names_in(fleet, "roster", membership::kMostMembers, membership::kLongestName))
-    m.roster.insert(std::move(one));
-  if (!m.roster.empty() && !m.roster.contains(m.name))
+  for (std::string& one : names_in(fleet, "roster", membership::kMaxMembers, membership::kMaxNameLength))
+    m.allowed_names.insert(std::move(one));
+  if (!m.allowed_names.empty() && !m.allowed_names.contains(m.name))
     throw BadConfig("the 'roster' does not hold this gatekeeper's own name, '" + m.name + "'");
-  m.period = milliseconds(whole(fleet, "period_ms", 250, 50, 10'000));
-  m.ack_within = m.period * 2 / 5;
-  m.gossip_every = m.period * 2 / 5;
-  m.suspicion_least = milliseconds(whole(fleet, "suspicion_ms", 3000, 200, 600'000));
-  m.suspicion_most = 2 * m.suspicion_least;
+  m.probe_interval = milliseconds(whole(fleet, "period_ms", 250, 50, 10'000));
+  m.ack_timeout = m.probe_interval * 2 / 5;
+  m.gossip_interval = m.probe_interval * 2 / 5;
+  m.min_suspicion_timeout = milliseconds(whole(fleet, "suspicion_ms", 3000, 200, 600'000));
+  m.max_suspicion_timeout = 2 * m.min_suspicion_timeout;
   c.fleet_key_file = text(fleet, "key_file");
   c.fleet_clock_offset_ms = whole(fleet, "clock_offset_ms", 0, -86'400'000, 86'400'000);
   c.fleet = std::move(f);
@@ -351,7 +352,7 @@
   if (name.empty() || name.size() > kLongestName ||
       std::any_of(name.begin(), name.end(), [](unsigned char one) { return one < 0x20 || one == 0x7f; }))
     throw BadConfig("this gatekeeper's name is not 1 to 255 bytes long without control characters");
-  s.distributors = list("distributors", distribution::kMostDistributors, membership::kLongestAddress);
+  s.distributors = list("distributors", distribution::kMostDistributors, membership::kMaxAddressLength);
   for (const std::string& one : s.distributors) {
     if (!is_address(one)) throw BadConfig("the distributor '" + one + "' is not an address and a port");
   }
@@ -411,7 +412,7 @@
       c.control = read_control(whole_file["control"], whole_file.value("gaps", json::object()), fleet);
     if (whole_file.contains("fleet")) {
       read_fleet(whole_file["fleet"], name, c);
-      const auto& roster = c.fleet->membership.roster;
+      const auto& roster = c.fleet->membership.allowed_names;
       const json& gaps = whole_file.value("gaps", json::object());
       // Who knows who belongs to the fleet knows its size and its own place there.
       if (c.control && !roster.empty()) {
--- a/src/control/config_ctl.cpp
+++ b/src/control/config_ctl.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Duration kConnectWithin = 1s;
+constexpr Duration kConnectTimeout = 1s;
 constexpr Duration kAskEvery = 200ms;
 constexpr Duration kLateAnswer = 1s;
 constexpr std::size_t kNamesAsked = 100;  // in one question, and of so many bytes
@@ -17,12 +17,13 @@
 constexpr std::int64_t kMostCount = 1'000'000'000;
 
 std::size_t count_in(const json& object, const char* name) {
-  return static_cast<std::size_t>(whole_in(object, name, 0, kMostCount));
+  return static_cast<std::size_t>(integer_in(object, name, 0, kMostCount));
 }
 
 const json& list_in(const json& object, const char* name) {
   const auto it = object.find(name);
-  if (it == object.end() || !it->is_array()) throw BadLine(std::string("there is no list '") + name + "'");
+  if (it == object.end() || !it->is_array())
+    throw ProtocolError(std::string("there is no list '") + name + "'");
   return *it;
 }
 
@@ -86,7 +87,7 @@
 void ConfigCtl::on(Time now, const net::Started&, Outbox& out) {
   for (std::uint32_t i = 0; i < targets_.size(); ++i)
     out.net.push_back(
-        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectWithin});
+        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectTimeout});
   out.arm(net::Concern::process, 0, now + settings_.within);
   round_began_ = now;
 }
@@ -222,7 +223,7 @@
         {{"service", settings_.service}, {"committed", false}, {"by", t.name}, {"trouble", why}});
     return stop(kNotAll, out);
   }
-  version_ = static_cast<distribution::Version>(whole_in(line, "version", 1, std::int64_t{1} << 53));
+  version_ = static_cast<distribution::Version>(integer_in(line, "version", 1, std::int64_t{1} << 53));
   digest_ = text_in(line, "digest");
   by_ = t.name;
   if (!settings_.wait) return finish(out);
@@ -246,11 +247,11 @@
 }
 
 void ConfigCtl::take_status(Target& t, const json& line, Outbox& out) {
-  if (stage_ != Stage::statuses) throw BadLine("a status that nobody asked for");
+  if (stage_ != Stage::statuses) throw ProtocolError("a status that nobody asked for");
   t.standing = text_in(line, "standing");
   const auto read = [&](const json& one) {
     Part part;
-    part.version = static_cast<distribution::Version>(whole_in(one, "version", 0, std::int64_t{1} << 53));
+    part.version = static_cast<distribution::Version>(integer_in(one, "version", 0, std::int64_t{1} << 53));
     if (one.contains("digest")) part.digest = text_in(one, "digest");
     part.subscribed = count_in(one, "subscribed");
     part.in_force = count_in(one, "in_force");
@@ -261,7 +262,7 @@
   json next = {{"op", "config"}, {"what", "status"}};
   if (line.contains("services")) {
     for (const json& one : list_in(line, "services")) {
-      if (!one.is_object()) throw BadLine("'services' holds what is no object");
+      if (!one.is_object()) throw ProtocolError("'services' holds what is no object");
       t.parts[text_in(one, "service")] = read(one);
     }
     if (!flag_in(line, "more") || t.parts.empty()) {
@@ -274,7 +275,7 @@
     if (!t.parts.contains(service)) {  // the first line of several
       Part part = read(line);
       for (const json& r : list_in(line, "refused")) {
-        if (!r.is_object()) throw BadLine("'refused' holds what is no object");
+        if (!r.is_object()) throw ProtocolError("'refused' holds what is no object");
         part.refused.push_back({text_in(r, "name"), text_in(r, "reason")});
       }
       for (const json& name : list_in(line, "behind")) {
@@ -284,8 +285,8 @@
     }
     const json& lost = list_in(line, "lost");
     for (const json& l : lost) {
-      if (!l.is_object()) throw BadLine("'lost' holds what is no object");
-      t.lost[text_in(l, "name")] = whole_in(l, "ago_ms", 0, std::int64_t{1} << 53);
+      if (!l.is_object()) throw ProtocolError("'lost' holds what is no object");
+      t.lost[text_in(l, "name")] = integer_in(l, "ago_ms", 0, std::int64_t{1} << 53);
     }
     if (!flag_in(line, "more") || lost.empty()) {
       t.owed = 0;
--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -10,9 +10,9 @@
 using namespace distribution;
 
 constexpr Duration kTick = 50ms;
-constexpr Duration kConnectWithin = 1s;
-constexpr Duration kIdle = 20s;  // four beats: who is there answers each
-constexpr Duration kLook = 250ms;
+constexpr Duration kConnectTimeout = 1s;
+constexpr Duration kIdleTimeout = 20s;  // four beats: who is there answers each
+constexpr Duration kReapInterval = 250ms;
 constexpr std::size_t kMostPublishing = 256;  // of all operators together
 constexpr std::size_t kMostPublishingOfOne = 16;
 constexpr std::size_t kMostNamed = 100;            // names in one question
@@ -22,7 +22,7 @@
 constexpr std::size_t kBehindBytes = 6 * 1024;
 constexpr std::size_t kLostBytes = 8 * 1024;
 
-std::string_view word_of(DistributorTold told) {
+std::string_view to_string(DistributorTold told) {
   constexpr std::string_view kWords[] = {"committed", "accepted", "turned_down",  "given_up", "stale",
                                          "conflict",  "unsound",  "learned_back", "standing", "full"};
   return kWords[static_cast<std::size_t>(told)];
@@ -58,7 +58,7 @@
       others_(std::move(others)),
       core_({settings_.name, settings_.peers.size(), settings_.key, settings_.bytes_per_second,
              settings_.seed}),
-      reaper_(settings_.most_connections, kIdle),
+      reaper_(settings_.most_connections, kIdleTimeout),
       random_(settings_.seed ^ 0x9E3779B97F4A7C15U) {
   for (const std::string& address : settings_.peers) {
     Peer peer;
@@ -159,7 +159,7 @@
       }
       restored_.records.emplace(service, std::move(record));
     }
-  } catch (const BadLine& trouble) {
+  } catch (const ProtocolError& trouble) {
     return no_use(e.path, trouble.what(), out);
   }
   unread_.erase(bucket);
@@ -242,7 +242,8 @@
     answer["digest"] = hex_of(e.stamp.digest);
   } else {
     answer["trouble"] = e.why;
-    answer["standing"] = control::word_of(core_.standing());  // without a vote nothing was begun: another may
+    answer["standing"] =
+        control::to_string(core_.standing());  // without a vote nothing was begun: another may
   }
   if (const auto caller = callers_.find(asked.conn); caller != callers_.end()) {
     if (caller->second.publishes > 0) --caller->second.publishes;
@@ -251,12 +252,12 @@
 }
 
 void ConfigDistributor::carry_out(Time now, const DistributorHappened& e, Outbox& out) {
-  const std::string word(word_of(e.what));
+  const std::string word(to_string(e.what));
   counters_.add("distributor." + word);
   if (e.what == DistributorTold::committed || e.what == DistributorTold::accepted) return;
   if (e.what == DistributorTold::standing) {
     out.log(net::Level::info,
-            "this distributor's standing is now " + std::string(control::word_of(core_.standing())));
+            "this distributor's standing is now " + std::string(control::to_string(core_.standing())));
     return;
   }
   std::string text = word;
@@ -416,7 +417,7 @@
   if (what == "status")
     return reply(conn, what, line.contains("service") ? status_of(now, line) : all_services(line), out);
   if (what == "attached") return reply(conn, what, attached(line), out);
-  throw BadLine("'what' is not one of publish, status, attached");
+  throw ProtocolError("'what' is not one of publish, status, attached");
 }
 
 void ConfigDistributor::publish(Time now, net::ConnId conn, const json& line, Outbox& out) {
@@ -430,7 +431,7 @@
   std::string content;
   try {
     content = canonical_patch(text_in(line, "content"));
-  } catch (const BadLine& trouble) {
+  } catch (const ProtocolError& trouble) {
     return refuse(trouble.what());
   }
   if (const std::string trouble = trouble_with(service, content); !trouble.empty()) return refuse(trouble);
@@ -444,12 +445,12 @@
 
 json ConfigDistributor::status_of(Time now, const json& line) const {
   const std::string service = text_in(line, "service");
-  if (!is_service(service)) throw BadLine("'service' is no service's name");
+  if (!is_service(service)) throw ProtocolError("'service' is no service's name");
   const std::string after = line.contains("after") ? text_in(line, "after") : "";
   const Distributor::Status status = core_.status(service);
   json answer = {{"ok", true},
                  {"service", service},
-                 {"standing", control::word_of(core_.standing())},
+                 {"standing", control::to_string(core_.standing())},
                  {"version", status.committed.version},
                  {"subscribed", status.subscribed},
                  {"in_force", status.in_force},
@@ -489,7 +490,7 @@
 json ConfigDistributor::all_services(const json& line) const {
   const std::string after = line.contains("after") ? text_in(line, "after") : "";
   json answer = {{"ok", true},
-                 {"standing", control::word_of(core_.standing())},
+                 {"standing", control::to_string(core_.standing())},
                  {"services", json::array()},
                  {"more", false}};
   const auto& records = core_.records();
@@ -514,10 +515,10 @@
 json ConfigDistributor::attached(const json& line) const {
   const auto names = line.find("names");
   if (names == line.end() || !names->is_array() || names->size() > kMostNamed)
-    throw BadLine("'names' is not a list of at most " + std::to_string(kMostNamed) + " names");
+    throw ProtocolError("'names' is not a list of at most " + std::to_string(kMostNamed) + " names");
   json here = json::array();
   for (const json& one : *names) {
-    if (!one.is_string()) throw BadLine("'names' holds what is not text");
+    if (!one.is_string()) throw ProtocolError("'names' holds what is not text");
     const std::string name = one.get<std::string>();
     if (core_.attached(name)) here.push_back(name);
   }
@@ -538,10 +539,10 @@
     }
     if (peer.conn != 0 || now < peer.next_connect) continue;
     peer.conn = ++last_conn_;
-    out.net.push_back(net::Connect{{net::Concern::control_client, peer.conn}, peer.address, kConnectWithin});
+    out.net.push_back(net::Connect{{net::Concern::control_client, peer.conn}, peer.address, kConnectTimeout});
   }
   if (now < next_look_) return;
-  next_look_ = now + kLook;
+  next_look_ = now + kReapInterval;
   const auto waits = [this](net::ConnId c) {
     const auto it = callers_.find(c);
     return it != callers_.end() && it->second.publishes > 0;
@@ -568,7 +569,7 @@
   for (const auto& [name, value] : all.all()) text += name + " " + std::to_string(value) + "\n";
   std::size_t up = 0;
   for (const Peer& peer : peers_) up += peer.up ? 1 : 0;
-  text += "distributor.now.standing_" + std::string(control::word_of(core_.standing())) + " 1\n";
+  text += "distributor.now.standing_" + std::string(control::to_string(core_.standing())) + " 1\n";
   text += "distributor.now.services " + std::to_string(core_.records().size()) + "\n";
   text += "distributor.now.clients " + std::to_string(core_.clients()) + "\n";
   text += "distributor.now.connections " + std::to_string(callers_.size()) + "\n";
--- a/src/control/config_lines.cpp
+++ b/src/control/config_lines.cpp
@@ -21,46 +21,47 @@
 
 const json& object_in(const json& object, const char* name) {
   const auto it = object.find(name);
-  if (it == object.end() || !it->is_object()) throw BadLine(std::string("there is no object '") + name + "'");
+  if (it == object.end() || !it->is_object())
+    throw ProtocolError(std::string("there is no object '") + name + "'");
   return *it;
 }
 
 const json& list_in(const json& object, const char* name, std::size_t most) {
   const auto it = object.find(name);
   if (it == object.end() || !it->is_array() || it->size() > most)
-    throw BadLine(std::string("'") + name + "' is not a list of at most " + std::to_string(most));
+    throw ProtocolError(std::string("'") + name + "' is not a list of at most " + std::to_string(most));
   return *it;
 }
 
 bool flag_in(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end() || !it->is_boolean())
-    throw BadLine(std::string("'") + name + "' is neither true nor false");
+    throw ProtocolError(std::string("'") + name + "' is neither true nor false");
   return it->get<bool>();
 }
 
 Version version_in(const json& object, const char* name, std::int64_t least = 1) {
-  return static_cast<Version>(whole_in(object, name, least, kMostVersion));
+  return static_cast<Version>(integer_in(object, name, least, kMostVersion));
 }
 
 std::uint64_t number_in(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end() || !it->is_number_unsigned())
-    throw BadLine(std::string("'") + name + "' is not a whole number");
+    throw ProtocolError(std::string("'") + name + "' is not a whole number");
   return it->get<std::uint64_t>();
 }
 
 std::string service_in(const json& object) {
   std::string service = text_in(object, "service");
   if (!is_service(service))
-    throw BadLine("'service' is not 1 to " + std::to_string(kLongestService) +
-                  " of letters, digits, '.', '-' and '_'");
+    throw ProtocolError("'service' is not 1 to " + std::to_string(kLongestService) +
+                        " of letters, digits, '.', '-' and '_'");
   return service;
 }
 
 std::string name_in(const json& object) {
   std::string name = text_in(object, "name");
-  if (!is_gatekeeper(name)) throw BadLine("'name' is not 1 to 255 bytes without control characters");
+  if (!is_gatekeeper(name)) throw ProtocolError("'name' is not 1 to 255 bytes without control characters");
   return name;
 }
 
@@ -68,7 +69,7 @@
   if (!object.contains("reason")) return {};
   std::string reason = text_in(object, "reason");
   if (reason.size() > kLongestReason)
-    throw BadLine("'reason' is longer than " + std::to_string(kLongestReason) + " bytes");
+    throw ProtocolError("'reason' is longer than " + std::to_string(kLongestReason) + " bytes");
   return reason;
 }
 
@@ -81,7 +82,8 @@
 Stamp stamp_in(const json& object) {
   Stamp stamp;
   stamp.version = version_in(object, "version");
-  if (!digest_in(text_in(object, "digest"), stamp.digest)) throw BadLine("'digest' is not 64 hex digits");
+  if (!digest_in(text_in(object, "digest"), stamp.digest))
+    throw ProtocolError("'digest' is not 64 hex digits");
   return stamp;
 }
 
@@ -105,7 +107,7 @@
 std::string content_in(const json& object) {
   std::string content = text_in(object, "content");
   if (content.empty() || content.size() > kLargestDocument)
-    throw BadLine("'content' is not 1 to " + std::to_string(kLargestDocument) + " bytes");
+    throw ProtocolError("'content' is not 1 to " + std::to_string(kLargestDocument) + " bytes");
   return content;
 }
 
@@ -116,7 +118,7 @@
 std::vector<Noticed::Entry> entries_in(const json& object, const char* name, std::size_t most) {
   std::vector<Noticed::Entry> all;
   for (const json& one : list_in(object, name, most)) {
-    if (!one.is_object()) throw BadLine(std::string("'") + name + "' holds what is no object");
+    if (!one.is_object()) throw ProtocolError(std::string("'") + name + "' holds what is no object");
     all.push_back({service_in(one), stamp_or_none_in(one)});
   }
   return all;
@@ -125,7 +127,7 @@
 Standing standing_in(const json& object) {
   const std::string word = text_in(object, "standing");
   const auto known = std::find(std::begin(kStandings), std::end(kStandings), word);
-  if (known == std::end(kStandings)) throw BadLine("'standing' is not one of new, recovering, voting");
+  if (known == std::end(kStandings)) throw ProtocolError("'standing' is not one of new, recovering, voting");
   return static_cast<Standing>(known - std::begin(kStandings));
 }
 
@@ -144,13 +146,13 @@
 
 json parsed_line(std::string_view line) {
   json object = json::parse(line, nullptr, false);
-  if (object.is_discarded() || !object.is_object()) throw BadLine("the line is not a JSON object");
+  if (object.is_discarded() || !object.is_object()) throw ProtocolError("the line is not a JSON object");
   return object;
 }
 
 }  // namespace
 
-std::string_view word_of(Standing standing) { return kStandings[static_cast<std::size_t>(standing)]; }
+std::string_view to_string(Standing standing) { return kStandings[static_cast<std::size_t>(standing)]; }
 
 bool is_gatekeeper(std::string_view name) {
   return !name.empty() && name.size() <= kLongestGatekeeper &&
@@ -187,7 +189,7 @@
 json beat_answer_line() { return {{"op", "beat"}}; }
 
 std::optional<DistributorEvent> client_event_of(ClientId client, const json& line) {
-  if (!line.is_object()) throw BadLine("the line is not a JSON object");
+  if (!line.is_object()) throw ProtocolError("the line is not a JSON object");
   const std::string op = text_in(line, "op");
   if (op == "subscribe") {
     Subscribed s{client, name_in(line), false, {}, false};
@@ -207,7 +209,7 @@
   if (op == "propose")
     return Proposed{client, number_in(line, "proposal"), document_in(object_in(line, "document"))};
   if (op == "beat") return std::nullopt;
-  throw BadLine("'op' is not one of subscribe, primary, heard, fetch, has, hand, propose, beat");
+  throw ProtocolError("'op' is not one of subscribe, primary, heard, fetch, has, hand, propose, beat");
 }
 
 // ---- from a distributor
@@ -221,7 +223,7 @@
   return {{"event", "notices"},
           {"entries", std::move(all)},
           {"complete", notice.complete},
-          {"standing", word_of(notice.standing)}};
+          {"standing", to_string(notice.standing)}};
 }
 json document_line(const Document& document) {
   json line = to_json(document);
@@ -239,7 +241,7 @@
 }
 
 SubscriberEvent subscriber_event_of(std::uint32_t source, const json& line) {
-  if (!line.is_object()) throw BadLine("the line is not a JSON object");
+  if (!line.is_object()) throw ProtocolError("the line is not a JSON object");
   const std::string event = text_in(line, "event");
   if (event == "notices")
     return Noticed{source, entries_in(line, "entries", kMostNoticed), flag_in(line, "complete")};
@@ -247,16 +249,16 @@
   if (event == "missing") return NotThere{source, service_in(line)};
   if (event == "ask") return Wanted{source, service_in(line)};
   if (event == "beat") return Beat{source};
-  throw BadLine("'event' is not one of notices, document, missing, ask, beat");
+  throw ProtocolError("'event' is not one of notices, document, missing, ask, beat");
 }
 
 std::optional<DistributorEvent> peer_event_of(std::uint32_t peer, const json& line) {
-  if (!line.is_object()) throw BadLine("the line is not a JSON object");
+  if (!line.is_object()) throw ProtocolError("the line is not a JSON object");
   const std::string event = text_in(line, "event");
   if (event == "notices") {
     PeerNoticed noticed{peer, {}, flag_in(line, "complete"), standing_in(line)};
     for (const json& one : list_in(line, "entries", kMostNoticed)) {
-      if (!one.is_object()) throw BadLine("'entries' holds what is no object");
+      if (!one.is_object()) throw ProtocolError("'entries' holds what is no object");
       noticed.entries.push_back({service_in(one), stamp_or_none_in(one), version_in(one, "seen", 0)});
     }
     return noticed;
@@ -267,7 +269,7 @@
     return PeerAnswered{peer, number_in(line, "proposal"), flag_in(line, "accepted"),
                         version_in(line, "seen", 0)};
   if (event == "beat") return std::nullopt;
-  throw BadLine("'event' is not one of notices, document, missing, proposal, beat");
+  throw ProtocolError("'event' is not one of notices, document, missing, proposal, beat");
 }
 
 // ---- what is saved
@@ -287,7 +289,7 @@
   std::map<std::string, Record> records;
   while (!text.empty()) {
     const std::size_t end = text.find('\n');
-    if (end == std::string_view::npos) throw BadLine("the last line has no end");
+    if (end == std::string_view::npos) throw ProtocolError("the last line has no end");
     const json line = parsed_line(text.substr(0, end));
     text.remove_prefix(end + 1);
     const std::string service = service_in(line);
@@ -295,9 +297,10 @@
     record.committed = saved_in(line, "committed", service);
     record.accepted = saved_in(line, "accepted", service);
     record.seen = version_in(line, "seen", 0);
-    if (records.size() >= kMostServices) throw BadLine("there are more services than a distributor holds");
+    if (records.size() >= kMostServices)
+      throw ProtocolError("there are more services than a distributor holds");
     if (!records.emplace(service, std::move(record)).second)
-      throw BadLine("service " + service + " stands there twice");
+      throw ProtocolError("service " + service + " stands there twice");
   }
   return records;
 }
@@ -309,11 +312,12 @@
     return !too_deep;
   };
   const json patch = json::parse(text, look, false);
-  if (too_deep) throw BadLine("the patch is nested deeper than " + std::to_string(kDeepestPatch));
-  if (patch.is_discarded() || !patch.is_object()) throw BadLine("the patch is not a JSON object");
+  if (too_deep) throw ProtocolError("the patch is nested deeper than " + std::to_string(kDeepestPatch));
+  if (patch.is_discarded() || !patch.is_object()) throw ProtocolError("the patch is not a JSON object");
   for (const auto& [key, value] : patch.items()) {
     if (key != "settings" && key != "journal")
-      throw BadLine("the patch sets '" + clipped(key, 64) + "', and may set 'settings' and 'journal' only");
+      throw ProtocolError("the patch sets '" + clipped(key, 64) +
+                          "', and may set 'settings' and 'journal' only");
   }
   return patch.dump();
 }
@@ -327,8 +331,9 @@
            std::to_string(kLargestDocument);
   // The longest line that carries a document.
   Document longest{std::string(service), {static_cast<Version>(kMostVersion), {}}, std::string(content)};
-  if (line_of(propose_line(~std::uint64_t{}, longest)).size() > kLineBound)
-    return "the document does not fit a line of " + std::to_string(kLineBound) + " bytes once it is escaped";
+  if (line_of(propose_line(~std::uint64_t{}, longest)).size() > kMaxLineBytes)
+    return "the document does not fit a line of " + std::to_string(kMaxLineBytes) +
+           " bytes once it is escaped";
   return {};
 }
 
--- a/src/control/config_lines.h
+++ b/src/control/config_lines.h
@@ -1,6 +1,6 @@
 // The lines by which configuration is distributed, as JSON: between a gatekeeper and a distributor, between
 // two distributors, and between an operator and a distributor. docs/design/distribution.md lists them. Each
-// throws BadLine where a line is none of them; a line is at most kLineBound bytes.
+// throws ProtocolError where a line is none of them; a line is at most kLineBound bytes.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,8 +17,8 @@
 constexpr std::size_t kLongestReason = 2048;     // that are taken; a byte that is no UTF-8 is told as three
 constexpr int kDeepestPatch = 64;                // objects and lists within each other
 
-std::string_view word_of(distribution::Standing standing);  // new, recovering, voting
-bool is_gatekeeper(std::string_view name);                  // its length, and no control characters
+std::string_view to_string(distribution::Standing standing);  // new, recovering, voting
+bool is_gatekeeper(std::string_view name);                    // its length, and no control characters
 
 // ---- from whoever connected, to a distributor
 
@@ -51,13 +51,13 @@
 distribution::SubscriberEvent subscriber_event_of(std::uint32_t source, const nlohmann::json& line);
 std::optional<distribution::DistributorEvent> peer_event_of(std::uint32_t peer, const nlohmann::json& line);
 
-// ---- what is saved: a bucket's records as text, one line a service; throws BadLine.
+// ---- what is saved: a bucket's records as text, one line a service; throws ProtocolError.
 
 std::string text_of(const std::map<std::string, distribution::Record>& records);
 std::map<std::string, distribution::Record> records_in(std::string_view text);
 
-// A JSON merge patch in its one form: no white space, keys sorted. Throws BadLine where it is no JSON object,
-// sets anything but `settings` and `journal`, or is nested deeper than kDeepestPatch.
+// A JSON merge patch in its one form: no white space, keys sorted. Throws ProtocolError where it is no JSON
+// object, sets anything but `settings` and `journal`, or is nested deeper than kDeepestPatch.
 std::string canonical_patch(std::string_view text);
 
 // Why a content in that form can't be published for the service, in a few words: its name, its size, a line
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -10,31 +10,31 @@
 using namespace limits;
 
 constexpr Duration kTick = 50ms;
-constexpr Duration kReport = 100ms;
-constexpr Duration kLook = 200ms;
-constexpr Duration kToldOfNone = 10s;
-constexpr Duration kIdle = 60s;
+constexpr Duration kReportInterval = 100ms;
+constexpr Duration kReapInterval = 200ms;
+constexpr Duration kNoDemandReportInterval = 10s;
+constexpr Duration kIdleTimeout = 60s;
 // Slots of the fleet are ceded so far ahead of their time.
-constexpr Duration kAhead = 1s;
-constexpr std::size_t kMostDemands = 100;  // in a report
-constexpr std::size_t kMostSlotsTold = 1024;
-constexpr std::size_t kMostHot = 20;  // numbers of a list's answer, the hottest
+constexpr Duration kCedeAhead = 1s;
+constexpr std::size_t kMaxDemands = 100;  // in a report
+constexpr std::size_t kMaxSlotsInLine = 1024;
+constexpr std::size_t kMaxHotNumbers = 20;  // numbers of a list's answer, the hottest
 
 }  // namespace
 
 Control::Control(ControlSettings settings, Counters& counters)
-    : settings_(std::move(settings)), counters_(counters), reaper_(settings_.most_connections, kIdle) {
-  if (settings_.longest_wait <= Duration{}) settings_.longest_wait = 2s;
-  if (settings_.hot) hot_.emplace(*settings_.hot);
+    : settings_(std::move(settings)), counters_(counters), reaper_(settings_.max_connections, kIdleTimeout) {
+  if (settings_.max_retry_after <= Duration{}) settings_.max_retry_after = 2s;
+  if (settings_.hot) hot_numbers_.emplace(*settings_.hot);
 }
 
 void Control::start(Time now, Outbox& out) {
-  started_ = reported_ = now;
-  register_.emplace(settings_.fleet, settings_.seed, now, settings_.longest_wait);
+  started_at_ = demand_reported_at_ = now;
+  register_.emplace(settings_.fleet, settings_.seed, now, settings_.max_retry_after);
   if (!settings_.places.empty()) {
-    heirs_.emplace(settings_.fleet);
-    register_->inherit_by(&*heirs_);
-    register_->holds_place(now, false);  // until it has the fleet's port
+    failover_.emplace(settings_.fleet);
+    register_->use_failover(&*failover_);
+    register_->set_place_owned(now, false);  // until it has the fleet's port
   }
   if (!settings_.listen) return;
   out.net.push_back(net::Listen{net::Concern::control, *settings_.listen});
@@ -42,11 +42,11 @@
 }
 
 bool Control::ready(Time now) const {
-  return !settings_.listen || synced_ || now - started_ >= settings_.wait_for_announcer;
+  return !settings_.listen || synced_ || now - started_at_ >= settings_.publisher_wait;
 }
 
 Verdict Control::check(Time now, std::string_view number, std::string_view class_name) {
-  if (hot_) hot_->called(now, number.substr(0, kLongestText));
+  if (hot_numbers_) hot_numbers_->record_call(now, number.substr(0, kMaxTextLength));
   Verdict verdict = register_->check(now, number, class_name);
   if (!verdict.passes) counters_.add("gaps.gapped");
   return verdict;
@@ -54,13 +54,13 @@
 
 std::vector<Gauge> Control::gauges(Time now) const {
   std::vector<Gauge> all;
-  for (const HotNumber& h : hot_ ? hot_->hot(now) : std::vector<HotNumber>{}) {
-    if (all.size() >= kMostHot) break;
+  for (const HotNumber& h : hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{}) {
+    if (all.size() >= kMaxHotNumbers) break;
     all.push_back({"gaps.hot_number",
                    "{call}/s",
                    h.rate,
                    {{"number", h.number},
-                    {"since_unix_ms", std::to_string(to_ms(h.since))},
+                    {"since_unix_ms", std::to_string(to_unix_ms(h.since))},
                     {"gapped", h.gapped ? "true" : "false"}}});
   }
   return all;
@@ -72,7 +72,9 @@
   counters_.add("control.connections");
   peers_.try_emplace(e.conn);
   reaper_.accepted(now, e.conn);
-  const auto busy = [this](net::ConnId conn) { return peers_.at(conn).watches || peers_.at(conn).life; };
+  const auto busy = [this](net::ConnId conn) {
+    return peers_.at(conn).watching || peers_.at(conn).publisher_incarnation;
+  };
   for (const net::ConnId conn : reaper_.excess_connections(now, busy)) {
     counters_.add("control.closed_for_room");
     close(now, conn, out);
@@ -82,7 +84,7 @@
 void Control::on(Time, const net::Closed& e, Outbox&) {
   reaper_.closed(e.conn);
   peers_.erase(e.conn);
-  if (announcer_ == e.conn) announcer_.reset();
+  if (publisher_ == e.conn) publisher_.reset();
 }
 
 void Control::close(Time now, net::ConnId conn, Outbox& out) {
@@ -96,17 +98,17 @@
       e.bytes,
       [&](const json& line) {
         whole = true;
-        take(now, e.conn, line, out);
+        handle_line(now, e.conn, line, out);
       },
       [&](const json& line, const std::string& trouble) {
         whole = true;
         counters_.add("control.malformed");
-        refused_.line(now, "a control line is refused: " + trouble, out);
+        malformed_warning_.line(now, "a control line is refused: " + trouble, out);
         reply(now, e.conn, line, {{"ok", false}, {"trouble", trouble}}, out);
       });
   if (!used) {
     counters_.add("control.malformed");
-    refused_.line(now, "a control line is refused: it has no end within 32 KiB", out);
+    malformed_warning_.line(now, "a control line is refused: it has no end within 32 KiB", out);
     reply(now, e.conn, json::object(), {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}},
           out);
     return close(now, e.conn, out);
@@ -117,44 +119,46 @@
 
 void Control::on(Time now, const net::TimerFired&, Outbox& out) {
   out.arm(net::Concern::control, 0, now + kTick);
-  const auto busy = [this](net::ConnId conn) { return peers_.at(conn).watches || peers_.at(conn).life; };
+  const auto busy = [this](net::ConnId conn) {
+    return peers_.at(conn).watching || peers_.at(conn).publisher_incarnation;
+  };
   for (const auto& [conn, stuck] : reaper_.expired(now, busy)) {
     counters_.add("control.closed_idle");
     close(now, conn, out);
   }
-  if (now - reported_ >= kReport) report(now, out);
-  if (hot_ && now - looked_ >= kLook) look(now, out);
+  if (now - demand_reported_at_ >= kReportInterval) send_demand_report(now, out);
+  if (hot_numbers_ && now - hot_checked_at_ >= kReapInterval) check_hot_numbers(now, out);
 }
 
 // ---- lines
 
 void Control::reply(Time now, net::ConnId conn, const json& line, json answer, Outbox& out) {
   answer["gatekeeper"] = settings_.name;
-  answer["clock"] = to_ms(now);
+  answer["clock"] = to_unix_ms(now);
   if (const auto op = line.find("op"); op != line.end() && op->is_string()) answer["re"] = *op;
   out.send(conn, line_of(answer));
 }
 
 template <class To>
-void Control::tell(const json& event, To to, Outbox& out) {
+void Control::send_to_peers(const json& event, To to, Outbox& out) {
   const std::string line = line_of(event);
   for (const auto& [conn, peer] : peers_) {
     if (to(conn, peer)) out.send(conn, line);
   }
 }
 
-void Control::take(Time now, net::ConnId conn, const json& line, Outbox& out) {
+void Control::handle_line(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::string op = text_in(line, "op");
   Peer& peer = peers_.at(conn);
-  if (op == "announce") return announce(now, conn, line, out);
-  if (op == "list") return list(now, conn, line, out);
+  if (op == "announce") return handle_announce(now, conn, line, out);
+  if (op == "list") return handle_list(now, conn, line, out);
   if (op == "watch") {
-    peer.watches = true;
+    peer.watching = true;
     return reply(now, conn, line, {{"ok", true}}, out);
   }
   if (op == "announcer") {
-    peer.life = mark_in(line, "life");
-    announcer_ = conn;  // the latest: an older one may be a connection that died unseen
+    peer.publisher_incarnation = fingerprint_in(line, "life");
+    publisher_ = conn;  // the latest: an older one may be a connection that died unseen
     counters_.add("control.announcers");
     out.log(net::Level::info, "an announcer of gaps is here");
     // Whatever was missed while it was away, or before this program started, is asked for.
@@ -163,31 +167,32 @@
                   {"want", "all"},
                   {"fleet", settings_.fleet.size},
                   {"index", settings_.fleet.index},
-                  {"digest", mark_text(register_->digest())}},
+                  {"digest", fingerprint_text(register_->digest())}},
                  out);
   }
   if (op == "synced") {
     synced_ = true;
-    return reply(now, conn, line, {{"ok", true}, {"digest", mark_text(register_->digest())}}, out);
+    return reply(now, conn, line, {{"ok", true}, {"digest", fingerprint_text(register_->digest())}}, out);
   }
   if (op == "demand") {
-    if (!peer.life) throw BadLine("only an announcer tells of demand");
+    if (!peer.publisher_incarnation) throw ProtocolError("only an announcer tells of demand");
     const auto calls = line.find("calls");
     if (calls == line.end() || !calls->is_array() || calls->size() != settings_.fleet.size)
-      throw BadLine("'calls' is not a list with a number for each gatekeeper");
+      throw ProtocolError("'calls' is not a list with a number for each gatekeeper");
     std::vector<double> demand;
     for (const json& one : *calls) {
       if (!one.is_number() || !(one.get<double>() >= 0.0 && one.get<double>() < 1e9))
-        throw BadLine("'calls' holds what is no number of calls");
+        throw ProtocolError("'calls' holds what is no number of calls");
       demand.push_back(one.get<double>());
     }
-    if (announcer_ != conn) return;
+    if (publisher_ != conn) return;
     const std::string id = text_in(line, "id");
-    const std::vector<Slot> slots = register_->cede(now, id, mark_in(line, "mark"), demand, kAhead);
+    const std::vector<Slot> slots =
+        register_->cede(now, id, fingerprint_in(line, "mark"), demand, kCedeAhead);
     if (slots.empty()) return;
     counters_.add("gaps.slots_ceded", slots.size());
     out.send(conn, line_of({{"event", "cede"},
-                            {"life", mark_text(*peer.life)},
+                            {"life", fingerprint_text(*peer.publisher_incarnation)},
                             {"index", settings_.fleet.index},
                             {"id", id},
                             {"mark", line["mark"]},
@@ -195,110 +200,114 @@
     return;
   }
   if (op == "grant") {
-    if (!peer.life) throw BadLine("only an announcer grants slots");
+    if (!peer.publisher_incarnation) throw ProtocolError("only an announcer grants slots");
     const auto given = line.find("slots");
-    if (given == line.end() || !given->is_array() || given->size() > kMostSlotsTold)
-      throw BadLine("'slots' is not a list of at most 1024 pairs");
+    if (given == line.end() || !given->is_array() || given->size() > kMaxSlotsInLine)
+      throw ProtocolError("'slots' is not a list of at most 1024 pairs");
     std::vector<SlotOf> slots;
     for (const json& one : *given) {
       if (!one.is_array() || one.size() != 2 || !one[0].is_number_unsigned() ||
           !one[1].is_number_unsigned() || one[1].get<std::uint64_t>() >= settings_.fleet.size ||
           one[0].get<std::uint64_t>() > 1ULL << 62)
-        throw BadLine("'slots' holds what is no slot and gatekeeper");
+        throw ProtocolError("'slots' holds what is no slot and gatekeeper");
       slots.push_back({one[0].get<Slot>(), one[1].get<std::uint32_t>()});
     }
     counters_.add("gaps.slots_granted", slots.size());
-    return register_->grant(now, text_in(line, "id"), mark_in(line, "mark"), slots);
+    return register_->grant(now, text_in(line, "id"), fingerprint_in(line, "mark"), slots);
   }
-  if (const auto other = answers_.find(op); other != answers_.end())
+  if (const auto other = operations_.find(op); other != operations_.end())
     return reply(now, conn, line, other->second(now, line, out), out);
-  throw BadLine("'op' is not one of announce, list, watch, announcer, synced, demand, grant");
+  throw ProtocolError("'op' is not one of announce, list, watch, announcer, synced, demand, grant");
 }
 
-void Control::holds_place(Time now, bool holds) {
-  if (heirs_) register_->holds_place(now, holds);
+void Control::set_place_owned(Time now, bool holds) {
+  if (failover_) register_->set_place_owned(now, holds);
 }
 
 std::optional<std::uint32_t> Control::place_of(const std::string& name) const {
   const auto it = std::lower_bound(settings_.places.begin(), settings_.places.end(), name);
-  if (!heirs_ || it == settings_.places.end() || *it != name) return std::nullopt;
+  if (!failover_ || it == settings_.places.end() || *it != name) return std::nullopt;
   return static_cast<std::uint32_t>(it - settings_.places.begin());
 }
 
-void Control::absent(Time now, const std::string& name, Time asked) {
-  if (const auto place = place_of(name)) heirs_->refused(now, *place, asked);
+void Control::port_released(Time now, const std::string& name, Time asked) {
+  if (const auto place = place_of(name)) failover_->mark_unreachable(now, *place, asked);
 }
-void Control::present(const std::string& name) {
-  if (const auto place = place_of(name)) heirs_->heard(*place);
+void Control::member_joined(const std::string& name) {
+  if (const auto place = place_of(name)) failover_->mark_alive(*place);
 }
-std::set<std::string> Control::to_ask(Time now) const {
+std::set<std::string> Control::ports_to_watch(Time now) const {
   std::set<std::string> names;
-  for (const std::uint32_t place : heirs_ ? heirs_->to_ask(now) : std::vector<std::uint32_t>{})
+  for (const std::uint32_t place : failover_ ? failover_->ports_to_watch(now) : std::vector<std::uint32_t>{})
     names.insert(settings_.places[place]);
   return names;
 }
 
-void Control::tell_watchers(Time now, json event, Outbox& out) {
+void Control::notify_watchers(Time now, json event, Outbox& out) {
   event["gatekeeper"] = settings_.name;
-  event["clock"] = to_ms(now);
-  tell(
-      event, [](net::ConnId, const Peer& p) { return p.watches; }, out);
+  event["clock"] = to_unix_ms(now);
+  send_to_peers(
+      event, [](net::ConnId, const Peer& p) { return p.watching; }, out);
 }
 
-Taken Control::hold(Time now, const Announcement& a, Outbox& out) {
-  const Taken taken = register_->announce(now, a);
-  counters_.add("gaps." + std::string(word_of(taken)));
-  if (taken != Taken::taken && taken != Taken::conflict_over) return taken;
+AnnounceResult Control::store_announcement(Time now, const Announcement& a, Outbox& out) {
+  const AnnounceResult taken = register_->announce(now, a);
+  counters_.add("gaps." + std::string(to_string(taken)));
+  if (taken != AnnounceResult::accepted && taken != AnnounceResult::conflict_won) return taken;
   out.log(net::Level::info, (a.gap ? "gap " : "the lift of gap ") + a.id + ", version " +
-                                std::to_string(a.version) + " by '" + a.by + "', is taken");
-  tell(
-      {{"event", "gap"}, {"gatekeeper", settings_.name}, {"clock", to_ms(now)}, {"gap", to_json(a)}},
-      [](net::ConnId, const Peer& p) { return p.watches || p.life; }, out);
+                                std::to_string(a.version) + " by '" + a.author + "', is taken");
+  send_to_peers(
+      {{"event", "gap"}, {"gatekeeper", settings_.name}, {"clock", to_unix_ms(now)}, {"gap", to_json(a)}},
+      [](net::ConnId, const Peer& p) { return p.watching || p.publisher_incarnation; }, out);
   return taken;
 }
 
-void Control::announce(Time now, net::ConnId conn, const json& line, Outbox& out) {
+void Control::handle_announce(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const auto gap = line.find("gap");
-  if (gap == line.end()) throw BadLine("there is no 'gap'");
+  if (gap == line.end()) throw ProtocolError("there is no 'gap'");
   const Announcement a = announcement_of(*gap);
   std::optional<Announcement> before;
   if (const Announcement* held = register_->find(a.id)) before = *held;
-  peers_.at(conn).announced = true;
-  const Taken taken = hold(now, a, out);
-  json answer = {{"ok", taken == Taken::taken || taken == Taken::known || taken == Taken::conflict_over},
-                 {"result", word_of(taken)},
+  peers_.at(conn).has_announced = true;
+  const AnnounceResult taken = store_announcement(now, a, out);
+  json answer = {{"ok", taken == AnnounceResult::accepted || taken == AnnounceResult::unchanged ||
+                            taken == AnnounceResult::conflict_won},
+                 {"result", to_string(taken)},
                  {"id", a.id},
                  {"version", a.version}};
-  if (taken == Taken::refused) answer["trouble"] = trouble_with(a, now);
-  if (taken == Taken::full) answer["trouble"] = "there is no room for another gap";
-  if (taken == Taken::older || taken == Taken::conflict) answer["held"] = to_json(*register_->find(a.id));
+  if (taken == AnnounceResult::rejected) answer["trouble"] = find_error(a, now);
+  if (taken == AnnounceResult::full) answer["trouble"] = "there is no room for another gap";
+  if (taken == AnnounceResult::outdated || taken == AnnounceResult::conflict)
+    answer["held"] = to_json(*register_->find(a.id));
   reply(now, conn, line, std::move(answer), out);
-  if (taken != Taken::conflict && taken != Taken::conflict_over) return;
+  if (taken != AnnounceResult::conflict && taken != AnnounceResult::conflict_won) return;
   // Both announcers are told, and whoever watches: which connection the other one used is not known for sure.
   out.log(net::Level::warning, "gap " + a.id + ", version " + std::to_string(a.version) +
-                                   ", was announced twice with different contents, by '" + a.by + "' and '" +
-                                   before->by + "': the stricter one holds");
+                                   ", was announced twice with different contents, by '" + a.author +
+                                   "' and '" + before->author + "': the stricter one holds");
   const json quarrel = {{"event", "conflict"},
                         {"gatekeeper", settings_.name},
-                        {"clock", to_ms(now)},
+                        {"clock", to_unix_ms(now)},
                         {"id", a.id},
                         {"version", a.version},
-                        {"by", {before->by, a.by}},
+                        {"by", {before->author, a.author}},
                         {"held", to_json(*register_->find(a.id))}};
-  tell(
-      quarrel, [](net::ConnId, const Peer& p) { return p.watches || p.announced || p.life; }, out);
+  send_to_peers(
+      quarrel,
+      [](net::ConnId, const Peer& p) { return p.watching || p.has_announced || p.publisher_incarnation; },
+      out);
 }
 
-void Control::list(Time now, net::ConnId conn, const json& line, Outbox& out) {
+void Control::handle_list(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::string after = line.contains("after") ? text_in(line, "after") : "";
   Page page = page_of(*register_, now, after, true);
-  std::vector<HotNumber> hot = hot_ ? hot_->hot(now) : std::vector<HotNumber>{};
-  hot.resize(std::min(hot.size(), kMostHot));
+  std::vector<HotNumber> hot = hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{};
+  hot.resize(std::min(hot.size(), kMaxHotNumbers));
   reply(now, conn, line,
         {{"ok", true},
-         {"digest", mark_text(register_->digest())},
+         {"digest", fingerprint_text(register_->digest())},
          {"held", register_->size()},
-         {"announcer", announcer_.has_value()},
+         {"announcer", publisher_.has_value()},
          {"gaps", std::move(page.gaps)},
          {"hot", to_json(hot)},
          {"more", page.more}},
@@ -308,55 +317,55 @@
 // ---- time
 
 // What gaps were asked about, for the announcer: it sees where the calls come.
-void Control::report(Time now, Outbox& out) {
-  const Duration span = now - std::exchange(reported_, now);
+void Control::send_demand_report(Time now, Outbox& out) {
+  const Duration span = now - std::exchange(demand_reported_at_, now);
   const auto demands = register_->take_demands(now);
-  if (!demands.empty()) demanded_ = now;
+  if (!demands.empty()) demand_seen_at_ = now;
   // That there are no more is told for a while: silence is no figure.
-  if (!announcer_ || now - demanded_ > kToldOfNone) return;
+  if (!publisher_ || now - demand_seen_at_ > kNoDemandReportInterval) return;
   json all = json::array();
   for (const auto& d : demands) {
-    if (all.size() >= kMostDemands) break;
-    all.push_back({{"id", d.id}, {"mark", mark_text(d.mark)}, {"calls", d.calls}});
+    if (all.size() >= kMaxDemands) break;
+    all.push_back({{"id", d.id}, {"mark", fingerprint_text(d.fingerprint)}, {"calls", d.calls}});
   }
-  out.send(*announcer_,
+  out.send(*publisher_,
            line_of({{"event", "report"},
                     {"index", settings_.fleet.index},
                     {"span_ms", std::chrono::duration_cast<std::chrono::milliseconds>(span).count()},
                     {"demands", std::move(all)}}));
 }
 
-void Control::look(Time now, Outbox& out) {
-  looked_ = now;
+void Control::check_hot_numbers(Time now, Outbox& out) {
+  hot_checked_at_ = now;
   using What = HotNumbers::Change::What;
-  for (const HotNumbers::Change& change : hot_->look(now)) {
+  for (const HotNumbers::Change& change : hot_numbers_->update(now)) {
     const HotNumber& h = change.number;
     if (change.what == What::hot || change.what == What::cool) {
       const bool hot = change.what == What::hot;
       counters_.add(hot ? "gaps.numbers_hot" : "gaps.numbers_cool");
       out.log(net::Level::warning, "number " + h.number + (hot ? " has become hot: " : " is hot no more: ") +
                                        std::to_string(static_cast<int>(h.rate)) + " calls a second");
-      tell(
+      send_to_peers(
           {{"event", hot ? "hot" : "cool"},
            {"gatekeeper", settings_.name},
-           {"clock", to_ms(now)},
+           {"clock", to_unix_ms(now)},
            {"number", to_json(std::vector<HotNumber>{h})[0]}},
-          [](net::ConnId, const Peer& p) { return p.watches; }, out);
+          [](net::ConnId, const Peer& p) { return p.watching; }, out);
       continue;
     }
     Announcement a;
-    a.id = "auto-" + h.number.substr(0, kLongestText - 5);
-    a.version = static_cast<std::uint64_t>(to_ms(now));
-    a.by = settings_.name;
-    a.made = a.start = a.end = from_ms(to_ms(now));
+    a.id = "auto-" + h.number.substr(0, kMaxTextLength - 5);
+    a.version = static_cast<std::uint64_t>(to_unix_ms(now));
+    a.author = settings_.name;
+    a.created_at = a.start = a.end = from_unix_ms(to_unix_ms(now));
     if (change.what == What::gap) {
-      a.end += settings_.hot_lasts;
+      a.end += settings_.hot_gap_duration;
       Gap gap;
       gap.criteria.numbers = {h.number};
-      gap.interval = settings_.hot_interval;
+      gap.interval = settings_.hot_gap_interval;
       a.gap = std::move(gap);
     }
-    hold(now, a, out);
+    store_announcement(now, a, out);
   }
 }
 
--- a/src/control/ctl.cpp
+++ b/src/control/gap_client.cpp
@@ -1,4 +1,4 @@
-#include "control/ctl.h"
+#include "control/gap_client.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Duration kConnectWithin = 2s;
+constexpr Duration kConnectTimeout = 2s;
 
 std::string ms_text(Duration d) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count()) + " ms";
@@ -20,7 +20,7 @@
 }
 
 // A gap in a few words, for a person.
-std::string words_of(const json& gap) {
+std::string describe(const json& gap) {
   if (gap.value("lifted", false)) return "lifted";
   std::string text;
   for (const char* names : {"numbers", "prefixes", "classes"}) {
@@ -40,15 +40,15 @@
 
 }  // namespace
 
-Ctl::Ctl(CtlSettings settings) : settings_(std::move(settings)) {
-  for (const std::string& address : settings_.to) {
+GapClient::GapClient(GapClientSettings settings) : settings_(std::move(settings)) {
+  for (const std::string& address : settings_.addresses) {
     Target t;
     t.address = address;
     targets_.push_back(std::move(t));
   }
 }
 
-void Ctl::step(Time now, const net::Event& event, net::Effects& effects) {
+void GapClient::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   std::visit(
       [&](const auto& e) {
@@ -58,91 +58,92 @@
   effects = std::move(out.net);
 }
 
-Ctl::Target* Ctl::of(net::ConnId conn) {
+GapClient::Target* GapClient::target_of(net::ConnId conn) {
   return conn.number >= 1 && conn.number <= targets_.size() ? &targets_[conn.number - 1] : nullptr;
 }
 
-void Ctl::send(const Target& t, const json& line, Outbox& out) const {
+void GapClient::send(const Target& t, const json& line, Outbox& out) const {
   const auto number = static_cast<std::uint32_t>(&t - targets_.data()) + 1;
   out.send({net::Concern::control_client, number}, line_of(line));
 }
 
-void Ctl::on(Time now, const net::Started&, Outbox& out) {
+void GapClient::on(Time now, const net::Started&, Outbox& out) {
   started_ = now;
   for (std::uint32_t i = 0; i < targets_.size(); ++i)
     out.net.push_back(
-        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectWithin});
-  if (settings_.what != CtlSettings::What::watch || settings_.within > Duration{})
-    out.arm(net::Concern::process, 0, now + settings_.within);
+        net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectTimeout});
+  if (settings_.command != GapClientSettings::Command::watch || settings_.timeout > Duration{})
+    out.arm(net::Concern::process, 0, now + settings_.timeout);
 }
 
-void Ctl::on(Time, const net::Connected& e, Outbox& out) {
-  Target* t = of(e.conn);
+void GapClient::on(Time, const net::Connected& e, Outbox& out) {
+  Target* t = target_of(e.conn);
   if (t == nullptr) return;
-  t->up = true;
-  if (asks_fleet()) {
+  t->connected = true;
+  if (is_fleet_command()) {
     constexpr const char* kWhat[] = {"members", "view", "leave"};
-    const auto at =
-        static_cast<std::size_t>(settings_.what) - static_cast<std::size_t>(CtlSettings::What::members);
+    const auto at = static_cast<std::size_t>(settings_.command) -
+                    static_cast<std::size_t>(GapClientSettings::Command::members);
     send(*t, {{"op", "fleet"}, {"what", kWhat[at]}}, out);
-  } else if (settings_.what == CtlSettings::What::announce) {
+  } else if (settings_.command == GapClientSettings::Command::announce) {
     send(*t, {{"op", "announce"}, {"gap", to_json(*settings_.announcement)}}, out);
   } else {
-    send(*t, {{"op", settings_.what == CtlSettings::What::list ? "list" : "watch"}}, out);
+    send(*t, {{"op", settings_.command == GapClientSettings::Command::list ? "list" : "watch"}}, out);
   }
 }
 
-void Ctl::fail(Time, Target& t, const std::string& why, Outbox& out) {
+void GapClient::fail_target(Time, Target& t, const std::string& why, Outbox& out) {
   if (t.done) return;
   t.done = t.failed = true;
   t.result = why;
-  if (settings_.what == CtlSettings::What::watch)
+  if (settings_.command == GapClientSettings::Command::watch)
     out.net.push_back(net::Print{
         settings_.json ? line_of({{"address", t.address}, {"trouble", why}}) : t.address + ": " + why + "\n",
         true});
-  finish_if_done(out);
+  finish_if_complete(out);
 }
 
-void Ctl::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  if (Target* t = of(e.conn)) fail(now, *t, e.refused ? "nobody listens there" : "it does not answer", out);
+void GapClient::on(Time now, const net::ConnectFailed& e, Outbox& out) {
+  if (Target* t = target_of(e.conn))
+    fail_target(now, *t, e.refused ? "nobody listens there" : "it does not answer", out);
 }
 
-void Ctl::on(Time now, const net::Closed& e, Outbox& out) {
-  if (Target* t = of(e.conn)) fail(now, *t, "it closed the connection", out);
+void GapClient::on(Time now, const net::Closed& e, Outbox& out) {
+  if (Target* t = target_of(e.conn)) fail_target(now, *t, "it closed the connection", out);
 }
 
-void Ctl::on(Time now, const net::Received& e, Outbox& out) {
-  Target* t = of(e.conn);
+void GapClient::on(Time now, const net::Received& e, Outbox& out) {
+  Target* t = target_of(e.conn);
   if (t == nullptr || finished_) return;
   const auto used = read_lines(
       e.bytes,
       [&](const json& line) {
-        if (!finished_) take(now, *t, line, out);
+        if (!finished_) handle_line(now, *t, line, out);
       },
       [&](const json&, const std::string& trouble) {
-        fail(now, *t, "it answers what can't be read: " + trouble, out);
+        fail_target(now, *t, "it answers what can't be read: " + trouble, out);
       });
-  if (!used) return fail(now, *t, "it answers what can't be read", out);
+  if (!used) return fail_target(now, *t, "it answers what can't be read", out);
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
-void Ctl::on(Time, const net::TimerFired& e, Outbox& out) {
-  if (e.key.concern == net::Concern::process && !finished_) finish(out);
+void GapClient::on(Time, const net::TimerFired& e, Outbox& out) {
+  if (e.key.concern == net::Concern::process && !finished_) print_result(out);
 }
 
-void Ctl::on(Time, const net::StopRequested&, Outbox& out) {
-  if (!finished_) finish(out);
+void GapClient::on(Time, const net::StopRequested&, Outbox& out) {
+  if (!finished_) print_result(out);
 }
 
-void Ctl::take(Time now, Target& t, const json& line, Outbox& out) {
+void GapClient::handle_line(Time now, Target& t, const json& line, Outbox& out) {
   const std::string event = line.contains("event") ? text_in(line, "event") : "";
   if (line.contains("gatekeeper") && event != "obeyed") t.name = text_in(line, "gatekeeper");
-  if (settings_.what == CtlSettings::What::watch) {
+  if (settings_.command == GapClientSettings::Command::watch) {
     if (event.empty()) return;
     std::string text = settings_.json ? line_of(line) : "";
     if (!settings_.json) {
       text = t.name + ": " + event + " ";
-      if (line.contains("gap")) text += text_in(line["gap"], "id") + ": " + words_of(line["gap"]);
+      if (line.contains("gap")) text += text_in(line["gap"], "id") + ": " + describe(line["gap"]);
       if (line.contains("number")) text += line["number"].dump();
       if (event == "conflict")
         text += text_in(line, "id") + ", version " + line.value("version", json(0)).dump();
@@ -153,71 +154,72 @@
     out.net.push_back(net::Print{std::move(text), true});
     return;
   }
-  if (settings_.what == CtlSettings::What::announce) {
+  if (settings_.command == GapClientSettings::Command::announce) {
     if (event == "obeyed" && text_in(line, "id") == settings_.announcement->id) {
       json told = line;
       told["after_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(now - started_).count();
       t.obeyed[text_in(line, "address")] = std::move(told);
     }
     if (line.value("re", json("")) == "announce" && event.empty()) {
-      t.good = line.value("ok", false);
+      t.succeeded = line.value("ok", false);
       t.result = line.value("result", json("refused")).get<std::string>();
       if (line.contains("trouble")) t.result += ": " + text_in(line, "trouble");
       t.result += " after " + ms_text(now - started_);
       if (line.contains("gatekeepers"))
-        t.gatekeepers = static_cast<std::size_t>(whole_in(line, "gatekeepers", 0, 4096));
-      if (!t.good) t.gatekeepers = 0;
+        t.gatekeepers = static_cast<std::size_t>(integer_in(line, "gatekeepers", 0, 4096));
+      if (!t.succeeded) t.gatekeepers = 0;
     } else if (event.empty()) {
       return;
     }
     t.done = !t.result.empty() && t.obeyed.size() >= t.gatekeepers;
-    return finish_if_done(out);
+    return finish_if_complete(out);
   }
-  if (asks_fleet()) {
+  if (is_fleet_command()) {
     if (line.value("re", json("")) != "fleet") return;
-    json members = t.told.is_object() ? t.told.value("members", json::array()) : json::array();
+    json members =
+        t.fleet_answer.is_object() ? t.fleet_answer.value("members", json::array()) : json::array();
     for (const json& m : line.value("members", json::array())) members.push_back(m);
-    t.told = line;
-    t.told["members"] = std::move(members);
+    t.fleet_answer = line;
+    t.fleet_answer["members"] = std::move(members);
     if (line.value("more", false) && !line["members"].empty())
       return send(
           t, {{"op", "fleet"}, {"what", "members"}, {"after", text_in(line["members"].back(), "name")}}, out);
     t.done = true;
-    t.good = line.value("ok", false);
-    if (t.good) {
+    t.succeeded = line.value("ok", false);
+    if (t.succeeded) {
       t.digest = text_in(line, "digest");
     } else {
       t.result = line.contains("trouble") ? text_in(line, "trouble") : "refused";
     }
-    return finish_if_done(out);
+    return finish_if_complete(out);
   }
   if (line.value("re", json("")) != "list") return;
   const auto gaps = line.find("gaps");
-  if (gaps == line.end() || !gaps->is_array()) throw BadLine("a list has no 'gaps'");
+  if (gaps == line.end() || !gaps->is_array()) throw ProtocolError("a list has no 'gaps'");
   for (const json& gap : *gaps) t.gaps.push_back(gap);
   t.digest = text_in(line, "digest");
-  t.held = static_cast<std::size_t>(whole_in(line, "held", 0, 1'000'000'000));
+  t.held = static_cast<std::size_t>(integer_in(line, "held", 0, 1'000'000'000));
   if (line.contains("hot")) t.hot = line["hot"];
   if (line.contains("fleet") && line["fleet"].is_array()) t.fleet = line["fleet"];
   if (line.value("more", false) && !gaps->empty())
     return send(t, {{"op", "list"}, {"after", text_in(gaps->back(), "id")}}, out);
-  t.done = t.good = true;
+  t.done = t.succeeded = true;
   t.result = "listed";
-  finish_if_done(out);
+  finish_if_complete(out);
 }
 
-void Ctl::finish_if_done(Outbox& out) {
+void GapClient::finish_if_complete(Outbox& out) {
   if (finished_ || !std::all_of(targets_.begin(), targets_.end(), [](const Target& t) { return t.done; }))
     return;
-  finish(out);
+  print_result(out);
 }
 
-std::string Ctl::announced_text() const {
+std::string GapClient::announced_text() const {
   json all = json::array();
   std::string text;
   for (const Target& t : targets_) {
     const std::string result = t.result.empty() ? "no answer" : t.result;
-    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.good}, {"result", result}};
+    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.succeeded}, {"result", result}};
     text += padded(t.name, 12) + " " + padded(t.address, 22) + " " + result + "\n";
     if (t.gatekeepers > 0) {
       text += "  " + std::to_string(t.obeyed.size()) + " of " + std::to_string(t.gatekeepers) +
@@ -242,15 +244,15 @@
                         : text;
 }
 
-std::string Ctl::listed_text() const {
+std::string GapClient::listed_text() const {
   json all = json::array();
   std::string text;
   for (const Target& t : targets_) {
-    json one = {{"address", t.address}, {"name", t.name},   {"ok", t.good}, {"digest", t.digest},
+    json one = {{"address", t.address}, {"name", t.name},   {"ok", t.succeeded}, {"digest", t.digest},
                 {"gaps", t.gaps},       {"fleet", t.fleet}, {"hot", t.hot}};
-    if (!t.good) one["trouble"] = t.result.empty() ? "no answer" : t.result;
+    if (!t.succeeded) one["trouble"] = t.result.empty() ? "no answer" : t.result;
     text += t.name + " " + t.address +
-            (t.good ? " holds " + t.digest : ": " + one["trouble"].get<std::string>()) + "\n";
+            (t.succeeded ? " holds " + t.digest : ": " + one["trouble"].get<std::string>()) + "\n";
     for (const json& gap : t.gaps) {
       const bool lifted = gap.value("lifted", false);
       text += "  " +
@@ -258,7 +260,7 @@
                      : lifted                     ? "lifted"
                                                   : "not now",
                      9) +
-              padded(gap.value("id", json("")).get<std::string>(), 20) + " " + (lifted ? "" : words_of(gap));
+              padded(gap.value("id", json("")).get<std::string>(), 20) + " " + (lifted ? "" : describe(gap));
       if (gap.contains("gapped"))
         text += " (" + gap["passed"].dump() + " passed, " + gap["gapped"].dump() + " gapped)";
       text += "\n";
@@ -275,25 +277,25 @@
   return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
 }
 
-std::string Ctl::fleet_text() const {
+std::string GapClient::fleet_text() const {
   json all = json::array();
   std::string text;
   for (const Target& t : targets_) {
-    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.good}};
-    if (!t.good) {
+    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.succeeded}};
+    if (!t.succeeded) {
       one["trouble"] = t.result.empty() ? "no answer" : t.result;
       text += t.name + " " + t.address + ": " + one["trouble"].get<std::string>() + "\n";
       all.push_back(std::move(one));
       continue;
     }
-    one["view"] = t.told;
-    const auto figure = [&](const char* name) { return t.told.value(name, json(0)).dump(); };
+    one["view"] = t.fleet_answer;
+    const auto figure = [&](const char* name) { return t.fleet_answer.value(name, json(0)).dump(); };
     text += padded(t.name, 12) + " " + padded(t.address, 22) + " " +
-            (t.told.value("settled", false) ? "settled for " : "NOT settled, for ") + figure("since_ms") +
-            " ms: " + figure("size") + " members, in touch with " + figure("in_touch") + ", digest " +
-            t.digest + (t.told.value("member", true) ? "" : ", takes no part itself") +
-            (t.told.value("catching_up", false) ? ", was stopped and catches up" : "") + "\n";
-    for (const json& m : t.told.value("members", json::array())) {
+            (t.fleet_answer.value("settled", false) ? "settled for " : "NOT settled, for ") +
+            figure("since_ms") + " ms: " + figure("size") + " members, in touch with " + figure("in_touch") +
+            ", digest " + t.digest + (t.fleet_answer.value("member", true) ? "" : ", takes no part itself") +
+            (t.fleet_answer.value("catching_up", false) ? ", was stopped and catches up" : "") + "\n";
+    for (const json& m : t.fleet_answer.value("members", json::array())) {
       const auto word = [&](const char* name) {
         const json value = m.value(name, json(""));
         return value.is_string() ? value.get<std::string>() : value.dump();
@@ -308,34 +310,36 @@
   return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
 }
 
-void Ctl::finish(Outbox& out) {
+void GapClient::print_result(Outbox& out) {
   finished_ = true;
   bool all = true;
   bool any = false;
   std::string digest;
   for (const Target& t : targets_) {
-    any = any || t.up;
-    all = all && t.good && t.obeyed.size() >= t.gatekeepers;
+    any = any || t.connected;
+    all = all && t.succeeded && t.obeyed.size() >= t.gatekeepers;
     for (const auto& [address, told] : t.obeyed) all = all && told.value("ok", false);
     for (const json& g : t.fleet) all = all && g.value("synced", false);
     if (!digest.empty() && t.digest != digest) all = false;
     digest = t.digest;
   }
-  if (settings_.what == CtlSettings::What::announce) out.net.push_back(net::Print{announced_text(), true});
-  if (settings_.what == CtlSettings::What::list) {
+  if (settings_.command == GapClientSettings::Command::announce)
+    out.net.push_back(net::Print{announced_text(), true});
+  if (settings_.command == GapClientSettings::Command::list) {
     out.net.push_back(net::Print{listed_text(), true});
     if (any && !all && !settings_.json)
       out.net.push_back(net::Print{"they do NOT all hold the same\n", true});
   }
-  if (asks_fleet()) {
+  if (is_fleet_command()) {
     out.net.push_back(net::Print{fleet_text(), true});
     for (const Target& t : targets_)
-      all = all && (settings_.what == CtlSettings::What::leave || t.told.value("settled", false));
+      all = all && (settings_.command == GapClientSettings::Command::leave ||
+                    t.fleet_answer.value("settled", false));
     if (any && !all && !settings_.json)
       out.net.push_back(net::Print{"they do NOT all hold the same, or are not settled\n", true});
   }
-  const bool watched = settings_.what == CtlSettings::What::watch;
-  out.net.push_back(net::Exit{!any ? kNobody : all || watched ? kDone : kNotAll});
+  const bool watched = settings_.command == GapClientSettings::Command::watch;
+  out.net.push_back(net::Exit{!any ? kUnreachable : all || watched ? kSuccess : kIncomplete});
 }
 
 }  // namespace graniterun::control
--- a/src/control/ctl.h
+++ b/src/control/gap_client.h
@@ -11,33 +11,33 @@
 
 namespace graniterun::control {
 
-struct CtlSettings {
-  enum class What : std::uint8_t { announce, list, watch, members, view, leave } what{};
-  std::vector<std::string> to{};                       // addresses
+struct GapClientSettings {
+  enum class Command : std::uint8_t { announce, list, watch, members, view, leave } command{};
+  std::vector<std::string> addresses{};                // addresses
   std::optional<limits::Announcement> announcement{};  // a lift too
   bool json = false;
-  Duration within{std::chrono::seconds(3)};  // for all to obey; of a watch, how long: 0 is for ever
+  Duration timeout{std::chrono::seconds(3)};  // for all to obey; of a watch, how long: 0 is for ever
 };
 
-class Ctl {
+class GapClient {
  public:
   // Exit codes.
-  static constexpr int kDone = 0;    // all obey; all could be listed, and hold the same
-  static constexpr int kNotAll = 1;  // some were not reached, or hold something else
+  static constexpr int kSuccess = 0;     // all obey; all could be listed, and hold the same
+  static constexpr int kIncomplete = 1;  // some were not reached, or hold something else
   static constexpr int kUsage = 2;
-  static constexpr int kNobody = 3;  // none was reached
+  static constexpr int kUnreachable = 3;  // none was reached
 
-  explicit Ctl(CtlSettings settings);
+  explicit GapClient(GapClientSettings settings);
   void step(Time now, const net::Event& event, net::Effects& effects);
 
  private:
   struct Target {
     std::string address{};
     std::string name{};
-    bool up = false;
+    bool connected = false;
     bool failed = false;
     bool done = false;
-    bool good = false;
+    bool succeeded = false;
     std::string result{};
     std::size_t held = 0;
     std::string digest{};
@@ -47,7 +47,7 @@
     std::size_t gatekeepers = 0;
     std::map<std::string, nlohmann::json> obeyed{};
     nlohmann::json fleet = nlohmann::json::array();
-    nlohmann::json told{};  // of its place in the fleet of gatekeepers
+    nlohmann::json fleet_answer{};  // of its place in the fleet of gatekeepers
   };
 
   void on(Time now, const net::Started& e, Outbox& out);
@@ -58,18 +58,18 @@
   void on(Time now, const net::TimerFired& e, Outbox& out);
   void on(Time now, const net::StopRequested& e, Outbox& out);
 
-  void take(Time now, Target& t, const nlohmann::json& line, Outbox& out);
-  void fail(Time now, Target& t, const std::string& why, Outbox& out);
-  void finish_if_done(Outbox& out);
-  void finish(Outbox& out);
+  void handle_line(Time now, Target& t, const nlohmann::json& line, Outbox& out);
+  void fail_target(Time now, Target& t, const std::string& why, Outbox& out);
+  void finish_if_complete(Outbox& out);
+  void print_result(Outbox& out);
   std::string announced_text() const;
   std::string listed_text() const;
   std::string fleet_text() const;
-  bool asks_fleet() const { return settings_.what >= CtlSettings::What::members; }
-  Target* of(net::ConnId conn);
+  bool is_fleet_command() const { return settings_.command >= GapClientSettings::Command::members; }
+  Target* target_of(net::ConnId conn);
   void send(const Target& t, const nlohmann::json& line, Outbox& out) const;
 
-  CtlSettings settings_;
+  GapClientSettings settings_;
   std::vector<Target> targets_;
   Time started_{};
   bool finished_ = false;
--- a/src/control/gap_json.cpp
+++ b/src/control/gap_json.cpp
@@ -18,10 +18,10 @@
   std::vector<std::string> all;
   const auto it = object.find(name);
   if (it == object.end()) return all;
-  if (!it->is_array() || it->size() > kMostNumbers)
-    throw BadLine(std::string("'") + name + "' is not a list of at most 1000 texts");
+  if (!it->is_array() || it->size() > kMaxCriteria)
+    throw ProtocolError(std::string("'") + name + "' is not a list of at most 1000 texts");
   for (const json& one : *it) {
-    if (!one.is_string()) throw BadLine(std::string("'") + name + "' holds what is not text");
+    if (!one.is_string()) throw ProtocolError(std::string("'") + name + "' holds what is not text");
     all.push_back(one.get<std::string>());
   }
   return all;
@@ -29,12 +29,12 @@
 
 }  // namespace
 
-std::int64_t to_ms(Time t) {
+std::int64_t to_unix_ms(Time t) {
   return std::chrono::floor<std::chrono::milliseconds>(t.time_since_epoch()).count();
 }
-Time from_ms(std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); }
+Time from_unix_ms(std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); }
 
-std::string_view word_of(Taken taken) {
+std::string_view to_string(AnnounceResult taken) {
   constexpr std::string_view kWords[] = {"taken",         "known",   "older", "conflict",
                                          "conflict_over", "refused", "full"};
   return kWords[static_cast<std::size_t>(taken)];
@@ -42,42 +42,43 @@
 
 std::string text_in(const json& object, const char* name) {
   const auto it = object.find(name);
-  if (it == object.end() || !it->is_string()) throw BadLine(std::string("there is no text '") + name + "'");
+  if (it == object.end() || !it->is_string())
+    throw ProtocolError(std::string("there is no text '") + name + "'");
   return it->get<std::string>();
 }
 
-std::int64_t whole_in(const json& object, const char* name, std::int64_t least, std::int64_t most) {
+std::int64_t integer_in(const json& object, const char* name, std::int64_t least, std::int64_t most) {
   const auto it = object.find(name);
   const bool whole = it != object.end() && it->is_number_integer() &&
                      !(it->is_number_unsigned() && it->get<std::uint64_t>() > std::uint64_t{1} << 62);
   if (!whole || it->get<std::int64_t>() < least || it->get<std::int64_t>() > most)
-    throw BadLine(std::string("'") + name + "' is not a whole number from " + std::to_string(least) + " to " +
-                  std::to_string(most));
+    throw ProtocolError(std::string("'") + name + "' is not a whole number from " + std::to_string(least) +
+                        " to " + std::to_string(most));
   return it->get<std::int64_t>();
 }
 
-std::string mark_text(std::uint64_t mark) {
+std::string fingerprint_text(std::uint64_t mark) {
   std::string text(16, '0');
   for (std::size_t i = 0; i < 16; ++i) text[15 - i] = "0123456789abcdef"[mark >> (4 * i) & 15];
   return text;
 }
 
-std::uint64_t mark_in(const json& object, const char* name) {
+std::uint64_t fingerprint_in(const json& object, const char* name) {
   const std::string text = text_in(object, name);
   std::uint64_t mark = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), mark, 16);
   if (text.size() != 16 || error != std::errc{} || stop != text.data() + text.size())
-    throw BadLine(std::string("'") + name + "' is not 16 hex digits");
+    throw ProtocolError(std::string("'") + name + "' is not 16 hex digits");
   return mark;
 }
 
 json to_json(const Announcement& a) {
   json object = {{"id", a.id},
                  {"version", a.version},
-                 {"by", a.by},
-                 {"made", to_ms(a.made)},
-                 {"start", to_ms(a.start)},
-                 {"end", to_ms(a.end)}};
+                 {"by", a.author},
+                 {"made", to_unix_ms(a.created_at)},
+                 {"start", to_unix_ms(a.start)},
+                 {"end", to_unix_ms(a.end)}};
   if (!a.gap) {
     object["lifted"] = true;
     return object;
@@ -95,50 +96,50 @@
     object["interval_ms"] = "none";
   }
   object["cause"] = g.treatment.cause;
-  if (!g.treatment.words.empty()) object["words"] = g.treatment.words;
+  if (!g.treatment.text.empty()) object["words"] = g.treatment.text;
   return object;
 }
 
 Announcement announcement_of(const json& object) {
-  if (!object.is_object()) throw BadLine("a gap is not an object");
+  if (!object.is_object()) throw ProtocolError("a gap is not an object");
   Announcement a;
   a.id = text_in(object, "id");
-  a.version = static_cast<std::uint64_t>(whole_in(object, "version", 1, std::int64_t{1} << 52));
-  if (object.contains("by")) a.by = text_in(object, "by");
-  a.made = from_ms(whole_in(object, "made", 0, kLatest));
-  a.start = from_ms(whole_in(object, "start", 0, kLatest));
-  a.end = from_ms(whole_in(object, "end", 0, kLatest));
+  a.version = static_cast<std::uint64_t>(integer_in(object, "version", 1, std::int64_t{1} << 52));
+  if (object.contains("by")) a.author = text_in(object, "by");
+  a.created_at = from_unix_ms(integer_in(object, "made", 0, kLatest));
+  a.start = from_unix_ms(integer_in(object, "start", 0, kLatest));
+  a.end = from_unix_ms(integer_in(object, "end", 0, kLatest));
   if (const auto lifted = object.find("lifted"); lifted != object.end()) {
-    if (!lifted->is_boolean()) throw BadLine("'lifted' is neither true nor false");
+    if (!lifted->is_boolean()) throw ProtocolError("'lifted' is neither true nor false");
     if (lifted->get<bool>()) return a;
   }
   Gap g;
   g.criteria = {texts_in(object, "numbers"), texts_in(object, "prefixes"), texts_in(object, "classes")};
   const std::string shape = object.contains("shape") ? text_in(object, "shape") : kShapes[0];
   const auto known = std::find(std::begin(kShapes), std::end(kShapes), shape);
-  if (known == std::end(kShapes)) throw BadLine("'shape' is not one of whole, each, percent");
+  if (known == std::end(kShapes)) throw ProtocolError("'shape' is not one of whole, each, percent");
   g.shape = static_cast<Shape>(known - std::begin(kShapes));
   if (g.shape == Shape::percentage) {
     const auto percent = object.find("percent");
-    if (percent == object.end() || !percent->is_number()) throw BadLine("'percent' is not a number");
+    if (percent == object.end() || !percent->is_number()) throw ProtocolError("'percent' is not a number");
     g.percent = percent->get<double>();
   } else {
     const auto interval = object.find("interval_ms");
     const bool none = interval != object.end() && interval->is_string() && *interval == "none";
-    if (!none) g.interval = std::chrono::milliseconds(whole_in(object, "interval_ms", 0, kDayMs));
+    if (!none) g.interval = std::chrono::milliseconds(integer_in(object, "interval_ms", 0, kDayMs));
   }
-  if (object.contains("cause")) g.treatment.cause = static_cast<int>(whole_in(object, "cause", 1, 127));
-  if (object.contains("words")) g.treatment.words = text_in(object, "words");
+  if (object.contains("cause")) g.treatment.cause = static_cast<int>(integer_in(object, "cause", 1, 127));
+  if (object.contains("words")) g.treatment.text = text_in(object, "words");
   a.gap = std::move(g);
-  if (to_json(a).dump(-1, ' ', false, json::error_handler_t::replace).size() + 128 > kLargestGap)
-    throw BadLine("the gap is over 24 KiB large: announce it as several");
+  if (to_json(a).dump(-1, ' ', false, json::error_handler_t::replace).size() + 128 > kMaxGapBytes)
+    throw ProtocolError("the gap is over 24 KiB large: announce it as several");
   return a;
 }
 
 Page page_of(const GapRegister& held, Time now, std::string_view after, bool counts) {
   Page page;
   std::size_t bytes = 0;
-  for (const GapState& state : held.list(now, after, kPage + 1)) {
+  for (const GapState& state : held.list(now, after, kMaxGapsInPage + 1)) {
     json gap = to_json(*state.announcement);
     gap["in_force"] = state.in_force;
     if (counts) {
@@ -146,7 +147,7 @@
       gap["gapped"] = state.gapped;
     }
     bytes += gap.dump().size() + 1;
-    page.more = page.gaps.size() >= kPage || (bytes > kLargestGap && !page.gaps.empty());
+    page.more = page.gaps.size() >= kMaxGapsInPage || (bytes > kMaxGapBytes && !page.gaps.empty());
     if (page.more) break;
     page.gaps.push_back(std::move(gap));
   }
@@ -159,7 +160,7 @@
     all.push_back({{"number", h.number},
                    {"per_second", std::round(h.rate * 10) / 10},
                    {"error", std::round(h.error * 10) / 10},
-                   {"since", to_ms(h.since)},
+                   {"since", to_unix_ms(h.since)},
                    {"gapped", h.gapped}});
   return all;
 }
--- a/src/control/gap_json.h
+++ b/src/control/gap_json.h
@@ -13,36 +13,38 @@
 namespace graniterun::control {
 
 // Its text is one plain line for whoever sent what can't be used.
-class BadLine : public std::runtime_error {
+class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kLineBound = 32 * 1024;
-constexpr std::size_t kLargestGap = 24 * 1024;  // as JSON: it has to fit a line with what goes around it
+constexpr std::size_t kMaxLineBytes = 32 * 1024;
+constexpr std::size_t kMaxGapBytes = 24 * 1024;  // as JSON: it has to fit a line with what goes around it
 
 nlohmann::json to_json(const limits::Announcement& a);
-limits::Announcement announcement_of(const nlohmann::json& object);  // throws BadLine
+limits::Announcement announcement_of(const nlohmann::json& object);  // throws ProtocolError
 
-// What a list answers with: the gaps after an id, as many as fit a line (kPage and kLargestGap bytes at most,
-// one at least), and whether there are more. `counts`: with the calls that passed and were gapped.
-constexpr std::size_t kPage = 200;
+// What a list answers with: the gaps after an id, as many as fit a line (kMaxGapsInPage and kMaxGapBytes
+// bytes at most, one at least), and whether there are more. `counts`: with the calls that passed and were
+// gapped.
+constexpr std::size_t kMaxGapsInPage = 200;
 struct Page {
   nlohmann::json gaps = nlohmann::json::array();
   bool more = false;
 };
 Page page_of(const limits::GapRegister& held, Time now, std::string_view after, bool counts);
 
-std::int64_t to_ms(Time t);
-Time from_ms(std::int64_t ms);
-std::string_view word_of(limits::Taken taken);
+std::int64_t to_unix_ms(Time t);
+Time from_unix_ms(std::int64_t ms);
+std::string_view to_string(limits::AnnounceResult taken);
 nlohmann::json to_json(const std::vector<limits::HotNumber>& hot);
 
-// What a value is to be. Each throws BadLine with the name where it is not there or is something else.
+// What a value is to be. Each throws ProtocolError with the name where it is not there or is something else.
 std::string text_in(const nlohmann::json& object, const char* name);
-std::int64_t whole_in(const nlohmann::json& object, const char* name, std::int64_t least, std::int64_t most);
-std::uint64_t mark_in(const nlohmann::json& object, const char* name);  // 16 hex digits
-std::string mark_text(std::uint64_t mark);
+std::int64_t integer_in(const nlohmann::json& object, const char* name, std::int64_t least,
+                        std::int64_t most);
+std::uint64_t fingerprint_in(const nlohmann::json& object, const char* name);  // 16 hex digits
+std::string fingerprint_text(std::uint64_t mark);
 
 // The JSON lines in `bytes`, each handed on as an object; returns how many bytes are used, or nothing where a
 // line is longer than kLineBound. What is no object is told to `bad`, with the reason.
@@ -52,10 +54,10 @@
   while (used < bytes.size()) {
     const std::size_t end = bytes.find('\n', used);
     if (end == std::string_view::npos) {
-      if (bytes.size() - used > kLineBound) return std::nullopt;
+      if (bytes.size() - used > kMaxLineBytes) return std::nullopt;
       break;
     }
-    if (end - used > kLineBound) return std::nullopt;
+    if (end - used > kMaxLineBytes) return std::nullopt;
     const std::string_view line = bytes.substr(used, end - used);
     used = end + 1;
     if (line.find_first_not_of(" \r\t") == std::string_view::npos) continue;
@@ -66,7 +68,7 @@
     }
     try {
       take(object);
-    } catch (const BadLine& trouble) {
+    } catch (const ProtocolError& trouble) {
       bad(object, trouble.what());
     }
   }
--- a/src/control/announcer.h
+++ b/src/control/gap_publisher.h
@@ -19,18 +19,18 @@
 
 namespace graniterun::control {
 
-struct AnnouncerSettings {
+struct GapPublisherSettings {
   std::string listen{};
   std::vector<std::string> gatekeepers{};  // addresses of their control listeners
   std::string file{};                      // empty: nothing is kept
   std::string name{"announcer"};
-  std::uint64_t life{};  // another number at each start
-  std::size_t most_connections = 64;
+  std::uint64_t incarnation{};  // another number at each start
+  std::size_t max_connections = 64;
 };
 
-class Announcer {
+class GapPublisher {
  public:
-  explicit Announcer(AnnouncerSettings settings);
+  explicit GapPublisher(GapPublisherSettings settings);
 
   void step(Time now, const net::Event& event, net::Effects& effects);
   const Counters& counters() const { return counters_; }
@@ -41,26 +41,26 @@
     std::string address{};
     std::string name{};
     std::uint32_t conn = 0;  // the last one asked for
-    bool up = false;
+    bool connected = false;
     bool synced = false;  // it has been pushed all
     std::optional<std::uint32_t> index{};
-    std::string pushed_to{};        // ids up to here have been pushed, in order
-    std::size_t unheard = 0;        // pushed and not answered
-    std::set<std::string> again{};  // changed since they were pushed
+    std::string pushed_to{};                     // ids up to here have been pushed, in order
+    std::size_t unacknowledged = 0;              // pushed and not answered
+    std::set<std::string> changed_since_push{};  // changed since they were pushed
     Time next_connect{};
-    Time heard{};
-    Time asked{};  // last, whether it holds the same
+    Time last_received_at{};
+    Time digest_requested_at{};  // last, whether it holds the same
   };
-  struct Deal {
-    std::uint64_t mark{};
-    limits::Dealer dealer;
-    Time asked{};
+  struct Allocation {
+    std::uint64_t fingerprint{};
+    limits::QuotaAllocator allocator;
+    Time last_demand_at{};
   };
   // Operators who are told of each gatekeeper's answer to what they announced.
-  struct Waiting {
+  struct Observer {
     net::ConnId conn{};
     std::uint64_t version{};
-    Time until{};
+    Time expires_at{};
   };
 
   void on(Time now, const net::Started& e, Outbox& out);
@@ -74,30 +74,30 @@
   void on(Time now, const net::StopRequested& e, Outbox& out);
   void on(Time now, const net::CountersRequested& e, Outbox& out);
 
-  void from_operator(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
-  void from_gatekeeper(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
-  void report(Time now, Gatekeeper& g, const nlohmann::json& line);
-  void ceded(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
-  limits::Taken hold(Time now, const limits::Announcement& a, Outbox& out);
+  void handle_operator_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_gatekeeper_line(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
+  void handle_demand_report(Time now, Gatekeeper& g, const nlohmann::json& line);
+  void handle_ceded_slots(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
+  limits::AnnounceResult store_announcement(Time now, const limits::Announcement& a, Outbox& out);
   void save(Time now, Outbox& out);
-  void push(Time now, Gatekeeper& g, Outbox& out);
+  void push_next(Time now, Gatekeeper& g, Outbox& out);
   void send(const Gatekeeper& g, const nlohmann::json& line, Outbox& out) const;
   void reply(Time now, net::ConnId conn, const nlohmann::json& line, nlohmann::json answer, Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
-  void begin(Time now, Gatekeeper& g, Outbox& out);
-  void ask(Time now, Gatekeeper& g, Outbox& out);
-  void lost(Time now, Gatekeeper& g, Outbox& out);
-  Gatekeeper* of(net::ConnId conn);
+  void begin_push(Time now, Gatekeeper& g, Outbox& out);
+  void check_gatekeeper(Time now, Gatekeeper& g, Outbox& out);
+  void handle_lost(Time now, Gatekeeper& g, Outbox& out);
+  Gatekeeper* gatekeeper_of(net::ConnId conn);
   nlohmann::json state_of(const Gatekeeper& g) const;
 
-  AnnouncerSettings settings_;
+  GapPublisherSettings settings_;
   Counters counters_;
-  RateLimitedWarning refused_;
+  RateLimitedWarning malformed_warning_;
   front::ConnectionReaper reaper_;
   limits::GapRegister register_;
   std::vector<Gatekeeper> gatekeepers_;
-  std::map<std::string, Deal> deals_;
-  std::map<std::string, std::vector<Waiting>> waiting_;  // by id
+  std::map<std::string, Allocation> allocations_;
+  std::map<std::string, std::vector<Observer>> observers_;  // by id
   std::set<net::ConnId> watchers_;
   std::set<net::ConnId> operators_;
   std::uint32_t last_conn_ = 0;
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -243,13 +243,13 @@
     if (rule.numbers.empty() && rule.prefixes.empty())
       throw BadDocument("rule " + rule.id + " names no called number");
     limits::Announcement a;
-    a.id = ("lc-" + neighbour + "-" + rule.id).substr(0, limits::kLongestText);
-    a.by = neighbour;
-    a.made = now;
+    a.id = ("lc-" + neighbour + "-" + rule.id).substr(0, limits::kMaxTextLength);
+    a.author = neighbour;
+    a.created_at = now;
     a.version = static_cast<std::uint64_t>(
         std::chrono::floor<std::chrono::milliseconds>(now.time_since_epoch()).count());
     a.start = std::max(now, rule.from.value_or(now));
-    a.end = std::min<Time>({until, rule.until.value_or(until), now + limits::kLongestGap});
+    a.end = std::min<Time>({until, rule.until.value_or(until), now + limits::kMaxGapDuration});
     if (a.end <= a.start) continue;
     limits::Gap g;
     g.criteria.numbers = rule.numbers;
@@ -263,11 +263,11 @@
       const double interval = 1.0 / rule.figure;
       if (interval < 86'400.0)
         g.interval =
-            std::max<Duration>(limits::kShortestInterval,
+            std::max<Duration>(limits::kMinInterval,
                                std::chrono::duration_cast<Duration>(std::chrono::duration<double>(interval)));
     }
     a.gap = std::move(g);
-    if (const std::string trouble = limits::trouble_with(a, now); !trouble.empty())
+    if (const std::string trouble = limits::find_error(a, now); !trouble.empty())
       throw BadDocument("rule " + rule.id + ": " + trouble);
     all.push_back(std::move(a));
   }
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -12,18 +12,17 @@
 
 struct ControlSettings {
   std::optional<std::string> listen{};  // none: it is off
-  std::size_t most_connections = 32;
+  std::size_t max_connections = 32;
   limits::Fleet fleet{};
   std::vector<std::string>
-      places{};  // names of the fleet's gatekeepers in order; empty: they don't know each other
-  Duration
-      wait_for_announcer{};  // the program is not ready before it has the register, or so long has passed
+      places{};               // names of the fleet's gatekeepers in order; empty: they don't know each other
+  Duration publisher_wait{};  // the program is not ready before it has the register, or so long has passed
   std::optional<limits::HotSettings> hot{};
-  Duration hot_interval{std::chrono::seconds(1)};  // of the gaps that are announced by itself
-  Duration hot_lasts{std::chrono::minutes(15)};
+  Duration hot_gap_interval{std::chrono::seconds(1)};  // of the gaps that are announced by itself
+  Duration hot_gap_duration{std::chrono::minutes(15)};
   std::string name{};
   std::uint64_t seed{};
-  Duration longest_wait{};  // that callers heed
+  Duration max_retry_after{};  // that callers heed
 };
 
 }  // namespace graniterun::control
--- a/src/control/subscription.cpp
+++ b/src/control/subscription.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kTick = 50ms;
-constexpr Duration kConnectWithin = 1s;
+constexpr Duration kConnectTimeout = 1s;
 constexpr std::size_t kPageBytes = 28 * 1024;  // of services, in a line of at most 32 KiB
 
 // What a kind is counted as, and how it stands in the log; none: it is counted only.
@@ -203,7 +203,7 @@
     if (const auto old = links_.find(open->source); old != links_.end()) out.drop(old->second.conn);
     links_.insert_or_assign(open->source, Link{conn});
     counters_.add("config.distribution.connects");
-    out.net.push_back(net::Connect{conn, distributors_.at(open->source), kConnectWithin});
+    out.net.push_back(net::Connect{conn, distributors_.at(open->source), kConnectTimeout});
   } else if (const auto* shut = std::get_if<Shut>(&effect)) {
     const auto it = links_.find(shut->source);
     if (it == links_.end()) return;
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -91,7 +91,7 @@
   if (admission_check_ && call.deadline > now_) {
     if (limits::Verdict verdict = admission_check_(now_, e.request); !verdict.passes) {
       counters_.add("broker.gapped");
-      return turn_down(true, RejectReason::gapped, verdict.wait, std::move(verdict.treatment));
+      return turn_down(true, RejectReason::gapped, verdict.retry_after, std::move(verdict.treatment));
     }
   }
   const Contracts::Terms terms = contracts_.admit(now_, e.request.team, e.request.class_name);
--- a/src/fleet/datagram.cpp
+++ b/src/fleet/datagram.cpp
@@ -12,13 +12,14 @@
 
 static_assert(kKeyBytes == crypto_auth_KEYBYTES);
 constexpr std::size_t kTag = crypto_auth_BYTES;
-constexpr std::size_t kMostRecords = 64;
+constexpr std::size_t kMaxRecords = 64;
 
 struct Malformed {};
 
 json to_json(const Record& r) {
-  return json::array({r.name, r.life, r.birth, r.address, r.incarnation, static_cast<unsigned>(r.state),
-                      static_cast<unsigned>(r.evidence), r.accuser, r.handing_over ? 1U : 0U});
+  return json::array({r.name, r.incarnation, r.start_nonce, r.address, r.refutation,
+                      static_cast<unsigned>(r.state), static_cast<unsigned>(r.evidence), r.suspecting_member,
+                      r.handing_over ? 1U : 0U});
 }
 
 std::uint64_t number_in(const json& j, std::uint64_t most = ~std::uint64_t{0}) {
@@ -37,14 +38,14 @@
 Record record_in(const json& j) {
   array_in(j, 9);
   Record r;
-  r.name = text_in(j[0], kLongestName);
-  r.life = number_in(j[1], ~std::uint64_t{0} >> 1);  // lives are stepped
-  r.birth = number_in(j[2]);
-  r.address = text_in(j[3], kLongestAddress);
-  r.incarnation = static_cast<std::uint32_t>(number_in(j[4], 0x7fffffff));
+  r.name = text_in(j[0], kMaxNameLength);
+  r.incarnation = number_in(j[1], ~std::uint64_t{0} >> 1);  // lives are stepped
+  r.start_nonce = number_in(j[2]);
+  r.address = text_in(j[3], kMaxAddressLength);
+  r.refutation = static_cast<std::uint32_t>(number_in(j[4], 0x7fffffff));
   r.state = static_cast<State>(number_in(j[5], static_cast<unsigned>(State::left)));
   r.evidence = static_cast<Evidence>(number_in(j[6], static_cast<unsigned>(Evidence::replaced)));
-  r.accuser = text_in(j[7], kLongestName);
+  r.suspecting_member = text_in(j[7], kMaxNameLength);
   r.handing_over = number_in(j[8], 1) == 1;
   if (r.name.empty() || r.address.empty()) throw Malformed{};
   return r;
@@ -58,14 +59,14 @@
       [](const auto& b) -> json {
         using B = std::decay_t<decltype(b)>;
         if constexpr (std::is_same_v<B, Ping>) {
-          return json::array({b.token, b.asking ? 1U : 0U, maybe(b.known, b.of_you)});
+          return json::array({b.token, b.by_non_member ? 1U : 0U, maybe(b.known, b.about_receiver)});
         } else if constexpr (std::is_same_v<B, Ack>) {
-          return json::array({b.token, maybe(b.known, b.of_you)});
+          return json::array({b.token, maybe(b.known, b.about_receiver)});
         } else if constexpr (std::is_same_v<B, PingRequest>) {
           return json::array({b.token, b.name, b.address});
-        } else if constexpr (std::is_same_v<B, SyncAsk>) {
+        } else if constexpr (std::is_same_v<B, SyncRequest>) {
           return json(b.buckets);
-        } else if constexpr (std::is_same_v<B, Told>) {
+        } else if constexpr (std::is_same_v<B, Gossip>) {
           return json::array();
         } else {
           return json::array({b.token});
@@ -84,32 +85,32 @@
       array_in(j, 3);
       Ping b;
       b.token = number_in(j[0]);
-      b.asking = number_in(j[1], 1) == 1;
-      record(j[2], b.known, b.of_you);
+      b.by_non_member = number_in(j[1], 1) == 1;
+      record(j[2], b.known, b.about_receiver);
       return b;
     }
     case 1: {
       array_in(j, 2);
       Ack b;
       b.token = number_in(j[0]);
-      record(j[1], b.known, b.of_you);
+      record(j[1], b.known, b.about_receiver);
       return b;
     }
     case 2:
       array_in(j, 3);
-      return PingRequest{number_in(j[0]), text_in(j[1], kLongestName), text_in(j[2], kLongestAddress)};
+      return PingRequest{number_in(j[0]), text_in(j[1], kMaxNameLength), text_in(j[2], kMaxAddressLength)};
     case 3:
-      return AckFor{number_in(array_in(j, 1)[0])};
+      return RelayedAck{number_in(array_in(j, 1)[0])};
     case 4:
       return Nack{number_in(array_in(j, 1)[0])};
     case 5: {
-      SyncAsk b;
+      SyncRequest b;
       for (const json& one : array_in(j, kBuckets)) b.buckets.push_back(number_in(one));
       return b;
     }
     case 6:
       array_in(j, 0);
-      return Told{};
+      return Gossip{};
     default:
       throw Malformed{};
   }
@@ -126,7 +127,7 @@
   return key;
 }
 
-std::string_view word_of(Refusal refusal) {
+std::string_view to_string(DecodeError refusal) {
   constexpr std::string_view kWords[] = {"too_long", "tag", "malformed", "version", "fleet"};
   return kWords[static_cast<std::size_t>(refusal)];
 }
@@ -137,7 +138,7 @@
   json whole = json::array({kVersion, fleet, d.body.index(), to_json(d.from), d.to, d.number, d.digest,
                             d.catching_up ? 1U : 0U, body_of(d.body), std::move(records)});
   std::vector<std::uint8_t> bytes = json::to_cbor(whole);
-  while (kTag + bytes.size() > kMostBytes && !whole[9].empty()) {
+  while (kTag + bytes.size() > kMaxDatagramBytes && !whole[9].empty()) {
     whole[9].erase(whole[9].size() - 1);
     bytes = json::to_cbor(whole);
   }
@@ -152,38 +153,38 @@
   return text;
 }
 
-std::variant<Datagram, Refusal> decode(std::string_view bytes, std::string_view fleet, const Key& key) {
-  if (bytes.size() > kMostBytes) return Refusal::too_long;
-  if (bytes.size() <= kTag) return Refusal::tag;
+std::variant<Datagram, DecodeError> decode(std::string_view bytes, std::string_view fleet, const Key& key) {
+  if (bytes.size() > kMaxDatagramBytes) return DecodeError::too_long;
+  if (bytes.size() <= kTag) return DecodeError::tag;
   const auto* tag = reinterpret_cast<const unsigned char*>(bytes.data());
   const std::string_view told = bytes.substr(kTag);
   if (crypto_auth_verify(tag, reinterpret_cast<const unsigned char*>(told.data()), told.size(), key.data()) !=
       0)
-    return Refusal::tag;
+    return DecodeError::tag;
   json whole;
   try {
     whole = json::from_cbor(told.begin(), told.end());
   } catch (const json::exception&) {  // some sizes throw even where it is asked not to
-    return Refusal::malformed;
+    return DecodeError::malformed;
   }
   // The version stands first in every format to come.
-  if (!whole.is_array() || whole.empty() || !whole[0].is_number_unsigned()) return Refusal::malformed;
-  if (whole[0].get<std::uint64_t>() != kVersion) return Refusal::version;
+  if (!whole.is_array() || whole.empty() || !whole[0].is_number_unsigned()) return DecodeError::malformed;
+  if (whole[0].get<std::uint64_t>() != kVersion) return DecodeError::version;
   try {
     array_in(whole, 10);
-    if (text_in(whole[1], kLongestName) != fleet) return Refusal::fleet;
+    if (text_in(whole[1], kMaxNameLength) != fleet) return DecodeError::fleet;
     Datagram d;
     d.from = record_in(whole[3]);
-    d.to = text_in(whole[4], kLongestName);
+    d.to = text_in(whole[4], kMaxNameLength);
     d.number = number_in(whole[5]);
     d.digest = number_in(whole[6]);
     d.catching_up = number_in(whole[7], 1) == 1;
     d.body = body_in(number_in(whole[2], 255), whole[8]);
-    if (!whole[9].is_array() || whole[9].size() > kMostRecords) throw Malformed{};
+    if (!whole[9].is_array() || whole[9].size() > kMaxRecords) throw Malformed{};
     for (const json& r : whole[9]) d.records.push_back(record_in(r));
     return d;
   } catch (const Malformed&) {
-    return Refusal::malformed;
+    return DecodeError::malformed;
   }
 }
 
--- a/src/fleet/datagram.h
+++ b/src/fleet/datagram.h
@@ -15,7 +15,7 @@
 
 namespace graniterun::fleet {
 
-constexpr std::size_t kMostBytes = 1200;
+constexpr std::size_t kMaxDatagramBytes = 1200;
 constexpr std::uint64_t kVersion = 1;
 constexpr std::size_t kKeyBytes = 32;
 using Key = std::array<unsigned char, kKeyBytes>;
@@ -25,16 +25,16 @@
 std::optional<Key> key_in(std::string_view text);
 
 // Why bytes are no datagram of this fleet.
-enum class Refusal : std::uint8_t { too_long, tag, malformed, version, fleet };
-constexpr std::size_t kRefusals = static_cast<std::size_t>(Refusal::fleet) + 1;
-std::string_view word_of(Refusal refusal);
+enum class DecodeError : std::uint8_t { too_long, tag, malformed, version, fleet };
+constexpr std::size_t kDecodeErrors = static_cast<std::size_t>(DecodeError::fleet) + 1;
+std::string_view to_string(DecodeError refusal);
 
 // Records that make it too long are left out, from the end.
 std::string encode(const membership::Datagram& d, std::string_view fleet, const Key& key);
 // Any bytes with their tag before them.
 std::string sealed(std::string_view bytes, const Key& key);
 // The tag is looked at before anything else is read.
-std::variant<membership::Datagram, Refusal> decode(std::string_view bytes, std::string_view fleet,
-                                                   const Key& key);
+std::variant<membership::Datagram, DecodeError> decode(std::string_view bytes, std::string_view fleet,
+                                                       const Key& key);
 
 }  // namespace graniterun::fleet
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -9,19 +9,19 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr Duration kBindAgain = 200ms;
+constexpr Duration kBindRetryDelay = 200ms;
 constexpr std::size_t kPageBytes = 28 * 1024;  // of members, in a line of at most 32 KiB
 constexpr std::uint64_t kTickTimer = 0;
 constexpr std::uint64_t kBindTimer = 1;
 
 std::int64_t ms_of(Duration d) { return std::chrono::duration_cast<std::chrono::milliseconds>(d).count(); }
 
-net::Level level_of(What what) {
+net::Level level_of(MemberEventKind what) {
   switch (what) {
-    case What::died:
-    case What::paused:
-    case What::name_taken:
-    case What::yielded:
+    case MemberEventKind::died:
+    case MemberEventKind::paused:
+    case MemberEventKind::name_taken:
+    case MemberEventKind::stood_down:
       return net::Level::warning;
     default:
       return net::Level::info;
@@ -33,17 +33,17 @@
 json to_json(Time now, const MemberView& m) {
   const Record& r = m.record;
   json j = {{"name", r.name},
-            {"life", r.life},
+            {"life", r.incarnation},
             {"address", r.address},
-            {"incarnation", r.incarnation},
-            {"state", word_of(r.state)},
-            {"since_ms", ms_of(now - m.since)},
-            {"evidence", word_of(r.evidence)},
-            {"reach", word_of(m.reach)},
+            {"incarnation", r.refutation},
+            {"state", to_string(r.state)},
+            {"since_ms", ms_of(now - m.state_since)},
+            {"evidence", to_string(r.evidence)},
+            {"reach", to_string(m.reachability)},
             {"self", m.self}};
-  if (!r.accuser.empty()) j["accuser"] = r.accuser;
+  if (!r.suspecting_member.empty()) j["accuser"] = r.suspecting_member;
   if (r.handing_over) j["handing_over"] = true;
-  if (m.heard) j["heard_ms_ago"] = ms_of(now - *m.heard);
+  if (m.last_received_at) j["heard_ms_ago"] = ms_of(now - *m.last_received_at);
   return j;
 }
 
@@ -58,14 +58,14 @@
 }
 
 void Fleet::on(Time now, const net::Bound&, Outbox&) {
-  if (places_.held) places_.held(now, true);
+  if (places_.owned) places_.owned(now, true);
 }
 
 // An old process may still hold the port: it lets go of it when it is told to stop.
 void Fleet::on(Time now, const net::BindFailed&, Outbox& out) {
   counters_.add("fleet.bind_failed");
-  refused_.line(now, "the fleet's port " + settings_.listen + " is taken: it is tried again", out);
-  out.arm(net::Concern::fleet, kBindTimer, now + kBindAgain);
+  decode_warning_.line(now, "the fleet's port " + settings_.listen + " is taken: it is tried again", out);
+  out.arm(net::Concern::fleet, kBindTimer, now + kBindRetryDelay);
 }
 
 void Fleet::on(Time now, const net::TimerFired& e, Outbox& out) {
@@ -75,11 +75,11 @@
     return;
   }
   out.arm(net::Concern::fleet, kTickTimer, now + kTick);
-  if (places_.to_ask) step(now, Watch{places_.to_ask(now)}, out);
+  if (places_.ports_to_watch) step(now, WatchPorts{places_.ports_to_watch(now)}, out);
   step(now, Tick{}, out);
   if (!membership_.stopped()) return;
   stopped_ = true;
-  if (places_.held) places_.held(now, false);
+  if (places_.owned) places_.owned(now, false);
   out.net.push_back(net::Unbind{net::Concern::fleet});
   out.log(net::Level::info, "the fleet's port is left to the next process");
 }
@@ -87,16 +87,17 @@
 void Fleet::on(Time now, const net::Datagram& e, Outbox& out) {
   counters_.add("fleet.datagrams_in");
   auto read = decode(e.bytes, settings_.fleet, settings_.key);
-  if (const auto* refusal = std::get_if<Refusal>(&read)) {
-    counters_.add("fleet.refused." + std::string(word_of(*refusal)));
-    return refused_.line(now, "a datagram to the fleet is dropped: " + std::string(word_of(*refusal)), out);
+  if (const auto* refusal = std::get_if<DecodeError>(&read)) {
+    counters_.add("fleet.refused." + std::string(to_string(*refusal)));
+    return decode_warning_.line(
+        now, "a datagram to the fleet is dropped: " + std::string(to_string(*refusal)), out);
   }
-  step(now, Heard{std::move(std::get<membership::Datagram>(read))}, out);
+  step(now, DatagramReceived{std::move(std::get<membership::Datagram>(read))}, out);
 }
 
 void Fleet::on(Time now, const net::Unreachable& e, Outbox& out) {
   counters_.add("fleet.ports_refused");
-  Refused refused{e.peer, {}};
+  PortUnreachable refused{e.peer, {}};
   const auto read = decode(e.bytes, settings_.fleet, settings_.key);
   if (const auto* own = std::get_if<membership::Datagram>(&read)) {
     if (const auto* ping = std::get_if<Ping>(&own->body)) refused.token = ping->token;
@@ -106,26 +107,26 @@
 
 void Fleet::leave(Time now, bool successor, Outbox& out) {
   if (settings_.listen.empty() || stopped_) return;
-  step(now, LeaveAsked{successor}, out);
+  step(now, LeaveRequested{successor}, out);
 }
 
 void Fleet::step(Time now, const membership::Event& event, Outbox& out) {
   membership::Effects effects;
   membership_.step(now, event, effects);
   for (const membership::Effect& effect : effects) {
-    if (const auto* tell = std::get_if<Tell>(&effect)) {
+    if (const auto* tell = std::get_if<SendDatagram>(&effect)) {
       counters_.add("fleet.datagrams_out");
       out.net.push_back(net::SendDatagram{net::Concern::fleet, tell->address,
                                           encode(tell->datagram, settings_.fleet, settings_.key)});
       continue;
     }
-    if (const auto* gone = std::get_if<Absent>(&effect)) {
-      if (places_.absent) places_.absent(now, gone->name, gone->asked);
+    if (const auto* gone = std::get_if<PortReleased>(&effect)) {
+      if (places_.port_released) places_.port_released(now, gone->name, gone->probed_at);
       continue;
     }
-    const auto& e = std::get<Happened>(effect);
-    out.log(level_of(e.what), "fleet: " + e.record.name + " (life " + std::to_string(e.record.life) + ") " +
-                                  std::string(word_of(e.what)) + ": " + e.evidence);
+    const auto& e = std::get<MemberEvent>(effect);
+    out.log(level_of(e.kind), "fleet: " + e.record.name + " (life " + std::to_string(e.record.incarnation) +
+                                  ") " + std::string(to_string(e.kind)) + ": " + e.evidence);
     for (const Watcher& watcher : watchers_) watcher(now, e, out);
   }
 }
@@ -159,7 +160,7 @@
   j["settled"] = view.settled;
   j["digest"] = std::to_string(view.digest);
   j["size"] = view.names.size();
-  j["since_ms"] = ms_of(now - view.since);
+  j["since_ms"] = ms_of(now - view.changed_at);
   j["in_touch"] = membership_.in_touch(now);
   j["health"] = membership_.health();
   j["catching_up"] = membership_.catching_up();
@@ -176,33 +177,33 @@
     all.push_back({"fleet.members",
                    "{member}",
                    static_cast<double>(by_state[i]),
-                   {{"state", std::string(word_of(static_cast<State>(i)))}}});
+                   {{"state", std::string(to_string(static_cast<State>(i)))}}});
   }
   const View& view = membership_.view();
   all.push_back({"fleet.in_touch", "{member}", static_cast<double>(membership_.in_touch(now)), {}});
   all.push_back({"fleet.view_settled_for",
                  "ms",
-                 view.settled ? static_cast<double>(ms_of(now - view.since)) : 0.0,
+                 view.settled ? static_cast<double>(ms_of(now - view.changed_at)) : 0.0,
                  {}});
   return all;
 }
 
 void Fleet::count(Counters& all) const {
   if (settings_.listen.empty()) return;
-  const Figures& f = membership_.figures();
+  const Metrics& f = membership_.metrics();
   for (const auto& [name, value] : {std::pair{"fleet.suspicions_raised", f.suspicions_raised},
-                                    {"fleet.suspicions_held", f.suspicions_held},
+                                    {"fleet.suspicions_held", f.suspicions_known},
                                     {"fleet.suspicions_refuted", f.refuted},
                                     {"fleet.suspicions_confirmed", f.confirmed},
-                                    {"fleet.suspicions_of_self_refuted", f.own_refuted},
-                                    {"fleet.deaths_by_refusal", f.deaths_refused},
-                                    {"fleet.deaths_turned_down", f.deaths_turned_down},
+                                    {"fleet.suspicions_of_self_refuted", f.own_suspicions_refuted},
+                                    {"fleet.deaths_by_refusal", f.deaths_by_unreachable_port},
+                                    {"fleet.deaths_turned_down", f.deaths_disproved},
                                     {"fleet.own_pauses", f.pauses},
-                                    {"fleet.lives_taken", f.lives_taken},
+                                    {"fleet.lives_taken", f.incarnations_taken},
                                     {"fleet.syncs", f.syncs}})
     all.add(name, value);
-  for (std::size_t i = 0; i < kDrops; ++i)
-    all.add("fleet.dropped." + std::string(word_of(static_cast<Drop>(i))), f.dropped[i]);
+  for (std::size_t i = 0; i < kDropReasons; ++i)
+    all.add("fleet.dropped." + std::string(to_string(static_cast<DropReason>(i))), f.dropped[i]);
 }
 
 }  // namespace graniterun::fleet
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -18,13 +18,13 @@
 class Fleet {
  public:
   // Told of each change, after it has been taken.
-  using Watcher = std::function<void(Time now, const membership::Happened& e, Outbox& out)>;
+  using Watcher = std::function<void(Time now, const membership::MemberEvent& e, Outbox& out)>;
   // Told when this process has the fleet's port, and when it has it no more; and of members that are gone for
   // sure.
-  struct Places {
-    std::function<void(Time now, bool holds)> held{};
-    std::function<void(Time now, const std::string& name, Time asked)> absent{};
-    std::function<std::set<std::string>(Time now)> to_ask{};
+  struct SlotPlaces {
+    std::function<void(Time now, bool holds)> owned{};
+    std::function<void(Time now, const std::string& name, Time asked)> port_released{};
+    std::function<std::set<std::string>(Time now)> ports_to_watch{};
   };
 
   Fleet(FleetSettings settings, Counters& counters);
@@ -38,7 +38,7 @@
   // At the end of this process, or because an operator says so. With a successor its port is free at once.
   void leave(Time now, bool successor, Outbox& out);
 
-  void places(Places places) { places_ = std::move(places); }
+  void places(SlotPlaces places) { places_ = std::move(places); }
   void watch(Watcher watcher) { watchers_.push_back(std::move(watcher)); }
   const membership::Membership& membership() const { return membership_; }
   // For the control listener: `fleet` with `what` members, view or leave.
@@ -51,10 +51,10 @@
 
   FleetSettings settings_;
   Counters& counters_;
-  RateLimitedWarning refused_;
+  RateLimitedWarning decode_warning_;
   membership::Membership membership_;
   std::vector<Watcher> watchers_;
-  Places places_{};
+  SlotPlaces places_{};
   bool stopped_ = false;
 };
 
--- a/src/front/load_control.cpp
+++ b/src/front/load_control.cpp
@@ -293,10 +293,10 @@
     if (n.held.contains(id)) continue;
     limits::Announcement lift;
     lift.id = id;
-    lift.by = n.address;
+    lift.author = n.address;
     lift.version = static_cast<std::uint64_t>(
         std::chrono::floor<std::chrono::milliseconds>(now.time_since_epoch()).count());
-    lift.made = lift.start = lift.end = now;
+    lift.created_at = lift.start = lift.end = now;
     source_.announce(now, lift, out);
   }
 }
--- a/src/front/platform.cpp
+++ b/src/front/platform.cpp
@@ -298,7 +298,7 @@
   const bool gapped = e.reason == core::RejectReason::gapped;
   jsonl::Message m =
       message("release", it->second.id, gapped ? e.treatment.cause : cause_of(e.rejected, e.reason));
-  if (!e.treatment.words.empty()) m.fields.emplace("reason", e.treatment.words);
+  if (!e.treatment.text.empty()) m.fields.emplace("reason", e.treatment.text);
   if (e.retry_after > Duration{}) {
     const auto ms = std::chrono::ceil<std::chrono::milliseconds>(e.retry_after).count();
     m.fields.emplace("wait", std::to_string(ms));
--- a/src/front/sip.cpp
+++ b/src/front/sip.cpp
@@ -25,7 +25,7 @@
 // RFC 3326. The words hold no control characters; what would end the text early is left out.
 std::string reason(const limits::Treatment& treatment) {
   std::string text = "Q.850;cause=" + std::to_string(treatment.cause);
-  std::string words = treatment.words;
+  std::string words = treatment.text;
   std::erase_if(words, [](char c) { return c == '"' || c == '\\'; });
   return words.empty() ? text : text + ";text=\"" + words + "\"";
 }
--- a/src/limits/gap.h
+++ b/src/limits/gap.h
@@ -30,7 +30,7 @@
 // What a gapped call is told. The cause is one of Q.850 that callers take for a refusal: 34, 42 or 102.
 struct Treatment {
   int cause = 42;
-  std::string words{};
+  std::string text{};
   bool operator==(const Treatment&) const = default;
 };
 
@@ -48,25 +48,25 @@
 struct Announcement {
   std::string id{};
   std::uint64_t version{};
-  std::string by{};
-  Time made{};
+  std::string author{};
+  Time created_at{};
   Time start{};  // slots are counted from here
   Time end{};
   std::optional<Gap> gap{};  // absent: the gap is lifted
   bool operator==(const Announcement&) const = default;
 };
 
-constexpr std::size_t kLongestText = 128;                 // of an id, a name, a number, a prefix, words
-constexpr std::size_t kMostNumbers = 1000;                // numbers, prefixes and classes of a gap, each
-constexpr Duration kLongestGap = std::chrono::hours(24);  // from `made` to `end`
-constexpr Duration kShortestInterval = std::chrono::milliseconds(10);
-constexpr Duration kClockError = std::chrono::minutes(5);  // by which `made` may lie ahead
+constexpr std::size_t kMaxTextLength = 128;                   // of an id, a name, a number, a prefix, words
+constexpr std::size_t kMaxCriteria = 1000;                    // numbers, prefixes and classes of a gap, each
+constexpr Duration kMaxGapDuration = std::chrono::hours(24);  // from `made` to `end`
+constexpr Duration kMinInterval = std::chrono::milliseconds(10);
+constexpr Duration kMaxClockError = std::chrono::minutes(5);  // by which `made` may lie ahead
 
 // What is wrong with it, in one line; empty: nothing.
-std::string trouble_with(const Announcement& a, Time now);
+std::string find_error(const Announcement& a, Time now);
 
 // Of two that name the same id and version: whether the first is to hold wherever both are heard, in whatever
 // order. The stricter one does, so that a quarrel between two announcers never lets a flood through.
-bool holds_over(const Announcement& a, const Announcement& b);
+bool supersedes(const Announcement& a, const Announcement& b);
 
 }  // namespace graniterun::limits
--- a/src/limits/gap_register.cpp
+++ b/src/limits/gap_register.cpp
@@ -13,9 +13,9 @@
 
 constexpr std::uint64_t kPrefixSeed = 1;
 constexpr std::uint64_t kNumberSeed = 2;
-constexpr std::size_t kLeastBits = 4096;
+constexpr std::size_t kMinFilterBits = 4096;
 // Callers of a gap come back over as many slots as there are calls for one, but over no more than this.
-constexpr double kMostSpread = 64.0;
+constexpr double kMaxSpread = 64.0;
 
 std::uint64_t hash(std::string_view text, std::uint64_t seed) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
@@ -35,9 +35,10 @@
 
 }  // namespace
 
-std::uint64_t mark_of(const Announcement& a) {
-  std::string text = a.id + '\n' + std::to_string(a.version) + '\n' + a.by;
-  for (const Time t : {a.made, a.start, a.end}) text += '\n' + std::to_string(t.time_since_epoch().count());
+std::uint64_t fingerprint_of(const Announcement& a) {
+  std::string text = a.id + '\n' + std::to_string(a.version) + '\n' + a.author;
+  for (const Time t : {a.created_at, a.start, a.end})
+    text += '\n' + std::to_string(t.time_since_epoch().count());
   if (!a.gap) return hash(text, kPrefixSeed);
   const Gap& gap = *a.gap;
   for (const auto* names : {&gap.criteria.numbers, &gap.criteria.prefixes, &gap.criteria.classes}) {
@@ -46,25 +47,30 @@
   }
   text += '\n' + std::to_string(static_cast<int>(gap.shape)) + '\t' +
           std::to_string(gap.interval ? gap.interval->count() : -1) + '\t' + std::to_string(gap.percent) +
-          '\t' + std::to_string(gap.treatment.cause) + '\t' + gap.treatment.words;
+          '\t' + std::to_string(gap.treatment.cause) + '\t' + gap.treatment.text;
   return hash(text, kPrefixSeed);
 }
 
 GapRegister::GapRegister(Fleet fleet, std::uint64_t seed, Time born, Duration longest_wait)
-    : fleet_(fleet), born_(born), longest_wait_(longest_wait), random_(seed), perhaps_(kLeastBits) {}
+    : fleet_(fleet),
+      started_at_(born),
+      max_retry_after_(longest_wait),
+      random_(seed),
+      perhaps_(kMinFilterBits) {}
 
 // Slots in which an earlier life, or an heir of it, may have let something through. An heir may have done so
 // even in those of a gap that is younger than this life.
 void GapRegister::fence(Active& gap) const {
   const Announcement& a = gap.announcement;
-  const Time from = heirs_ != nullptr ? born_ + kCedeAhead : born_;
-  if (slotted(*a.gap) && a.start < from) gap.fenced = std::max(gap.fenced, slot_at(a, born_ + kCedeAhead));
+  const Time from = failover_ != nullptr ? started_at_ + kMaxCedeAhead : started_at_;
+  if (slotted(*a.gap) && a.start < from)
+    gap.fenced = std::max(gap.fenced, slot_at(a, started_at_ + kMaxCedeAhead));
 }
 
-void GapRegister::holds_place(Time now, bool holds) {
-  holds_place_ = holds;
+void GapRegister::set_place_owned(Time now, bool holds) {
+  place_owned_ = holds;
   if (!holds) return;
-  born_ = now;
+  started_at_ = now;
   for (auto& [id, entry] : entries_) {
     if (entry.current) fence(*entry.current);
   }
@@ -72,9 +78,9 @@
 
 // ---- announcements
 
-Taken GapRegister::announce(Time now, Announcement a) {
-  settle(now);
-  if (!trouble_with(a, now).empty()) return Taken::refused;
+AnnounceResult GapRegister::announce(Time now, Announcement a) {
+  process_due_changes(now);
+  if (!find_error(a, now).empty()) return AnnounceResult::rejected;
   if (a.gap) {
     // In order, so that it can be searched, and so that the order in which names are told makes no
     // difference.
@@ -85,23 +91,23 @@
   }
   const auto known = entries_.find(a.id);
   // What nobody can hear of any more need not be remembered.
-  if (known == entries_.end() && a.made + kLongestGap <= now) return Taken::older;
-  Taken taken = Taken::taken;
+  if (known == entries_.end() && a.created_at + kMaxGapDuration <= now) return AnnounceResult::outdated;
+  AnnounceResult taken = AnnounceResult::accepted;
   if (known != entries_.end()) {
     const Announcement& held = known->second.newest;
-    if (a.version < held.version) return Taken::older;
+    if (a.version < held.version) return AnnounceResult::outdated;
     if (a.version == held.version) {
-      if (a == held) return Taken::known;
-      if (!holds_over(a, held)) return Taken::conflict;
-      taken = Taken::conflict_over;
+      if (a == held) return AnnounceResult::unchanged;
+      if (!supersedes(a, held)) return AnnounceResult::conflict;
+      taken = AnnounceResult::conflict_won;
     }
-  } else if (!has_room_for(1)) {
-    return Taken::full;
+  } else if (!has_capacity_for(1)) {
+    return AnnounceResult::full;
   }
   Entry& entry = known != entries_.end() ? known->second : entries_[a.id];
-  digest_ -= entry.mark;
-  entry.mark = mark_of(a);
-  digest_ += entry.mark;
+  digest_ -= entry.fingerprint;
+  entry.fingerprint = fingerprint_of(a);
+  digest_ += entry.fingerprint;
   entry.newest = a;
   // Until it starts, what it replaces goes on: all gatekeepers change over at one time. A lift is at once.
   if (!a.gap || a.start <= now) {
@@ -114,21 +120,21 @@
 
 // When something about it changes next: its start, the end of what is in force, or when it may be forgotten.
 void GapRegister::schedule(const std::string& id, const Entry& entry) {
-  Time next = entry.newest.made + kRemembered;
+  Time next = entry.newest.created_at + kAnnouncementRetention;
   const bool to_come = entry.newest.gap && !(entry.current && entry.current->announcement == entry.newest);
   if (entry.current) next = std::min(next, entry.current->announcement.end);
   if (to_come) next = std::min(next, std::max(entry.newest.start, Time{}));
   due_.set(id, next);
 }
 
-void GapRegister::settle(Time now) {
+void GapRegister::process_due_changes(Time now) {
   while (const auto id = due_.pop_due(now)) {
     Entry& entry = entries_.at(*id);
     const Announcement& a = entry.newest;
-    const bool forget = a.made + kRemembered <= now;
+    const bool forget = a.created_at + kAnnouncementRetention <= now;
     if (entry.current && (forget || entry.current->announcement.end <= now)) retire(entry);
     if (forget) {
-      digest_ -= entry.mark;
+      digest_ -= entry.fingerprint;
       entries_.erase(*id);
       continue;
     }
@@ -138,7 +144,7 @@
       activate(entry);
     }
     if (a.gap && now >= a.start && !running) {  // over: nothing is left but to forget it
-      due_.set(*id, a.made + kRemembered);
+      due_.set(*id, a.created_at + kAnnouncementRetention);
     } else {
       schedule(*id, entry);
     }
@@ -156,7 +162,7 @@
   Active* gap = entry.current.get();
   const Announcement& a = gap->announcement;
   gap->salt = hash(a.id, kNumberSeed);
-  gap->mark = entry.mark;
+  gap->fingerprint = entry.fingerprint;
   fence(*gap);
   const Criteria& c = a.gap->criteria;
   if (c.numbers.empty() && c.prefixes.empty()) by_class_.push_back(gap);
@@ -187,7 +193,7 @@
     if (length > 0 && --prefixes_of_length_[length] == 0) std::erase(lengths_, length);
   });
   used_ -= gap->used.size();
-  asked_.erase(gap);
+  demanded_.erase(gap);
   entry.current.reset();
 }
 
@@ -231,8 +237,8 @@
       if ((c.classes.empty() || names(c.classes, class_name)) && fits(c)) act(gap);
     }
   };
-  const std::string_view text = number.substr(0, kLongestText);
-  if (!by_number_.empty() && number.size() <= kLongestText) {
+  const std::string_view text = number.substr(0, kMaxTextLength);
+  if (!by_number_.empty() && number.size() <= kMaxTextLength) {
     look(by_number_, hash(number, kNumberSeed), [&](const Criteria& c) { return names(c.numbers, number); });
   }
   for (const std::size_t length : lengths_) {
@@ -261,10 +267,10 @@
   if (!g.interval) return false;
   if (*g.interval == Duration{}) return true;
   match.slot = slot_at(gap.announcement, now);
-  if (!holds_place_ || match.slot <= gap.fenced) return false;
+  if (!place_owned_ || match.slot <= gap.fenced) return false;
   const Time began = gap.announcement.start + match.slot * *g.interval;
-  const bool inherited =
-      heirs_ != nullptr && heirs_->inherits(now, began, owner_of(match.slot, match.salt, fleet_.size));
+  const bool inherited = failover_ != nullptr &&
+                         failover_->may_take_over(now, began, owner_of(match.slot, match.salt, fleet_.size));
   if (!inherited && !gap.slots.may_use(match.slot, match.salt)) return false;
   if (g.shape == Shape::whole) return match.slot > gap.used_slot;
   // Numbers let through in slots that are past don't matter any more, so the table holds those of one slot. A
@@ -272,21 +278,21 @@
   clear_used(gap, match.slot);
   if (match.slot < gap.used_slot) return false;
   if (gap.used.contains(match.salt)) return false;
-  if (used_ < kMostUsed) return true;
-  ++refused_for_room_;
+  if (used_ < kMaxUsedNumbers) return true;
+  ++rejected_for_capacity_;
   return false;
 }
 
 // When a caller is to come back: after the next slot's start, and spread over as many slots as there are
 // calls for one, or all would come at once.
-Duration GapRegister::wait_for(Time now, const Match& match) {
+Duration GapRegister::retry_after(Time now, const Match& match) {
   const Announcement& a = match.gap->announcement;
   const Gap& g = *a.gap;
-  Duration wait = longest_wait_;
-  double spread_s = seconds(longest_wait_) / 2;
+  Duration wait = max_retry_after_;
+  double spread_s = seconds(max_retry_after_) / 2;
   if (slotted(g)) {
     const Duration next = *g.interval - (now - a.start) % *g.interval;
-    const double per_slot = std::clamp(match.gap->rate * seconds(*g.interval), 1.0, kMostSpread);
+    const double per_slot = std::clamp(match.gap->rate * seconds(*g.interval), 1.0, kMaxSpread);
     spread_s = per_slot * seconds(*g.interval);
     wait = next;
   } else if (g.shape != Shape::percentage) {
@@ -295,16 +301,16 @@
     wait = Duration{};
   }
   // Callers heed no more than the longest wait: where that is cut off, they are still spread below it.
-  spread_s = std::min(spread_s, seconds(longest_wait_) / 2);
+  spread_s = std::min(spread_s, seconds(max_retry_after_) / 2);
   wait = std::min(
-      wait, longest_wait_ - std::chrono::duration_cast<Duration>(std::chrono::duration<double>(spread_s)));
+      wait, max_retry_after_ - std::chrono::duration_cast<Duration>(std::chrono::duration<double>(spread_s)));
   const double drawn = std::uniform_real_distribution<double>(0.0, spread_s)(random_);
   return std::max<Duration>(
       1ms, wait + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(drawn)));
 }
 
 Verdict GapRegister::check(Time now, std::string_view number, std::string_view class_name) {
-  if (const auto next = due_.next(); next && *next <= now) settle(now);
+  if (const auto next = due_.next(); next && *next <= now) process_due_changes(now);
   Verdict verdict;
   if (keys_ == 0 && by_class_.empty()) return verdict;
   matches_.clear();
@@ -320,8 +326,8 @@
     const double passed_s = seconds(now - gap.rated);
     gap.rate = gap.rated == Time{} ? 0.0 : gap.rate * std::exp(-std::max(0.0, passed_s)) + 1.0;
     gap.rated = now;
-    ++gap.asked;
-    asked_.insert(&gap);
+    ++gap.demand;
+    demanded_.insert(&gap);
     // All are asked, so that each counts what it holds back; the last no is the one that is told.
     if (lets_pass(now, match)) continue;
     ++gap.gapped;
@@ -331,7 +337,7 @@
     verdict.passes = false;
     verdict.id = barred->gap->announcement.id;
     verdict.treatment = barred->gap->announcement.gap->treatment;
-    verdict.wait = wait_for(now, *barred);
+    verdict.retry_after = retry_after(now, *barred);
     return verdict;
   }
   for (const Match& match : matches_) {
@@ -348,43 +354,43 @@
 // ---- the fleet's slots
 
 std::vector<GapRegister::Demand> GapRegister::take_demands(Time now) {
-  settle(now);
+  process_due_changes(now);
   std::vector<Demand> all;
-  for (Active* gap : asked_) {
-    if (slotted(*gap->announcement.gap)) all.push_back({gap->announcement.id, gap->mark, gap->asked});
-    gap->asked = 0;
+  for (Active* gap : demanded_) {
+    if (slotted(*gap->announcement.gap)) all.push_back({gap->announcement.id, gap->fingerprint, gap->demand});
+    gap->demand = 0;
   }
-  asked_.clear();
+  demanded_.clear();
   return all;
 }
 
 std::vector<Slot> GapRegister::cede(Time now, const std::string& id, std::uint64_t mark,
                                     const std::vector<double>& demand, Duration ahead) {
-  settle(now);
+  process_due_changes(now);
   const auto it = entries_.find(id);
   if (it == entries_.end() || !it->second.current) return {};
   Active& gap = *it->second.current;
   const Announcement& a = gap.announcement;
-  if (gap.mark != mark || !slotted(*a.gap)) return {};
-  if (!holds_place_) return {};
+  if (gap.fingerprint != mark || !slotted(*a.gap)) return {};
+  if (!place_owned_) return {};
   const Slot running = slot_at(a, now);
   gap.slots.drop_before(running);
   const bool each = a.gap->shape == Shape::each_number;
   // A slot in which something was let through is not given away, nor one in which it may have been in an
   // earlier life.
   const Slot first = std::max({running, gap.used_slot + 1, gap.fenced + 1});
-  const Slot last = std::min(slot_at(a, std::min(now + std::min(ahead, kCedeAhead), a.end)),
-                             running + static_cast<Slot>(Slots::kMostSlots));
+  const Slot last = std::min(slot_at(a, std::min(now + std::min(ahead, kMaxCedeAhead), a.end)),
+                             running + static_cast<Slot>(Slots::kMaxSlots));
   return gap.slots.cede(demand, first, last, gap.salt, each);
 }
 
 void GapRegister::grant(Time now, const std::string& id, std::uint64_t mark,
                         const std::vector<SlotOf>& slots) {
-  settle(now);
+  process_due_changes(now);
   const auto it = entries_.find(id);
   if (it == entries_.end() || !it->second.current) return;
   Active& gap = *it->second.current;
-  if (gap.mark != mark || !slotted(*gap.announcement.gap)) return;
+  if (gap.fingerprint != mark || !slotted(*gap.announcement.gap)) return;
   const Slot running = slot_at(gap.announcement, now);
   gap.slots.drop_before(running);
   gap.slots.grant(slots, running);
--- a/src/limits/hot_numbers.cpp
+++ b/src/limits/hot_numbers.cpp
@@ -9,17 +9,17 @@
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
 // Units grow by e once per `memory`; well before a double can't hold them they are brought down.
-constexpr double kMostExponent = 200.0;
+constexpr double kMaxExponent = 200.0;
 
 }  // namespace
 
 double HotNumbers::unit(Time now) const {
-  return std::exp(std::max(0.0, seconds(now - base_) / seconds(settings_.memory)));
+  return std::exp(std::max(0.0, seconds(now - base_) / seconds(settings_.rate_window)));
 }
 
 void HotNumbers::renormalize(Time now) {
   if (base_ == Time{}) base_ = now;
-  if (seconds(now - base_) / seconds(settings_.memory) < kMostExponent) return;
+  if (seconds(now - base_) / seconds(settings_.rate_window) < kMaxExponent) return;
   const double by = 1.0 / unit(now);
   order_.clear();
   for (auto& [number, e] : entries_) {
@@ -30,14 +30,14 @@
   base_ = now;
 }
 
-void HotNumbers::called(Time now, std::string_view number) {
+void HotNumbers::record_call(Time now, std::string_view number) {
   renormalize(now);
   std::string key(number);
   const double one = unit(now);
   auto it = entries_.find(key);
   if (it == entries_.end()) {
     Entry fresh;
-    if (entries_.size() >= kMost) {
+    if (entries_.size() >= kMaxEntries) {
       // The least called makes room. One that is hot stays until it was told that it is so no more.
       auto least = order_.begin();
       while (least != order_.end() && entries_.at(least->second).hot) ++least;
@@ -54,38 +54,38 @@
   order_.emplace(it->second.count, it->first);
 }
 
-HotNumber HotNumbers::tell(Time now, const std::string& number, const Entry& e) const {
+HotNumber HotNumbers::describe(Time now, const std::string& number, const Entry& e) const {
   // A steady rate r adds up to r x memory units.
-  const double per = unit(now) * seconds(settings_.memory);
+  const double per = unit(now) * seconds(settings_.rate_window);
   return {number, e.count / per, e.error / per, e.above.value_or(now), e.gapped};
 }
 
-std::vector<HotNumbers::Change> HotNumbers::look(Time now) {
+std::vector<HotNumbers::Change> HotNumbers::update(Time now) {
   std::vector<Change> changes;
   for (auto it = entries_.begin(); it != entries_.end();) {
     Entry& e = it->second;
-    const HotNumber state = tell(now, it->first, e);
+    const HotNumber state = describe(now, it->first, e);
     const double certain = state.rate - state.error;
-    if (certain >= settings_.hot_from) {
+    if (certain >= settings_.hot_threshold) {
       if (!e.above) e.above = now;
       e.below.reset();
-    } else if (state.rate < settings_.cool_below) {
+    } else if (state.rate < settings_.cool_threshold) {
       if (!e.below) e.below = now;
     } else {
       e.below.reset();
     }
-    if (!e.hot && certain < settings_.hot_from) e.above.reset();
-    const auto note = [&](Change::What what) { changes.push_back({what, tell(now, it->first, e)}); };
-    if (!e.hot && e.above && now - *e.above >= settings_.hot_for) {
+    if (!e.hot && certain < settings_.hot_threshold) e.above.reset();
+    const auto note = [&](Change::What what) { changes.push_back({what, describe(now, it->first, e)}); };
+    if (!e.hot && e.above && now - *e.above >= settings_.hot_duration) {
       e.hot = true;
       note(Change::What::hot);
     }
-    if (e.hot && !e.gapped && !e.below && gapped_ < settings_.most_gaps) {
+    if (e.hot && !e.gapped && !e.below && gapped_ < settings_.max_gaps) {
       e.gapped = true;
       ++gapped_;
       note(Change::What::gap);
     }
-    if (e.hot && e.below && now - *e.below >= settings_.cool_for) {
+    if (e.hot && e.below && now - *e.below >= settings_.cool_duration) {
       if (e.gapped) {
         --gapped_;
         note(Change::What::lift);
@@ -94,7 +94,7 @@
       e.above.reset();
       note(Change::What::cool);
     }
-    if (!e.hot && state.rate * seconds(settings_.memory) < 0.1) {  // long not called
+    if (!e.hot && state.rate * seconds(settings_.rate_window) < 0.1) {  // long not called
       order_.erase({e.count, it->first});
       it = entries_.erase(it);
     } else {
@@ -107,7 +107,7 @@
 std::vector<HotNumber> HotNumbers::hot(Time now) const {
   std::vector<HotNumber> all;
   for (const auto& [number, e] : entries_) {
-    if (e.hot) all.push_back(tell(now, number, e));
+    if (e.hot) all.push_back(describe(now, number, e));
   }
   std::sort(all.begin(), all.end(), [](const HotNumber& a, const HotNumber& b) { return a.rate > b.rate; });
   return all;
--- a/src/limits/hot_numbers.h
+++ b/src/limits/hot_numbers.h
@@ -19,12 +19,12 @@
 namespace graniterun::limits {
 
 struct HotSettings {
-  double hot_from = 20.0;  // calls a second
-  Duration hot_for = std::chrono::seconds(2);
-  double cool_below = 5.0;
-  Duration cool_for = std::chrono::seconds(30);
-  std::size_t most_gaps = 0;  // announced by the program itself at a time; 0: it announces none
-  Duration memory = std::chrono::seconds(5);  // over which rates are taken
+  double hot_threshold = 20.0;  // calls a second
+  Duration hot_duration = std::chrono::seconds(2);
+  double cool_threshold = 5.0;
+  Duration cool_duration = std::chrono::seconds(30);
+  std::size_t max_gaps = 0;  // announced by the program itself at a time; 0: it announces none
+  Duration rate_window = std::chrono::seconds(5);  // over which rates are taken
 };
 
 struct HotNumber {
@@ -37,18 +37,18 @@
 
 class HotNumbers {
  public:
-  static constexpr std::size_t kMost = 512;
+  static constexpr std::size_t kMaxEntries = 512;
 
   explicit HotNumbers(HotSettings settings) : settings_(settings) {}
 
-  void called(Time now, std::string_view number);
+  void record_call(Time now, std::string_view number);
 
   struct Change {
     enum class What : std::uint8_t { hot, cool, gap, lift } what{};
     HotNumber number{};
   };
   // To be called now and then, some times a second: what has become hot or cool since.
-  std::vector<Change> look(Time now);
+  std::vector<Change> update(Time now);
   // Those that are hot, the hottest first.
   std::vector<HotNumber> hot(Time now) const;
   std::size_t size() const { return entries_.size(); }
@@ -66,7 +66,7 @@
 
   double unit(Time now) const;
   void renormalize(Time now);
-  HotNumber tell(Time now, const std::string& number, const Entry& e) const;
+  HotNumber describe(Time now, const std::string& number, const Entry& e) const;
 
   HotSettings settings_;
   Entries entries_;
--- a/src/limits/slots.cpp
+++ b/src/limits/slots.cpp
@@ -27,7 +27,7 @@
     decided_ = slot;
     if (!each && owner_of(slot, salt, fleet_.size) != fleet_.index) continue;
     credit_ += cedes;
-    if (credit_ < 1.0 || ceded_.size() >= kMostSlots) continue;
+    if (credit_ < 1.0 || ceded_.size() >= kMaxSlots) continue;
     credit_ -= 1.0;
     ceded_.insert(slot);
     ceded.push_back(slot);
@@ -37,7 +37,7 @@
 
 void Slots::grant(const std::vector<SlotOf>& slots, Slot now) {
   for (const SlotOf& slot : slots) {
-    if (slot.slot < now || granted_.size() >= kMostSlots) continue;
+    if (slot.slot < now || granted_.size() >= kMaxSlots) continue;
     granted_.insert(slot);
   }
 }
@@ -47,17 +47,17 @@
   granted_.erase(granted_.begin(), granted_.lower_bound({slot, 0}));
 }
 
-Dealer::Dealer(std::uint32_t fleet, Duration interval, std::uint64_t life)
+QuotaAllocator::QuotaAllocator(std::uint32_t fleet, Duration interval, std::uint64_t life)
     : memory_(std::max<Duration>(std::chrono::seconds(3), 8 * interval)),
-      life_(life),
-      seen_(fleet),
+      incarnation_(life),
+      demand_rates_(fleet),
       credit_(fleet, 0.0) {}
 
 // Taken over a long time, so that what demands differ by chance moves no slots; a change that is plain over a
 // short time is believed at once.
-void Dealer::hear_demand(Time now, std::uint32_t gatekeeper, double calls, Duration span) {
-  if (gatekeeper >= seen_.size() || span <= Duration{}) return;
-  Seen& seen = seen_[gatekeeper];
+void QuotaAllocator::record_demand(Time now, std::uint32_t gatekeeper, double calls, Duration span) {
+  if (gatekeeper >= demand_rates_.size() || span <= Duration{}) return;
+  DemandRate& seen = demand_rates_[gatekeeper];
   const double rate = calls / std::chrono::duration<double>(span).count();
   const auto follow = [&](double& known, Duration memory) {
     // At first the mean of all: one report alone says little, and would go on for as long as the memory.
@@ -66,15 +66,16 @@
     known = known * keeps + (1.0 - keeps) * rate;
   };
   follow(seen.rate, memory_);
-  follow(seen.lately, memory_ / 5);
+  follow(seen.recent_rate, memory_ / 5);
   seen.reports += 1.0;
-  if (seen.lately < seen.rate / kPlainly || seen.lately > seen.rate * kPlainly) seen.rate = seen.lately;
+  if (seen.recent_rate < seen.rate / kPlainly || seen.recent_rate > seen.rate * kPlainly)
+    seen.rate = seen.recent_rate;
   seen.at = now;
 }
 
-std::vector<double> Dealer::demand(Time now) const {
+std::vector<double> QuotaAllocator::demand(Time now) const {
   std::vector<double> all;
-  for (const Seen& seen : seen_) {
+  for (const DemandRate& seen : demand_rates_) {
     // Who has said nothing for long is not known to have any.
     const bool fresh = seen.at != Time{} && now - seen.at < 2 * memory_;
     all.push_back(fresh && seen.rate > 1e-6 ? seen.rate : 0.0);
@@ -82,10 +83,11 @@
   return all;
 }
 
-std::map<std::uint32_t, std::vector<SlotOf>> Dealer::deal(Time now, std::uint64_t life, std::uint32_t from,
-                                                          const std::vector<Slot>& slots) {
+std::map<std::uint32_t, std::vector<SlotOf>> QuotaAllocator::allocate(Time now, std::uint64_t life,
+                                                                      std::uint32_t from,
+                                                                      const std::vector<Slot>& slots) {
   std::map<std::uint32_t, std::vector<SlotOf>> grants;
-  if (life != life_) return grants;
+  if (life != incarnation_) return grants;
   std::vector<double> wants = demand(now);
   const double all = std::accumulate(wants.begin(), wants.end(), 0.0);
   if (!(all > 0.0)) return grants;
@@ -95,7 +97,7 @@
     over += want = std::max(0.0, want / all - 1.0 / static_cast<double>(wants.size()));
   if (!(over > 0.0)) return grants;
   for (const Slot slot : slots) {
-    if (dealt_.size() >= kMostSlots || !dealt_.insert({slot, from}).second) continue;
+    if (allocated_.size() >= kMaxSlots || !allocated_.insert({slot, from}).second) continue;
     for (std::size_t i = 0; i < wants.size(); ++i) credit_[i] += wants[i] / over;
     const auto to =
         static_cast<std::size_t>(std::max_element(credit_.begin(), credit_.end()) - credit_.begin());
@@ -105,6 +107,8 @@
   return grants;
 }
 
-void Dealer::drop_before(Slot slot) { dealt_.erase(dealt_.begin(), dealt_.lower_bound({slot, 0})); }
+void QuotaAllocator::drop_before(Slot slot) {
+  allocated_.erase(allocated_.begin(), allocated_.lower_bound({slot, 0}));
+}
 
 }  // namespace graniterun::limits
--- a/src/limits/slots.h
+++ b/src/limits/slots.h
@@ -41,7 +41,7 @@
 // dropped.
 class Slots {
  public:
-  static constexpr std::size_t kMostSlots = 1024;
+  static constexpr std::size_t kMaxSlots = 1024;
 
   explicit Slots(Fleet fleet) : fleet_(fleet) {}
 
@@ -68,34 +68,34 @@
 };
 
 // The announcer's side of one gap: hears demands and ceded slots, and says to whom each goes.
-class Dealer {
+class QuotaAllocator {
  public:
-  static constexpr std::size_t kMostSlots = 8192;
+  static constexpr std::size_t kMaxSlots = 8192;
 
   // `life` is another number each time an announcer starts.
-  Dealer(std::uint32_t fleet, Duration interval, std::uint64_t life);
+  QuotaAllocator(std::uint32_t fleet, Duration interval, std::uint64_t life);
 
-  void hear_demand(Time now, std::uint32_t gatekeeper, double calls, Duration span);
+  void record_demand(Time now, std::uint32_t gatekeeper, double calls, Duration span);
   // Calls a second that each has had lately.
   std::vector<double> demand(Time now) const;
   // Slots ceded to `life`: to whom each is granted. A slot heard of before is passed over.
-  std::map<std::uint32_t, std::vector<SlotOf>> deal(Time now, std::uint64_t life, std::uint32_t from,
-                                                    const std::vector<Slot>& slots);
-  std::uint64_t life() const { return life_; }
+  std::map<std::uint32_t, std::vector<SlotOf>> allocate(Time now, std::uint64_t life, std::uint32_t from,
+                                                        const std::vector<Slot>& slots);
+  std::uint64_t incarnation() const { return incarnation_; }
   void drop_before(Slot slot);
 
  private:
-  struct Seen {
-    double rate = 0.0;    // calls a second
-    double lately = 0.0;  // the same over a shorter time
+  struct DemandRate {
+    double rate = 0.0;         // calls a second
+    double recent_rate = 0.0;  // the same over a shorter time
     double reports = 0.0;
     Time at{};
   };
   Duration memory_;
-  std::uint64_t life_{};
-  std::vector<Seen> seen_;
+  std::uint64_t incarnation_{};
+  std::vector<DemandRate> demand_rates_;
   std::vector<double> credit_;
-  std::set<SlotOf> dealt_;
+  std::set<SlotOf> allocated_;
 };
 
 }  // namespace graniterun::limits
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -64,11 +64,11 @@
   if (!deploy.fleet) return;
   deploy.fleet->key = key_of("the fleet's", deploy.fleet_key_file);
   membership::Settings& m = deploy.fleet->membership;
-  m.birth = draw();
+  m.start_nonce = draw();
   m.seed = draw();
   const auto unix_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(net::clock_now().time_since_epoch());
-  m.life = static_cast<membership::Life>(
+  m.incarnation = static_cast<membership::Incarnation>(
       std::max<std::int64_t>(1, unix_ms.count() + deploy.fleet_clock_offset_ms));
 }
 
--- a/src/membership/rumours.h
+++ b/src/membership/broadcast_queue.h
@@ -10,27 +10,27 @@
 
 namespace graniterun::membership {
 
-class Rumours {
+class BroadcastQueue {
  public:
   // News of that name: what was told of it before is told no more.
   void add(const std::string& name) {
     drop(name);
-    told_.emplace(name, 0);
+    transmissions_.emplace(name, 0);
     order_.emplace(0, name);
   }
   void drop(const std::string& name) {
-    const auto it = told_.find(name);
-    if (it == told_.end()) return;
+    const auto it = transmissions_.find(name);
+    if (it == transmissions_.end()) return;
     order_.erase({it->second, name});
-    told_.erase(it);
+    transmissions_.erase(it);
   }
-  bool empty() const { return told_.empty(); }
-  std::size_t size() const { return told_.size(); }
+  bool empty() const { return transmissions_.empty(); }
+  std::size_t size() const { return transmissions_.size(); }
 
   // Takes names for one datagram: `fits` is asked of each and says whether it has room there. Each taken one
   // counts as told once more, and goes when it has been told `most` times. O(log n) a name taken.
   template <class Fits>
-  std::vector<std::string> take(int most, Fits fits) {
+  std::vector<std::string> next_batch(int most, Fits fits) {
     std::vector<std::pair<int, std::string>> taken;
     for (const auto& next : order_) {
       if (!fits(next.second)) break;
@@ -41,9 +41,9 @@
       order_.erase({times, name});
       if (times + 1 < most) {
         order_.emplace(times + 1, name);
-        told_.at(name) = times + 1;
+        transmissions_.at(name) = times + 1;
       } else {
-        told_.erase(name);
+        transmissions_.erase(name);
       }
       names.push_back(std::move(name));
     }
@@ -51,7 +51,7 @@
   }
 
  private:
-  std::map<std::string, int> told_;
+  std::map<std::string, int> transmissions_;
   std::set<std::pair<int, std::string>> order_;
 };
 
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -11,7 +11,7 @@
 namespace graniterun::membership {
 
 // A process under a name. A restart has a newer life, which ends the older one everywhere.
-using Life = std::uint64_t;
+using Incarnation = std::uint64_t;
 
 enum class State : std::uint8_t {
   alive,
@@ -22,50 +22,53 @@
 
 // Why a record says what it says.
 enum class Evidence : std::uint8_t {
-  said_so,   // by the member itself
-  silent,    // no answer, direct or through others
-  refused,   // nobody listens at its address any more
-  replaced,  // by a newer life of its name
+  self_reported,     // by the member itself
+  unresponsive,      // no answer, direct or through others
+  port_unreachable,  // nobody listens at its address any more
+  replaced,          // by a newer life of its name
 };
 
 // One member as one process knows it. Records of a name are ordered: of two the one that holds over the
 // other is kept, so members that have heard the same records hold the same, whatever the order they came in.
 struct Record {
   std::string name{};
-  Life life{};
-  std::uint64_t birth{};  // drawn by the process at its start: tells two processes of one name and life apart
+  Incarnation incarnation{};
+  std::uint64_t
+      start_nonce{};      // drawn by the process at its start: tells two processes of one name and life apart
   std::string address{};  // where it is to be spoken to, as it says itself
-  std::uint32_t incarnation{};  // stepped by the member alone, to overrule what is said of it
+  std::uint32_t refutation{};  // stepped by the member alone, to overrule what is said of it
   State state{};
   Evidence evidence{};
-  std::string accuser{};      // who doubted it, of a suspect and of one that was found dead
-  bool handing_over = false;  // another process goes on under its name in a moment
+  std::string suspecting_member{};  // who doubted it, of a suspect and of one that was found dead
+  bool handing_over = false;        // another process goes on under its name in a moment
 
   // The same process.
-  bool same_life(const Record& other) const { return life == other.life && birth == other.birth; }
-  bool member() const { return state == State::alive || state == State::suspect; }
+  bool same_incarnation(const Record& other) const {
+    return incarnation == other.incarnation && start_nonce == other.start_nonce;
+  }
+  bool is_member() const { return state == State::alive || state == State::suspect; }
 };
 
 // Whether `a` holds over `b`, both of one name. Irreflexive: equal rank holds over nothing.
-inline bool holds_over(const Record& a, const Record& b) {
+inline bool supersedes(const Record& a, const Record& b) {
   const auto rank = [](const Record& r) {
     const bool gone = r.state == State::left;
-    return std::tuple(r.life, r.birth, gone, r.incarnation, r.state);
+    return std::tuple(r.incarnation, r.start_nonce, gone, r.refutation, r.state);
   };
   return rank(a) > rank(b);
 }
 
-constexpr std::string_view word_of(State state) {
+constexpr std::string_view to_string(State state) {
   constexpr std::string_view kWords[] = {"alive", "suspect", "dead", "left"};
   return kWords[static_cast<std::size_t>(state)];
 }
-constexpr std::string_view word_of(Evidence evidence) {
+constexpr std::string_view to_string(Evidence evidence) {
   constexpr std::string_view kWords[] = {"said so", "silent", "refused", "replaced by a newer life"};
   return kWords[static_cast<std::size_t>(evidence)];
 }
 
-constexpr std::size_t kLongestName = 64;
-constexpr std::size_t kLongestAddress = 48;
-constexpr std::size_t kMostMembers = 1024;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxAddressLength = 48;
+constexpr std::size_t kMaxMembers = 1024;
 
 }  // namespace graniterun::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -16,34 +16,35 @@
 // "Are you there?" The token comes back in the answer, so an answer proves that its sender heard this ping.
 struct Ping {
   std::uint64_t token{};
-  bool asking = false;  // by a process that is no member yet: it is answered, and not taken in
-  bool known = false;   // whether `of_you` holds something
-  Record of_you{};      // what the sender knows of the receiver: told at once, so that it can be overruled
+  bool by_non_member = false;  // by a process that is no member yet: it is answered, and not taken in
+  bool known = false;          // whether `about_receiver` holds something
+  Record
+      about_receiver{};  // what the sender knows of the receiver: told at once, so that it can be overruled
 };
 struct Ack {
   std::uint64_t token{};
   bool known = false;
-  Record of_you{};
+  Record about_receiver{};
 };
-// "Ask this one for me"; answered by AckFor, or by Nack where it has said nothing so far.
+// "Ask this one for me"; answered by RelayedAck, or by Nack where it has said nothing so far.
 struct PingRequest {
   std::uint64_t token{};
   std::string name{};
   std::string address{};
 };
-struct AckFor {
+struct RelayedAck {
   std::uint64_t token{};
 };
 struct Nack {
   std::uint64_t token{};
 };
 // "This is a sum of what I know, a bucket each: tell me where yours is another."
-struct SyncAsk {
+struct SyncRequest {
   std::vector<std::uint64_t> buckets{};
 };
-struct Told {};  // nothing but its records
+struct Gossip {};  // nothing but its records
 
-using Body = std::variant<Ping, Ack, PingRequest, AckFor, Nack, SyncAsk, Told>;
+using Body = std::variant<Ping, Ack, PingRequest, RelayedAck, Nack, SyncRequest, Gossip>;
 
 struct Datagram {
   Record from{};             // the sender, as it knows itself
@@ -59,7 +60,7 @@
 constexpr std::size_t kRecordBytes = 700;
 // No less than what a record takes on the wire (fleet/datagram).
 inline std::size_t bytes_of(const Record& r) {
-  return 36 + r.name.size() + r.address.size() + r.accuser.size();
+  return 36 + r.name.size() + r.address.size() + r.suspecting_member.size();
 }
 
 }  // namespace graniterun::membership
--- a/src/membership/window.h
+++ b/src/membership/replay_window.h
@@ -7,12 +7,12 @@
 namespace graniterun::membership {
 
 // The anti-replay window of RFC 4303 (3.4.3), for 256 numbers. 48 bytes.
-class Window {
+class ReplayWindow {
  public:
-  enum class Verdict : std::uint8_t { fresh, doubled, too_old };
+  enum class Verdict : std::uint8_t { fresh, duplicate, too_old };
   static constexpr std::uint64_t kSize = 256;
 
-  Verdict take(std::uint64_t number) {
+  Verdict accept(std::uint64_t number) {
     if (number > newest_) {
       const std::uint64_t step = number - newest_;
       step >= kSize ? seen_.reset() : seen_ <<= step;
@@ -22,7 +22,7 @@
     }
     const std::uint64_t age = newest_ - number;
     if (age >= kSize) return Verdict::too_old;
-    if (seen_.test(age)) return Verdict::doubled;
+    if (seen_.test(age)) return Verdict::duplicate;
     seen_.set(age);
     return Verdict::fresh;
   }
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -17,28 +17,34 @@
 
   // `shrinks`: else it always lasts for the most.
   Suspicion(Time now, Duration least, Duration most, bool shrinks, const std::string& accuser)
-      : began_(now), least_(least), most_(most), shrinks_(shrinks), accusers_{accuser} {}
+      : started_at_(now),
+        min_timeout_(least),
+        max_timeout_(most),
+        shrinking_(shrinks),
+        suspecting_members_{accuser} {}
 
   // Whether it is news that this one doubts it too.
   bool confirm(const std::string& accuser) {
-    return accusers_.size() <= kConfirmations && accusers_.insert(accuser).second;
+    return suspecting_members_.size() <= kConfirmations && suspecting_members_.insert(accuser).second;
   }
   Time deadline() const {
-    if (!shrinks_) return began_ + most_;
-    const double share = std::log(static_cast<double>(accusers_.size())) / std::log(kConfirmations + 1.0);
-    const auto cut = std::chrono::duration_cast<Duration>((most_ - least_) * std::min(1.0, share));
-    return began_ + most_ - cut;
+    if (!shrinking_) return started_at_ + max_timeout_;
+    const double share =
+        std::log(static_cast<double>(suspecting_members_.size())) / std::log(kConfirmations + 1.0);
+    const auto cut =
+        std::chrono::duration_cast<Duration>((max_timeout_ - min_timeout_) * std::min(1.0, share));
+    return started_at_ + max_timeout_ - cut;
   }
   // What was not heard for so long does not count against it.
-  void discount(Duration span) { began_ += span; }
-  std::size_t accusers() const { return accusers_.size(); }
+  void discount(Duration span) { started_at_ += span; }
+  std::size_t suspecting_members() const { return suspecting_members_.size(); }
 
  private:
-  Time began_;
-  Duration least_;
-  Duration most_;
-  bool shrinks_;
-  std::set<std::string> accusers_;
+  Time started_at_;
+  Duration min_timeout_;
+  Duration max_timeout_;
+  bool shrinking_;
+  std::set<std::string> suspecting_members_;
 };
 
 }  // namespace graniterun::membership
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -273,7 +273,7 @@
   const Tables more = Sums(membership(1000), target).tables();
   CHECK(more.at("sum-gatekeeper").find("**does not**: 8.67 times the budget") != std::string::npos);
   // The bound refuses the size whatever it costs.
-  CHECK(after.find("12.7 times the bound `kMostMembers`") != std::string::npos);
+  CHECK(after.find("12.7 times the bound `kMaxMembers`") != std::string::npos);
   // What nothing carries is the first that is missing.
   CHECK(row_of(none, "missing", "1").find("configuration, as it is") != std::string::npos);
   // Another target, other figures.
--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -896,7 +896,7 @@
       "{\"re\":\"config\",\"what\":\"status\",\"ok\":true,\"standing\":\"voting\",\"services\":[1]}\n",
       "{\"re\":\"config\",\"what\":\"publish\",\"ok\":true}\n",
       "{\"re\":\"config\",\"what\":\"publish\",\"ok\":true,\"version\":1,\"digest\":2}\n",
-      std::string(kLineBound + 1, 'x')};
+      std::string(kMaxLineBytes + 1, 'x')};
   std::size_t unread = 0;
   for (const std::string& answer : answers) {
     Lab lab(1);
@@ -970,7 +970,7 @@
   check_has(lab.ctl(lab.asking("trail")).text, "not heard of 127");
   Terminal hand(lab.net, address_of(0));
   const json first = hand.ask({{"op", "config"}, {"what", "status"}, {"service", "trail"}});
-  CHECK(first["more"] == true && first["lost"].size() < 130 && line_of(first).size() <= kLineBound);
+  CHECK(first["more"] == true && first["lost"].size() < 130 && line_of(first).size() <= kMaxLineBytes);
 }
 
 // A gatekeeper that takes what is sent and never answers costs one notice and a few beats.
@@ -1076,7 +1076,7 @@
   CHECK_EQ(lab.d[1]->held().records().at("trail").committed->content, R"({"settings":{"a":1}})");
 
   // A line without an end, and a client that says what no client says.
-  hand.say(std::string(kLineBound + 1, 'x'));
+  hand.say(std::string(kMaxLineBytes + 1, 'x'));
   CHECK(hand.closed);
   Terminal twice(lab.net, address_of(0));
   twice.say(subscribe_line("gk", {{"trail", {}}}, true));
@@ -1099,7 +1099,7 @@
     CHECK(hand.ask(publish_line("service-" + std::to_string(1000 + i), "{}"))["ok"] == true);
   const json first = hand.ask({{"op", "config"}, {"what", "status"}});
   CHECK(first["more"] == true && first["services"].size() == 100);
-  CHECK(line_of(first).size() <= kLineBound);
+  CHECK(line_of(first).size() <= kMaxLineBytes);
   const Lab::Result all = lab.ctl(lab.asking(""));
   CHECK_EQ(std::ranges::count(all.text, '\n'), 250);
   CHECK_EQ(all.status, ConfigCtl::kDone);
--- a/tests/config_lines_test.cpp
+++ b/tests/config_lines_test.cpp
@@ -58,7 +58,7 @@
 bool is_bad(Do what) {
   try {
     what();
-  } catch (const BadLine& trouble) {
+  } catch (const ProtocolError& trouble) {
     CHECK(!std::string(trouble.what()).empty());
     return true;
   }
@@ -381,7 +381,7 @@
   Notice notice{1, {}, false, true, Standing::voting};
   for (std::size_t i = 0; i < kMostNoticed; ++i)
     notice.entries.push_back({std::string(60, 's') + std::to_string(i), {kMost, d.stamp.digest}, kMost});
-  CHECK(line_of(notices_line(notice)).size() <= kLineBound);
+  CHECK(line_of(notices_line(notice)).size() <= kMaxLineBytes);
   CHECK_EQ(as<PeerNoticed>(peer_event_of(1, read(notices_line(notice)))).entries.size(), kMostNoticed);
   CHECK_EQ(as<Noticed>(subscriber_event_of(1, read(notices_line(notice)))).entries.size(), kMostNoticed);
   notice.entries.push_back(notice.entries[0]);
@@ -389,7 +389,7 @@
   CHECK(is_bad([&] { subscriber_event_of(1, notices_line(notice)); }));
 
   std::vector<Noticed::Entry> longest(kMostSubscribed, {std::string(kLongestService, 's'), {kMost, {}}});
-  CHECK(line_of(subscribe_line(std::string(kLongestGatekeeper, 'n'), longest, true)).size() <= kLineBound);
+  CHECK(line_of(subscribe_line(std::string(kLongestGatekeeper, 'n'), longest, true)).size() <= kMaxLineBytes);
 
   const auto name = [&](std::string text) { return client_event_of(1, read(subscribe_all_line(text))); };
   CHECK_EQ(as<Subscribed>(name(std::string(kLongestGatekeeper, 'n'))).name.size(), kLongestGatekeeper);
@@ -410,7 +410,7 @@
   CHECK(is_bad([] { client_event_of(1, json{{"op", "fetch"}, {"service", "s"}, {"version", 1.0}}); }));
 
   Document large = document("s", kMost, std::string(kLargestDocument, '"'));
-  CHECK(line_of(propose_line(~std::uint64_t{}, large)).size() <= kLineBound);
+  CHECK(line_of(propose_line(~std::uint64_t{}, large)).size() <= kMaxLineBytes);
   CHECK(as<Proposed>(client_event_of(1, read(propose_line(1, large)))).document == large);
   large.content += "x";
   CHECK(is_bad([&] { client_event_of(1, propose_line(1, large)); }));
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -874,7 +874,7 @@
     bool publishable = true;
     try {
       canonical_patch(nested(depth));
-    } catch (const BadLine&) {
+    } catch (const ProtocolError&) {
       publishable = false;
     }
     CHECK_EQ(trouble(nested(depth)).empty(), publishable);
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -3,8 +3,8 @@
 #include <deque>
 #include <random>
 
-#include "control/announcer.h"
-#include "control/ctl.h"
+#include "control/gap_client.h"
+#include "control/gap_publisher.h"
 #include "control/load_control.h"
 #include "lab.h"
 
@@ -25,11 +25,11 @@
   d.control.emplace();
   d.control->listen = "127.0.0.1:7400";
   d.control->fleet = fleet;
-  d.control->wait_for_announcer = wait;
+  d.control->publisher_wait = wait;
   return d;
 }
 
-std::int64_t ms_of(Time t) { return to_ms(t); }
+std::int64_t ms_of(Time t) { return to_unix_ms(t); }
 
 json gap(Time now, const std::string& id, std::uint64_t version, const json& more) {
   json g = {{"id", id},           {"version", version},  {"by", "desk"},
@@ -563,12 +563,12 @@
     net.start(*desks[i]);
   }
   void start_announcer(std::uint64_t life) {
-    AnnouncerSettings s;
+    GapPublisherSettings s;
     s.listen = announcer_node->address;
     s.file = "gaps";
-    s.life = life;
+    s.incarnation = life;
     for (const Net::Node* desk : desks) s.gatekeepers.push_back(desk->address);
-    announcer = std::make_unique<Announcer>(s);
+    announcer = std::make_unique<GapPublisher>(s);
     announcer_node->dead = false;
     announcer_node->status.reset();
     announcer_node->step = [this](Time now, const net::Event& event, net::Effects& effects) {
@@ -577,9 +577,9 @@
     net.start(*announcer_node);
   }
   // What graniterunctl prints and exits with.
-  std::pair<int, std::string> ctl(CtlSettings s, Duration span = 5s) {
-    ctls.push_back(std::make_unique<Ctl>(std::move(s)));
-    Ctl* ctl = ctls.back().get();
+  std::pair<int, std::string> ctl(GapClientSettings s, Duration span = 5s) {
+    ctls.push_back(std::make_unique<GapClient>(std::move(s)));
+    GapClient* ctl = ctls.back().get();
     Net::Node& node =
         net.add("", Concern::control_client,
                 [ctl](Time now, const net::Event& e, net::Effects& effects) { ctl->step(now, e, effects); });
@@ -587,11 +587,12 @@
     net.run(span);
     return {node.status.value_or(-1), node.printed};
   }
-  CtlSettings settings(CtlSettings::What what, std::vector<std::string> to = {"127.0.0.1:7300"}) {
-    CtlSettings s;
-    s.what = what;
-    s.to = std::move(to);
-    if (what == CtlSettings::What::announce)
+  GapClientSettings settings(GapClientSettings::Command what,
+                             std::vector<std::string> to = {"127.0.0.1:7300"}) {
+    GapClientSettings s;
+    s.command = what;
+    s.addresses = std::move(to);
+    if (what == GapClientSettings::Command::announce)
       s.announcement = announcement_of(gap(net.now, "g", 1, {{"numbers", {"4711"}}}));
     return s;
   }
@@ -603,23 +604,23 @@
   std::vector<std::unique_ptr<Counters>> counters;
   std::vector<std::unique_ptr<Control>> controls;
   std::vector<Net::Node*> desks;
-  std::unique_ptr<Announcer> announcer;
+  std::unique_ptr<GapPublisher> announcer;
   Net::Node* announcer_node{};
-  std::vector<std::unique_ptr<Ctl>> ctls;
+  std::vector<std::unique_ptr<GapClient>> ctls;
 };
 
 void an_operator_sees_that_all_obey() {
   Fleet fleet(8);
   fleet.net.run(1s);
-  CtlSettings s = fleet.settings(CtlSettings::What::announce);
+  GapClientSettings s = fleet.settings(GapClientSettings::Command::announce);
   s.announcement->gap->interval.reset();
   const auto [status, text] = fleet.ctl(s);
   CHECK_EQ(status, 0);
   CHECK(text.find("8 of 8 gatekeepers obey") != std::string::npos);
   CHECK(fleet.all_obey());
-  auto [listed, gaps] = fleet.ctl(fleet.settings(CtlSettings::What::list));
+  auto [listed, gaps] = fleet.ctl(fleet.settings(GapClientSettings::Command::list));
   CHECK(listed == 0 && gaps.find("in force g") != std::string::npos && gaps.find("NOT") == std::string::npos);
-  CtlSettings up = s;
+  GapClientSettings up = s;
   up.announcement->version = 2;
   up.announcement->gap.reset();
   up.json = true;
@@ -629,27 +630,30 @@
   CHECK(!fleet.all_obey());
   // A gatekeeper that is away: the operator is told, and it is pushed all when it is back.
   fleet.net.kill(*fleet.desks[3]);
-  CtlSettings again = s;
+  GapClientSettings again = s;
   again.announcement->version = 3;
   const auto [partly, seven] = fleet.ctl(again);
-  CHECK(partly == Ctl::kNotAll && seven.find("7 of 8") != std::string::npos);
+  CHECK(partly == GapClient::kIncomplete && seven.find("7 of 8") != std::string::npos);
   fleet.start_gatekeeper(3);
   fleet.net.run(1s);
   CHECK(fleet.all_obey());
-  CHECK_EQ(fleet.ctl(fleet.settings(CtlSettings::What::list)).first, 0);
+  CHECK_EQ(fleet.ctl(fleet.settings(GapClientSettings::Command::list)).first, 0);
 }
 
 void gaps_announced_at_gatekeepers_reach_all() {  // without the announcer, and while it is away
   Fleet fleet(8);
   fleet.net.run(1s);
   fleet.net.kill(*fleet.announcer_node);
-  CtlSettings s = fleet.settings(CtlSettings::What::announce, {"127.0.0.1:7400", "127.0.0.1:7401"});
+  GapClientSettings s =
+      fleet.settings(GapClientSettings::Command::announce, {"127.0.0.1:7400", "127.0.0.1:7401"});
   s.announcement->gap->interval.reset();
   CHECK_EQ(fleet.ctl(s).first, 0);
   CHECK(!fleet.all_obey());
-  CHECK_EQ(fleet.ctl(fleet.settings(CtlSettings::What::list, {"127.0.0.1:7400", "127.0.0.1:7402"})).first,
-           Ctl::kNotAll);
-  CHECK_EQ(fleet.ctl(fleet.settings(CtlSettings::What::list, {"127.0.0.1:9"})).first, Ctl::kNobody);
+  CHECK_EQ(
+      fleet.ctl(fleet.settings(GapClientSettings::Command::list, {"127.0.0.1:7400", "127.0.0.1:7402"})).first,
+      GapClient::kIncomplete);
+  CHECK_EQ(fleet.ctl(fleet.settings(GapClientSettings::Command::list, {"127.0.0.1:9"})).first,
+           GapClient::kUnreachable);
   fleet.start_announcer(2);
   fleet.net.run(2s);
   CHECK(fleet.all_obey());
@@ -661,10 +665,10 @@
   for (int after = 1; after < 60; after += 5) {
     Fleet fleet(8);
     fleet.net.run(1s);
-    CtlSettings s = fleet.settings(CtlSettings::What::announce);
+    GapClientSettings s = fleet.settings(GapClientSettings::Command::announce);
     s.announcement->gap->interval.reset();
-    fleet.ctls.push_back(std::make_unique<Ctl>(s));
-    Ctl* ctl = fleet.ctls.back().get();
+    fleet.ctls.push_back(std::make_unique<GapClient>(s));
+    GapClient* ctl = fleet.ctls.back().get();
     Net::Node& node =
         fleet.net.add("", Concern::control_client,
                       [ctl](Time now, const net::Event& e, net::Effects& f) { ctl->step(now, e, f); });
@@ -701,7 +705,7 @@
   fleet.net.kill(*fleet.announcer_node);
   fleet.start_announcer(2);
   fleet.net.run(3s);
-  const auto [status, text] = fleet.ctl(fleet.settings(CtlSettings::What::list));
+  const auto [status, text] = fleet.ctl(fleet.settings(GapClientSettings::Command::list));
   CHECK_EQ(status, 0);
   for (const auto& c : fleet.counters) CHECK_EQ(c->of("gaps.taken"), 1000U);
 }
@@ -711,7 +715,7 @@
 void slots_go_where_the_calls_are() {
   Fleet fleet(8);
   fleet.net.run(1s);
-  CtlSettings s = fleet.settings(CtlSettings::What::announce);
+  GapClientSettings s = fleet.settings(GapClientSettings::Command::announce);
   CHECK_EQ(fleet.ctl(s).first, 0);
   const auto play = [&](Duration span) {
     std::set<std::int64_t> slots;
