--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -18,13 +18,13 @@
 Record record(const std::string& name, std::size_t address_length = 14) {
   Record r;
   r.name = name;
-  r.life = 1'764'600'000'000;
-  r.birth = ~std::uint64_t{0};
+  r.incarnation = 1'764'600'000'000;
+  r.start_nonce = ~std::uint64_t{0};
   r.address = std::string(address_length, '9');
-  r.incarnation = 70'000;
+  r.refutation = 70'000;
   r.state = State::suspect;
-  r.evidence = Evidence::silent;
-  r.accuser = name;
+  r.evidence = Evidence::unresponsive;
+  r.suspecting_member = name;
   return r;
 }
 
@@ -46,10 +46,10 @@
   add(Ack{6, true, record("n2")});
   add(Ack{6, false, {}});
   add(PingRequest{7, "n3", "127.0.0.1:7946"});
-  add(AckFor{8});
+  add(RelayedAck{8});
   add(Nack{9});
-  add(SyncAsk{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
-  add(Told{});
+  add(SyncRequest{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
+  add(Gossip{});
   return all;
 }
 
@@ -58,40 +58,40 @@
   CHECK(std::holds_alternative<membership::Datagram>(result));
   return std::get<membership::Datagram>(result);
 }
-fleet::Refusal refusal(const std::string& bytes, const std::string& fleet_name = kFleet,
-                       const fleet::Key& key = kKey) {
+fleet::DecodeError refusal(const std::string& bytes, const std::string& fleet_name = kFleet,
+                           const fleet::Key& key = kKey) {
   const auto result = fleet::decode(bytes, fleet_name, key);
-  CHECK(std::holds_alternative<fleet::Refusal>(result));
-  return std::get<fleet::Refusal>(result);
+  CHECK(std::holds_alternative<fleet::DecodeError>(result));
+  return std::get<fleet::DecodeError>(result);
 }
 
 void datagrams_come_back_as_they_were() {
   for (const membership::Datagram& d : every_kind()) {
     const std::string bytes = fleet::encode(d, kFleet, kKey);
-    CHECK(bytes.size() <= fleet::kMostBytes);
+    CHECK(bytes.size() <= fleet::kMaxDatagramBytes);
     const membership::Datagram again = read(bytes);
     CHECK_EQ(fleet::encode(again, kFleet, kKey), bytes);
     CHECK_EQ(again.records.size(), 2U);
-    CHECK(again.from.accuser == "n1" && again.to == "n2" && again.number == 77);
+    CHECK(again.from.suspecting_member == "n1" && again.to == "n2" && again.number == 77);
   }
 }
 
 // What membership puts into one datagram fits one, with the longest names there are.
 void the_longest_datagram_fits() {
   for (membership::Datagram d : every_kind()) {
-    const std::string name(kLongestName, 'n');
-    d.from = record(name, kLongestAddress);
+    const std::string name(kMaxNameLength, 'n');
+    d.from = record(name, kMaxAddressLength);
     d.to = name;
-    if (auto* ping = std::get_if<Ping>(&d.body)) ping->of_you = record(name, kLongestAddress);
+    if (auto* ping = std::get_if<Ping>(&d.body)) ping->about_receiver = record(name, kMaxAddressLength);
     d.records.clear();
-    if (!std::holds_alternative<SyncAsk>(d.body)) {
+    if (!std::holds_alternative<SyncRequest>(d.body)) {
       std::size_t bytes = 0;
       for (Record r = record("n5"); bytes + bytes_of(r) <= kRecordBytes; bytes += bytes_of(r))
         d.records.push_back(r);
     }
     const std::size_t wanted = d.records.size();
     const std::string bytes = fleet::encode(d, kFleet, kKey);
-    CHECK(bytes.size() <= fleet::kMostBytes);
+    CHECK(bytes.size() <= fleet::kMaxDatagramBytes);
     CHECK(std::holds_alternative<Ping>(d.body) || read(bytes).records.size() == wanted);
     // Its reckoning is no less than what a record takes.
     Record r = record("n5");
@@ -109,14 +109,14 @@
     for (int bit = 0; bit < 8; ++bit) {
       std::string forged = bytes;
       forged[at] = static_cast<char>(forged[at] ^ (1 << bit));
-      CHECK(refusal(forged) == fleet::Refusal::tag);
+      CHECK(refusal(forged) == fleet::DecodeError::tag);
     }
-    CHECK(refusal(bytes.substr(0, at)) == fleet::Refusal::tag);
+    CHECK(refusal(bytes.substr(0, at)) == fleet::DecodeError::tag);
   }
-  CHECK(refusal(bytes + "x") == fleet::Refusal::tag);
-  CHECK(refusal(std::string(1201, 'x')) == fleet::Refusal::too_long);
-  CHECK(refusal(bytes, "other") == fleet::Refusal::fleet);
-  CHECK(refusal(bytes, kFleet, *fleet::key_in(std::string(64, 'b'))) == fleet::Refusal::tag);
+  CHECK(refusal(bytes + "x") == fleet::DecodeError::tag);
+  CHECK(refusal(std::string(1201, 'x')) == fleet::DecodeError::too_long);
+  CHECK(refusal(bytes, "other") == fleet::DecodeError::fleet);
+  CHECK(refusal(bytes, kFleet, *fleet::key_in(std::string(64, 'b'))) == fleet::DecodeError::tag);
 }
 
 // Whoever has the key may still write nonsense.
@@ -131,11 +131,11 @@
     if (i % 5 == 0) text.resize(random() % text.size());
     const std::string bytes = fleet::sealed(text, kKey);
     const auto result = fleet::decode(bytes, kFleet, kKey);
-    malformed += std::holds_alternative<fleet::Refusal>(result) ? 1 : 0;
+    malformed += std::holds_alternative<fleet::DecodeError>(result) ? 1 : 0;
   }
   CHECK(malformed > 1000);
-  CHECK(refusal(fleet::sealed("\x01", kKey)) == fleet::Refusal::malformed);
-  CHECK(refusal(fleet::sealed(std::string("\x81\x02", 2), kKey)) == fleet::Refusal::version);
+  CHECK(refusal(fleet::sealed("\x01", kKey)) == fleet::DecodeError::malformed);
+  CHECK(refusal(fleet::sealed(std::string("\x81\x02", 2), kKey)) == fleet::DecodeError::version);
 }
 
 void a_key_is_64_hex_digits() {
@@ -157,7 +157,7 @@
   d.fleet->key = kKey;
   d.fleet->membership.name = name;
   d.fleet->membership.advertise = "127.0.0.1:7946";
-  d.fleet->membership.life = d.fleet->membership.birth = 5;
+  d.fleet->membership.incarnation = d.fleet->membership.start_nonce = 5;
   d.fleet->membership.seeds = {"127.0.0.1:7947"};
   return d;
 }
@@ -214,7 +214,7 @@
     membership::Settings s;
     s.name = "n1";
     s.advertise = "127.0.0.1:7947";
-    s.life = s.birth = 6;
+    s.incarnation = s.start_nonce = 6;
     s.seeds = {"127.0.0.1:7946"};
     return s;
   }());
@@ -222,11 +222,12 @@
   other.step(lab.now, Started{}, effects);
   for (int i = 0; i < 40; ++i) {
     for (const membership::Effect& e : std::exchange(effects, {})) {
-      if (const auto* tell = std::get_if<Tell>(&e)) lab.datagram(fleet::encode(tell->datagram, kFleet, kKey));
+      if (const auto* tell = std::get_if<SendDatagram>(&e))
+        lab.datagram(fleet::encode(tell->datagram, kFleet, kKey));
     }
     for (const net::SendDatagram& sent : std::exchange(lab.datagrams, {})) {
       CHECK_EQ(sent.peer, "127.0.0.1:7947");
-      other.step(lab.now, Heard{read(sent.bytes)}, effects);
+      other.step(lab.now, DatagramReceived{read(sent.bytes)}, effects);
     }
     lab.pass(50ms);
     other.step(lab.now, Tick{}, effects);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -6,11 +6,11 @@
 #include <nlohmann/json.hpp>
 
 #include "app/gatekeeper.h"
-#include "control/announcer.h"
 #include "control/config_ctl.h"
 #include "control/config_distributor.h"
 #include "control/config_lines.h"
-#include "control/ctl.h"
+#include "control/gap_client.h"
+#include "control/gap_publisher.h"
 #include "fleet/datagram.h"
 #include "lab.h"
 
@@ -92,13 +92,13 @@
                                  membership::Evidence evidence) {
   membership::Record record;
   record.name = name;
-  record.life = 1'764'600'000'000;
-  record.birth = ~std::uint64_t{0};
+  record.incarnation = 1'764'600'000'000;
+  record.start_nonce = ~std::uint64_t{0};
   record.address = "127.0.0.1:7946";
-  record.incarnation = 70'000;
+  record.refutation = 70'000;
   record.state = state;
   record.evidence = evidence;
-  record.accuser = state == membership::State::alive ? "" : "n9";
+  record.suspecting_member = state == membership::State::alive ? "" : "n9";
   record.handing_over = state == membership::State::left;
   return record;
 }
@@ -118,35 +118,39 @@
   std::uint64_t number = 77;
   const auto add = [&](Body body) {
     membership::Datagram datagram;
-    datagram.from = member_record("n1", State::alive, Evidence::said_so);
+    datagram.from = member_record("n1", State::alive, Evidence::self_reported);
     datagram.to = "n2";
     datagram.number = ++number;
     datagram.digest = ~std::uint64_t{0};
     datagram.catching_up = number % 2 == 1;
     datagram.body = std::move(body);
-    datagram.records = {member_record("n3", State::suspect, Evidence::silent),
-                        member_record("n4", State::dead, Evidence::refused),
+    datagram.records = {member_record("n3", State::suspect, Evidence::unresponsive),
+                        member_record("n4", State::dead, Evidence::port_unreachable),
                         member_record("n5", State::left, Evidence::replaced)};
     text += hex(fleet::encode(datagram, "trail", kFleetKey)) + "\n";
   };
-  const membership::Record known = member_record("n2", State::alive, Evidence::said_so);
+  const membership::Record known = member_record("n2", State::alive, Evidence::self_reported);
   add(Ping{5, true, true, known});
   add(Ping{5, false, false, {}});
   add(Ack{6, true, known});
   add(Ack{6, false, {}});
   add(PingRequest{7, "n3", "127.0.0.1:7946"});
-  add(AckFor{8});
+  add(RelayedAck{8});
   add(Nack{9});
-  add(SyncAsk{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
-  add(Told{});
+  add(SyncRequest{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
+  add(Gossip{});
   check_golden("datagrams.txt", text);
 }
 
 // ---- the control listener of a gatekeeper
 
 json gap_object(Time now, const std::string& id, std::uint64_t version, const json& more) {
-  json gap = {{"id", id},           {"version", version},  {"by", "desk"},
-              {"made", to_ms(now)}, {"start", to_ms(now)}, {"end", to_ms(now + 1h)},
+  json gap = {{"id", id},
+              {"version", version},
+              {"by", "desk"},
+              {"made", to_unix_ms(now)},
+              {"start", to_unix_ms(now)},
+              {"end", to_unix_ms(now + 1h)},
               {"interval_ms", 1000}};
   if (more.is_object()) gap.update(more);
   return gap;
@@ -166,16 +170,16 @@
   deploy.control->listen = "127.0.0.1:7400";
   deploy.control->fleet = {2, 0};
   deploy.control->hot.emplace();
-  deploy.control->hot->hot_from = 0.5;
-  deploy.control->hot->hot_for = 100ms;
-  deploy.control->hot->most_gaps = 1;
+  deploy.control->hot->hot_threshold = 0.5;
+  deploy.control->hot->hot_duration = 100ms;
+  deploy.control->hot->max_gaps = 1;
   deploy.fleet.emplace();
   deploy.fleet->fleet = "trail";
   deploy.fleet->listen = "127.0.0.1:7946";
   deploy.fleet->key = kFleetKey;
   deploy.fleet->membership.name = "n0";
   deploy.fleet->membership.advertise = "127.0.0.1:7946";
-  deploy.fleet->membership.life = deploy.fleet->membership.birth = 5;
+  deploy.fleet->membership.incarnation = deploy.fleet->membership.start_nonce = 5;
   deploy.configuration.emplace();
   deploy.configuration->distributors = {"127.0.0.1:7800"};
   deploy.configuration->services = {"trail"};
@@ -423,13 +427,13 @@
 const std::string kStoredGaps = std::string(SOURCE_DIR) + "/tests/data/stored_by_342e4bc/gaps";
 
 void gap_publisher_lines() {
-  AnnouncerSettings settings;
+  GapPublisherSettings settings;
   settings.listen = "127.0.0.1:7300";
   settings.gatekeepers = {"127.0.0.1:7400", "127.0.0.1:7401"};
   settings.file = "gaps";
-  settings.life = 7;
-  Announcer publisher(settings);
-  Recorded<Announcer> run(publisher);
+  settings.incarnation = 7;
+  GapPublisher publisher(settings);
+  Recorded<GapPublisher> run(publisher);
   run.step(net::Started{});
   run.step(net::FileRead{"gaps", read_whole_file(kStoredGaps)});
   run.pass(60ms);
@@ -508,14 +512,14 @@
 
 void gap_client_sessions() {
   const Time now(1'000'000s);
-  const auto make_client = [](const CtlSettings& settings) { return Ctl(settings); };
-  using What = CtlSettings::What;
-  CtlSettings settings;
-  settings.to = {"127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"};
+  const auto make_client = [](const GapClientSettings& settings) { return GapClient(settings); };
+  using What = GapClientSettings::Command;
+  GapClientSettings settings;
+  settings.addresses = {"127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"};
   settings.announcement = announcement_of(gap_object(now, "g", 1, {{"numbers", {"4711"}}}));
   std::string text;
 
-  settings.what = What::announce;
+  settings.command = What::announce;
   const json taken = {{"re", "announce"}, {"ok", true}, {"result", "taken"}, {"id", "g"}, {"version", 1}};
   const json refused = {
       {"re", "announce"}, {"ok", false}, {"result", "refused"}, {"trouble", "it's \"bad\""}, {"id", "g"}};
@@ -535,7 +539,7 @@
   text += both_forms("announce, answered with what can't be read", settings, make_client,
                      {{named("p0", {{"re", "announce"}, {"ok", true}, {"gatekeepers", "two"}})}});
 
-  settings.what = What::list;
+  settings.command = What::list;
   const auto page = [&](const json& gaps, bool more, const std::string& digest) {
     return json{{"re", "list"}, {"ok", true},   {"digest", digest},
                 {"held", 2},    {"gaps", gaps}, {"more", more}};
@@ -558,7 +562,7 @@
   text += both_forms("list, a bad answer and no answer", settings, make_client,
                      {{named("n0", {{"re", "list"}})}, {named("n1", {{"re", "other"}})}});
 
-  settings.what = What::watch;
+  settings.command = What::watch;
   text += both_forms(
       "watch", settings, make_client,
       {{named("n0", {{"re", "watch"}, {"ok", true}}), named("n0", {{"event", "gap"}, {"gap", in_force}}),
@@ -566,7 +570,7 @@
         named("n0", {{"event", "conflict"}, {"id", "g"}, {"version", 4}}),
         named("n0", {{"event", "fleet"}, {"member", "n3"}, {"what", "died"}, {"evidence", "refused"}})}});
 
-  settings.what = What::members;
+  settings.command = What::members;
   json member = {{"name", "n3"},      {"state", "suspect"},       {"since_ms", 12},
                  {"reach", "direct"}, {"address", "127.0.0.1:3"}, {"life", 5},
                  {"incarnation", 2},  {"evidence", "silent"},     {"accuser", "n4"}};
@@ -589,10 +593,10 @@
                      {{named("n0", first_page), named("n0", second_page)},
                       {named("n1", unsettled)},
                       {named("n2", no_fleet)}});
-  settings.what = What::view;
+  settings.command = What::view;
   text += both_forms("view", settings, make_client,
                      {{named("n0", view)}, {named("n1", view)}, {named("n2", view)}});
-  settings.what = What::leave;
+  settings.command = What::leave;
   text += both_forms("leave", settings, make_client, {{named("n0", view)}, {named("n1", no_fleet)}});
   check_golden("gap_client_sessions.txt", text);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -42,14 +42,14 @@
   explicit Desk(Fleet fleet = kAlone, Time born = kStart) : GapRegister(fleet, 7, born) {}
   bool passes(Time now, const std::string& number, const std::string& c = "voice") {
     const Verdict v = check(now, number, c);
-    if (!v.passes) CHECK(v.wait > 0s && v.wait <= 2s);
+    if (!v.passes) CHECK(v.retry_after > 0s && v.retry_after <= 2s);
     return v.passes;
   }
 };
 
 void one_call_passes_in_each_interval() {
   Desk desk;
-  CHECK(desk.announce(kStart, announcement("g", 1, on_number("4711"))) == Taken::taken);
+  CHECK(desk.announce(kStart, announcement("g", 1, on_number("4711"))) == AnnounceResult::accepted);
   int passed = 0;
   for (int ms = 0; ms < 10'000; ms += 50)
     passed += desk.passes(kStart + std::chrono::milliseconds(ms), "4711");
@@ -96,19 +96,20 @@
   desk.announce(kStart, announcement("g", 1, on_prefix("47", 10s, Shape::each_number)));
   std::size_t passed = 0;
   for (int i = 0; i < 1'000'000; ++i) passed += desk.check(kStart, "47" + std::to_string(i), "voice").passes;
-  CHECK_EQ(passed, kMostUsed);  // who can't be remembered is not let through
-  CHECK_EQ(desk.refused_for_room(), 1'000'000 - kMostUsed);
+  CHECK_EQ(passed, kMaxUsedNumbers);  // who can't be remembered is not let through
+  CHECK_EQ(desk.rejected_for_capacity(), 1'000'000 - kMaxUsedNumbers);
   CHECK(desk.passes(kStart + 10s, "47999999"));  // with the next slot there is room again
 }
 
 void a_hundred_thousand_gaps_are_found_and_no_more_are_taken_than_the_bound() {
   Desk desk;
-  for (std::size_t i = 0; i < kMostGaps; ++i) {
+  for (std::size_t i = 0; i < kMaxGaps; ++i) {
     const std::string text = std::to_string(i);
-    CHECK(desk.announce(kStart, announcement(text, 1, on_number("5" + text, {}))) == Taken::taken);
+    CHECK(desk.announce(kStart, announcement(text, 1, on_number("5" + text, {}))) ==
+          AnnounceResult::accepted);
   }
-  CHECK(desk.announce(kStart, announcement("more", 1, on_number("6"))) == Taken::full);
-  for (std::size_t i = 0; i < kMostGaps; i += 997) CHECK(!desk.passes(kStart, "5" + std::to_string(i)));
+  CHECK(desk.announce(kStart, announcement("more", 1, on_number("6"))) == AnnounceResult::full);
+  for (std::size_t i = 0; i < kMaxGaps; i += 997) CHECK(!desk.passes(kStart, "5" + std::to_string(i)));
   CHECK(desk.passes(kStart, "61"));
   desk.take_demands(kStart + 25h);  // remembered for a day, then forgotten
   CHECK_EQ(desk.size(), 0U);
@@ -132,17 +133,17 @@
   const Announcement first = announcement("g", 1, on_number("1", {}));
   desk.announce(kStart, first);
   CHECK(!desk.passes(kStart, "1"));
-  CHECK(desk.announce(kStart + 1s, lift("g", 3, kStart + 1s)) == Taken::taken);
+  CHECK(desk.announce(kStart + 1s, lift("g", 3, kStart + 1s)) == AnnounceResult::accepted);
   CHECK(desk.passes(kStart + 1s, "1"));
-  CHECK(desk.announce(kStart + 2s, first) == Taken::older);
-  CHECK(desk.announce(kStart + 2s, announcement("g", 2, on_number("1", {}))) == Taken::older);
+  CHECK(desk.announce(kStart + 2s, first) == AnnounceResult::outdated);
+  CHECK(desk.announce(kStart + 2s, announcement("g", 2, on_number("1", {}))) == AnnounceResult::outdated);
   CHECK(desk.passes(kStart + 2s, "1"));
   // Remembered until the first one could no longer be in force, and longer.
-  CHECK(desk.announce(kStart + 24h, first) == Taken::older);
-  CHECK(desk.announce(kStart + 25h, first) == Taken::older);
+  CHECK(desk.announce(kStart + 24h, first) == AnnounceResult::outdated);
+  CHECK(desk.announce(kStart + 25h, first) == AnnounceResult::outdated);
   CHECK(desk.passes(kStart + 25h, "1"));
   const Time again = kStart + 25h;
-  CHECK(desk.announce(again, announcement("g", 4, on_number("1", {}), again)) == Taken::taken);
+  CHECK(desk.announce(again, announcement("g", 4, on_number("1", {}), again)) == AnnounceResult::accepted);
   CHECK(!desk.passes(again, "1"));
 }
 
@@ -151,7 +152,7 @@
   const Announcement longer = announcement("g", 1, on_number("1", {}), kStart, 20h);
   desk.announce(kStart, announcement("g", 2, on_number("1", {}), kStart, 1s));
   CHECK(desk.passes(kStart + 2s, "1"));
-  CHECK(desk.announce(kStart + 2h, longer) == Taken::older);
+  CHECK(desk.announce(kStart + 2h, longer) == AnnounceResult::outdated);
   CHECK(desk.passes(kStart + 2h, "1"));
 }
 
@@ -161,18 +162,18 @@
   const Announcement strict = announcement("g", 1, on_number("1", 5s));
   Desk one;
   Desk other;
-  CHECK(one.announce(kStart, mild) == Taken::taken);
-  CHECK(one.announce(kStart, strict) == Taken::conflict_over);
-  CHECK(other.announce(kStart, strict) == Taken::taken);
-  CHECK(other.announce(kStart, mild) == Taken::conflict);
+  CHECK(one.announce(kStart, mild) == AnnounceResult::accepted);
+  CHECK(one.announce(kStart, strict) == AnnounceResult::conflict_won);
+  CHECK(other.announce(kStart, strict) == AnnounceResult::accepted);
+  CHECK(other.announce(kStart, mild) == AnnounceResult::conflict);
   CHECK(one.digest() == other.digest());
-  CHECK(one.announce(kStart, strict) == Taken::known);
+  CHECK(one.announce(kStart, strict) == AnnounceResult::unchanged);
   Announcement turned = strict;
   turned.gap->criteria.numbers = {"2", "1"};
   turned.version = 2;
-  CHECK(one.announce(kStart, turned) == Taken::taken);
+  CHECK(one.announce(kStart, turned) == AnnounceResult::accepted);
   turned.gap->criteria.numbers = {"1", "2", "1"};
-  CHECK(one.announce(kStart, turned) == Taken::known);  // the order of names is no difference
+  CHECK(one.announce(kStart, turned) == AnnounceResult::unchanged);  // the order of names is no difference
 }
 
 void an_interval_changed_while_calls_come_saves_up_no_slots() {
@@ -221,15 +222,15 @@
   const auto bad = [&](auto change) {
     Announcement a = good;
     change(a);
-    CHECK(!trouble_with(a, kStart).empty());
-    CHECK(desk.announce(kStart, a) == Taken::refused);
+    CHECK(!find_error(a, kStart).empty());
+    CHECK(desk.announce(kStart, a) == AnnounceResult::rejected);
   };
   bad([](Announcement& a) { a.id.clear(); });
   bad([](Announcement& a) { a.id.assign(129, 'x'); });
   bad([](Announcement& a) { a.version = 0; });
-  bad([](Announcement& a) { a.made += 1h; });
+  bad([](Announcement& a) { a.created_at += 1h; });
   bad([](Announcement& a) { a.end = a.start; });
-  bad([](Announcement& a) { a.end = a.made + 25h; });
+  bad([](Announcement& a) { a.end = a.created_at + 25h; });
   bad([](Announcement& a) { a.gap->criteria = {}; });
   bad([](Announcement& a) { a.gap->criteria.numbers.assign(1001, "1"); });
   bad([](Announcement& a) { a.gap->criteria.prefixes = {""}; });
@@ -252,7 +253,7 @@
   for (int i = 0; i < 400; ++i) {
     const Time now = kStart + std::chrono::milliseconds(i * 5);
     const Verdict v = desk.check(now, "1", "voice");
-    if (!v.passes && i >= 200) ++times[(now + v.wait - kStart) / 100ms];
+    if (!v.passes && i >= 200) ++times[(now + v.retry_after - kStart) / 100ms];
   }
   for (const auto& [slot, count] : times) CHECK(count < 60);
   CHECK(times.size() > 10);
@@ -268,7 +269,7 @@
     const auto [it, fresh] = held.emplace(a.id, a);
     if (fresh) return;
     Announcement& h = it->second;
-    if (a.version > h.version || (a.version == h.version && a != h && holds_over(a, h))) h = a;
+    if (a.version > h.version || (a.version == h.version && a != h && supersedes(a, h))) h = a;
   }
 };
 
@@ -276,8 +277,8 @@
   Announcement a;
   a.id = "g" + std::to_string(random() % 12);
   a.version = 1 + random() % 40;
-  a.by = random() % 2 == 0 ? "a" : "b";
-  a.made = now;
+  a.author = random() % 2 == 0 ? "a" : "b";
+  a.created_at = now;
   a.start = now + std::chrono::milliseconds(random() % 3 == 0 ? random() % 3000 : 0);
   a.end = a.start + std::chrono::milliseconds(1 + random() % 60'000);
   if (random() % 4 == 0) return a;
@@ -358,7 +359,7 @@
         if (*a.gap->interval == Duration{}) continue;
         const Slot slot = (now - a.start) / *a.gap->interval;
         const std::string key = a.gap->shape == Shape::each_number ? number : "";
-        const auto [it, first] = used.emplace(std::tuple(at, mark_of(a), key), slot);
+        const auto [it, first] = used.emplace(std::tuple(at, fingerprint_of(a), key), slot);
         CHECK(first || it->second < slot);
         it->second = slot;
       }
@@ -397,7 +398,7 @@
     desks.push_back(std::make_unique<Desk>(Fleet{size, i}));
     desks.back()->announce(kStart, a);
   }
-  auto dealer = std::make_unique<Dealer>(size, kInterval, 1);
+  auto dealer = std::make_unique<QuotaAllocator>(size, kInterval, 1);
   std::discrete_distribution<std::uint32_t> where(weights.begin(), weights.end());
   std::uniform_real_distribution<double> chance(0.0, 1.0);
   std::multimap<Time, std::function<void(Time)>> under_way;
@@ -405,7 +406,7 @@
     if (chance(random) < loss) return;
     under_way.emplace(now + std::chrono::milliseconds(random() % (loss > 0 ? 400 : 20)), act);
   };
-  const std::uint64_t mark = mark_of(a);
+  const std::uint64_t mark = fingerprint_of(a);
   std::map<std::pair<Slot, std::string>, std::size_t> passes;
   Flow flow;
   const Time settled = kStart + 10s;
@@ -422,12 +423,12 @@
         double calls = 0;
         for (const auto& d : desks[i]->take_demands(now)) calls += static_cast<double>(d.calls);
         const Duration span = now - reported;
-        send(now, [&, i, calls, span](Time t) { dealer->hear_demand(t, i, calls, span); });
-        send(now, [&, i, demand = dealer->demand(now), life = dealer->life()](Time t) {
+        send(now, [&, i, calls, span](Time t) { dealer->record_demand(t, i, calls, span); });
+        send(now, [&, i, demand = dealer->demand(now), life = dealer->incarnation()](Time t) {
           const std::vector<Slot> ceded = desks[i]->cede(t, "g", mark, demand, 1s);
           if (ceded.empty()) return;
           const auto deal = [&, i, ceded, life](Time t2) {
-            for (const auto& [to, slots] : dealer->deal(t2, life, i, ceded))
+            for (const auto& [to, slots] : dealer->allocate(t2, life, i, ceded))
               send(t2, [&, to = to, slots = slots](Time t3) { desks[to]->grant(t3, "g", mark, slots); });
           };
           send(t, deal);
@@ -442,7 +443,7 @@
       desks[i]->announce(now, a);
     }
     if (restarts && random() % 1000 == 0)
-      dealer = std::make_unique<Dealer>(size, kInterval, dealer->life() + 1);
+      dealer = std::make_unique<QuotaAllocator>(size, kInterval, dealer->incarnation() + 1);
     const std::string number = shape == Shape::whole ? "4711" : "47" + std::to_string(random() % 4);
     if (!desks[where(random)]->passes(now, number)) continue;
     const Slot slot = (now - kStart) / kInterval;
@@ -476,18 +477,18 @@
 
 void a_flooded_number_is_found_gapped_and_let_go() {
   HotSettings settings;
-  settings.most_gaps = 1;
+  settings.max_gaps = 1;
   HotNumbers watch(settings);
   std::mt19937 random(3);
   std::map<HotNumbers::Change::What, std::vector<std::string>> seen;
   Time began{};
   for (Time now = kStart; now < kStart + 120s; now += 5ms) {
-    watch.called(now, std::to_string(random() % 100'000));  // 200 a second to whomever
+    watch.record_call(now, std::to_string(random() % 100'000));  // 200 a second to whomever
     const bool flood = now > kStart + 10s && now < kStart + 40s;
-    if (flood && random() % 4 == 0) watch.called(now, "4711");  // 50 a second
-    if (flood && random() % 5 == 0) watch.called(now, "4712");  // 40 a second
+    if (flood && random() % 4 == 0) watch.record_call(now, "4711");  // 50 a second
+    if (flood && random() % 5 == 0) watch.record_call(now, "4712");  // 40 a second
     if ((now - kStart) % 200ms != 0ms) continue;
-    for (const auto& change : watch.look(now)) {
+    for (const auto& change : watch.update(now)) {
       seen[change.what].push_back(change.number.number);
       if (change.what == HotNumbers::Change::What::hot && change.number.number == "4711") began = now;
     }
@@ -503,14 +504,14 @@
   CHECK_EQ(seen[What::gap].size(), 1U);  // the ceiling
   CHECK_EQ(seen[What::lift].size(), 1U);
   CHECK_EQ(seen[What::cool].size(), 2U);
-  CHECK(watch.hot(kStart + 120s).empty() && watch.size() <= HotNumbers::kMost);
+  CHECK(watch.hot(kStart + 120s).empty() && watch.size() <= HotNumbers::kMaxEntries);
 }
 
 void a_long_watch_keeps_its_figures() {  // units grow with time, and are brought down before they overflow
   HotNumbers watch({});
-  for (Time now = kStart; now < kStart + 2h; now += 25ms) watch.called(now, "4711");
-  watch.look(kStart + 2h);
-  watch.look(kStart + 2h + 2s);
+  for (Time now = kStart; now < kStart + 2h; now += 25ms) watch.record_call(now, "4711");
+  watch.update(kStart + 2h);
+  watch.update(kStart + 2h + 2s);
   const auto hot = watch.hot(kStart + 2h);
   CHECK_EQ(hot.size(), 1U);
   CHECK(hot[0].rate > 38 && hot[0].rate < 42);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -22,18 +22,18 @@
 
 std::vector<Record> some_records() {
   std::vector<Record> all;
-  for (const Life life : {1, 2}) {
+  for (const Incarnation life : {1, 2}) {
     for (const std::uint64_t birth : {7, 8}) {
       for (const std::uint32_t incarnation : {0, 1}) {
         for (const State state : {State::alive, State::suspect, State::dead, State::left}) {
           Record r;
           r.name = "g1";
           r.address = "10.0.0.2:7946";
-          r.life = life;
-          r.birth = birth;
-          r.incarnation = incarnation;
+          r.incarnation = life;
+          r.start_nonce = birth;
+          r.refutation = incarnation;
           r.state = state;
-          r.accuser = "g2";
+          r.suspecting_member = "g2";
           all.push_back(r);
         }
       }
@@ -47,18 +47,18 @@
   const auto all = some_records();
   for (const Record& a : all) {
     for (const Record& b : all) {
-      const bool same = a.same_life(b) && a.incarnation == b.incarnation && a.state == b.state;
-      CHECK_EQ(holds_over(a, b) + holds_over(b, a), same ? 0 : 1);
+      const bool same = a.same_incarnation(b) && a.refutation == b.refutation && a.state == b.state;
+      CHECK_EQ(supersedes(a, b) + supersedes(b, a), same ? 0 : 1);
       for (const Record& c : all) {
-        if (holds_over(a, b) && holds_over(b, c)) CHECK(holds_over(a, c));
+        if (supersedes(a, b) && supersedes(b, c)) CHECK(supersedes(a, c));
       }
     }
   }
   Record old_left = all[3];
   Record next_alive = old_left;
   next_alive.state = State::alive;
-  next_alive.incarnation = 9;
-  CHECK(holds_over(old_left, next_alive));  // who has left is not brought back by a late word of that life
+  next_alive.refutation = 9;
+  CHECK(supersedes(old_left, next_alive));  // who has left is not brought back by a late word of that life
 }
 
 // Exhaustively: whatever the order in which five records of a name come, the same one is held at the end, and
@@ -76,9 +76,9 @@
       membership::Settings s;
       s.name = "g0";
       s.advertise = "10.0.0.1:7946";
-      s.life = 5;
-      s.birth = 3;
-      s.refinements.checks = false;
+      s.incarnation = 5;
+      s.start_nonce = 3;
+      s.refinements.verify_reported_deaths = false;
       Membership m(s);
       Effects effects;
       Time now = FleetSim::kStart;
@@ -86,26 +86,26 @@
       Datagram d;
       d.from.name = "g9";
       d.from.address = "10.0.0.9:7946";
-      d.from.life = d.from.birth = 4;
+      d.from.incarnation = d.from.start_nonce = 4;
       d.number = 1;
       d.body = Ping{1, false, false, {}};
       effects.clear();
-      m.step(now, Heard{d}, effects);
+      m.step(now, DatagramReceived{d}, effects);
       std::uint64_t token = 0;
       for (const Effect& e : effects) {
-        if (const auto* tell = std::get_if<Tell>(&e)) {
+        if (const auto* tell = std::get_if<SendDatagram>(&e)) {
           if (const auto* ping = std::get_if<Ping>(&tell->datagram.body)) token = ping->token;
         }
       }
       CHECK(token != 0);
       d.number = 2;
       d.body = Ack{token, false, {}};
-      m.step(now, Heard{d}, effects);
+      m.step(now, DatagramReceived{d}, effects);
       for (const std::size_t i : order) {
         ++d.number;
-        d.body = Told{};
+        d.body = Gossip{};
         d.records = {five[i]};
-        m.step(now, Heard{d}, effects);
+        m.step(now, DatagramReceived{d}, effects);
       }
       if (!digest) digest = m.digest();
       CHECK_EQ(m.digest(), *digest);
@@ -116,20 +116,21 @@
 void a_number_is_taken_once() {
   std::mt19937_64 random(3);
   for (int round = 0; round < 200; ++round) {
-    Window window;
+    ReplayWindow window;
     std::set<std::uint64_t> taken;
     std::uint64_t newest = 0;
     for (int i = 0; i < 500; ++i) {
       const std::uint64_t at = 1 + newest + random() % 40;
       const std::uint64_t number = random() % 3 == 0 ? at : 1 + random() % at;
-      const bool old = newest >= Window::kSize && number <= newest - Window::kSize;
-      const auto verdict = window.take(number);
+      const bool old = newest >= ReplayWindow::kSize && number <= newest - ReplayWindow::kSize;
+      const auto verdict = window.accept(number);
       if (number > newest) {
-        CHECK(verdict == Window::Verdict::fresh);
+        CHECK(verdict == ReplayWindow::Verdict::fresh);
       } else if (old) {
-        CHECK(verdict == Window::Verdict::too_old);
+        CHECK(verdict == ReplayWindow::Verdict::too_old);
       } else {
-        CHECK(verdict == (taken.contains(number) ? Window::Verdict::doubled : Window::Verdict::fresh));
+        CHECK(verdict ==
+              (taken.contains(number) ? ReplayWindow::Verdict::duplicate : ReplayWindow::Verdict::fresh));
       }
       taken.insert(number);
       newest = std::max(newest, number);
@@ -175,9 +176,9 @@
     count += i != of && sim.up(i) && sim.state(i, of) == state ? 1 : 0;
   return count;
 }
-std::size_t times(const FleetSim& sim, What what) {
+std::size_t times(const FleetSim& sim, MemberEventKind what) {
   return static_cast<std::size_t>(std::count_if(sim.found().begin(), sim.found().end(),
-                                                [&](const auto& f) { return f.what.what == what; }));
+                                                [&](const auto& f) { return f.what.kind == what; }));
 }
 void agrees_within(FleetSim& sim, Duration most) {
   CHECK(sim.until(most, [&] { return sim.all_agree(); }).has_value());
@@ -231,10 +232,10 @@
   Ready sim(3);
   sim.leave(4);
   CHECK(sim.until(300ms, [&] { return holding(sim, 4, State::left) == kSize - 1; }).has_value());
-  CHECK_EQ(times(sim, What::suspected) + times(sim, What::died), 0U);
+  CHECK_EQ(times(sim, MemberEventKind::suspected) + times(sim, MemberEventKind::died), 0U);
   sim.kill(4);
   sim.run(5s);
-  CHECK_EQ(times(sim, What::died), 0U);
+  CHECK_EQ(times(sim, MemberEventKind::died), 0U);
   agrees_within(sim, 1s);
 }
 
@@ -269,27 +270,28 @@
 // A restart from nothing, under its name and address. The wall clock went back an hour, or stands still.
 void a_newer_life_ends_the_older_one() {
   for (const std::int64_t clock : {+5000, 0, -3'600'000}) {
-    Life first = 0;
+    Incarnation first = 0;
     Ready sim(7, kSize, [&](std::size_t i, membership::Settings& s) {
       if (i != 8) return;
       if (first == 0)
-        first = s.life += 10'000'000;
+        first = s.incarnation += 10'000'000;
       else
-        s.life = first + static_cast<Life>(clock);
+        s.incarnation = first + static_cast<Incarnation>(clock);
     });
-    CHECK_EQ(sim.member(8).self().life, first);
+    CHECK_EQ(sim.member(8).self().incarnation, first);
     sim.kill(8);
     sim.run(50ms);  // nobody has noticed
     sim.start(8);
     agrees_within(sim, 3s);
-    CHECK(sim.member(8).self().life > first);
+    CHECK(sim.member(8).self().incarnation > first);
     for (std::size_t i = 0; i < kSize; ++i) CHECK(sim.state(i, 8) == State::alive);
-    CHECK_EQ(times(sim, What::yielded), 0U);
+    CHECK_EQ(times(sim, MemberEventKind::stood_down), 0U);
   }
 }
 
 void clocks_two_minutes_apart_make_no_difference() {
-  Ready sim(9, kSize, [](std::size_t i, membership::Settings& s) { s.life += i % 2 == 0 ? 0 : 120'000; });
+  Ready sim(9, kSize,
+            [](std::size_t i, membership::Settings& s) { s.incarnation += i % 2 == 0 ? 0 : 120'000; });
   sim.kill(3);
   CHECK(sim.until(1500ms, [&] { return holding(sim, 3, State::dead) == kSize - 1; }).has_value());
   sim.start(3);
@@ -303,18 +305,18 @@
   sim.link(2, 7, cut);
   sim.run(30s);
   CHECK(sim.counts().cut > 0);
-  CHECK_EQ(times(sim, What::died), 0U);
+  CHECK_EQ(times(sim, MemberEventKind::died), 0U);
   // Alive for the fleet, and out of this one's own reach.
   for (const MemberView& v : sim.member(2).members()) {
-    if (v.record.name == "g7") CHECK(v.record.member() && v.reach == Reach::through_others);
+    if (v.record.name == "g7") CHECK(v.record.is_member() && v.reachability == Reachability::through_others);
   }
   for (const MemberView& v : sim.member(3).members()) {
-    if (v.record.name == "g7") CHECK(v.reach == Reach::direct);
+    if (v.record.name == "g7") CHECK(v.reachability == Reachability::direct);
   }
   sim.heal();
   sim.run(6s);
   for (const MemberView& v : sim.member(2).members()) {
-    if (v.record.name == "g7") CHECK(v.reach == Reach::direct);
+    if (v.record.name == "g7") CHECK(v.reachability == Reachability::direct);
   }
 }
 
@@ -386,7 +388,7 @@
     sim.all_links(bad);
     sim.run(60s);
     CHECK(sim.counts().lost > 1000);
-    CHECK_EQ(times(sim, What::died), 0U);
+    CHECK_EQ(times(sim, MemberEventKind::died), 0U);
     sim.all_links({});
     agrees_within(sim, 5s);
   }
@@ -406,10 +408,11 @@
       sim.run(2s);
       CHECK_EQ(sim.false_deaths({4}), 0U);
       for (const auto& f : sim.found())
-        CHECK(f.what.what != What::suspected || f.what.record.accuser != "g4" || f.what.record.name == "g4");
-      CHECK_EQ(sim.member(4).figures().pauses, 1U);
+        CHECK(f.what.kind != MemberEventKind::suspected || f.what.record.suspecting_member != "g4" ||
+              f.what.record.name == "g4");
+      CHECK_EQ(sim.member(4).metrics().pauses, 1U);
       agrees_within(sim, 4s);
-      if (span <= 2s) CHECK_EQ(times(sim, What::died), 0U);
+      if (span <= 2s) CHECK_EQ(times(sim, MemberEventKind::died), 0U);
       held += sim.counts().held;
     }
     CHECK(held > 0);
@@ -422,7 +425,8 @@
   for (const bool noticed : {true, false}) {
     std::size_t deaths = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Ready sim(seed, kSize, [&](std::size_t, membership::Settings& s) { s.refinements.pauses = noticed; });
+      Ready sim(seed, kSize,
+                [&](std::size_t, membership::Settings& s) { s.refinements.pause_detection = noticed; });
       Link bad;
       bad.loss = 0.4;
       sim.all_links(bad);
@@ -440,7 +444,7 @@
       sim.run(7s);
       sim.resume(4);
       sim.run(1s);
-      for (const auto& f : sim.found()) deaths += f.what.what == What::died && f.by == 4 ? 1 : 0;
+      for (const auto& f : sim.found()) deaths += f.what.kind == MemberEventKind::died && f.by == 4 ? 1 : 0;
     }
     CHECK_EQ(deaths > 0, !noticed);
   }
@@ -506,7 +510,7 @@
   FleetSim sim(kSize + 1, 41, [](std::size_t i, membership::Settings& s) {
     if (i != kSize) return;
     s.name = FleetSim::name_of(5);
-    s.life += 50'000;
+    s.incarnation += 50'000;
   });
   for (std::size_t i = 0; i < kSize; ++i) sim.start(i);
   agrees_within(sim, 5s);
@@ -515,9 +519,9 @@
   sim.run(20s);
   CHECK(!sim.member(kSize).is_member());
   CHECK(sim.member(5).is_member());
-  CHECK_EQ(times(sim, What::yielded), 1U);
+  CHECK_EQ(times(sim, MemberEventKind::stood_down), 1U);
   for (const auto& f : sim.found())
-    CHECK(f.by == kSize || (f.what.what != What::joined && f.what.what != What::died));
+    CHECK(f.by == kSize || (f.what.kind != MemberEventKind::joined && f.what.kind != MemberEventKind::died));
   sim.kill(5);
   CHECK(sim.until(20s, [&] { return sim.member(kSize).is_member() && sim.all_agree(); }).has_value());
 }
@@ -535,8 +539,8 @@
   bool first = false;
   bool second = false;
   for (const auto& f : sim.found()) {
-    first = first || (f.by == 1 && f.what.what == What::name_taken);
-    second = second || (f.by == 3 && f.what.what == What::yielded);
+    first = first || (f.by == 1 && f.what.kind == MemberEventKind::name_taken);
+    second = second || (f.by == 3 && f.what.kind == MemberEventKind::stood_down);
   }
   CHECK(first && second);
 }
@@ -554,7 +558,7 @@
   sim.heal();
   sim.run(20s);
   CHECK_EQ(sim.member(3).is_member() + sim.member(7).is_member(), 1);
-  CHECK_EQ(times(sim, What::yielded), 1U);
+  CHECK_EQ(times(sim, MemberEventKind::stood_down), 1U);
   CHECK(sim.counts().cut > 0);
 }
 
@@ -579,7 +583,7 @@
   }
   sim.run(2s);
   CHECK_EQ(holding(sim, 5, State::dead), kSize - 1);
-  CHECK_EQ(times(sim, What::joined), 0U);
+  CHECK_EQ(times(sim, MemberEventKind::joined), 0U);
   // And of one that is there: each was taken once.
   std::uint64_t dropped = 0;
   recorded.clear();
@@ -590,8 +594,8 @@
   sim.tap = {};
   sim.run(100ms);
   for (const membership::Datagram& d : recorded) sim.inject(7, d);
-  for (const auto why : {Drop::doubled, Drop::too_old})
-    dropped += sim.member(7).figures().dropped[static_cast<std::size_t>(why)];
+  for (const auto why : {DropReason::duplicate, DropReason::too_old})
+    dropped += sim.member(7).metrics().dropped[static_cast<std::size_t>(why)];
   CHECK(!recorded.empty() && dropped == recorded.size());
 }
 
@@ -605,12 +609,12 @@
     membership::Datagram d;
     d.from = liar;
     d.number = ++number;
-    d.body = Told{};
+    d.body = Gossip{};
     for (std::size_t i = 0; i < 8; ++i) {
       Record r = sim.member(i).self();
       r.state = State::dead;
-      r.evidence = Evidence::silent;
-      r.accuser = "g11";
+      r.evidence = Evidence::unresponsive;
+      r.suspecting_member = "g11";
       d.records.push_back(r);
     }
     for (std::size_t to = 0; to < 8; ++to) {
@@ -621,23 +625,23 @@
   }
   CHECK_EQ(sim.false_deaths({11}), 0U);  // its own numbers are spoilt by what is told in its name
   std::uint64_t turned_down = 0;
-  for (std::size_t i = 0; i < kSize; ++i) turned_down += sim.member(i).figures().deaths_turned_down;
+  for (std::size_t i = 0; i < kSize; ++i) turned_down += sim.member(i).metrics().deaths_disproved;
   CHECK(turned_down > 0);
 }
 
 void only_who_is_in_the_roster_joins() {
   Ready sim(55, kSize, [](std::size_t, membership::Settings& s) {
-    for (std::size_t i = 0; i < kSize; ++i) s.roster.insert(FleetSim::name_of(i));
+    for (std::size_t i = 0; i < kSize; ++i) s.allowed_names.insert(FleetSim::name_of(i));
   });
   membership::Datagram d;
   d.from.name = "stranger";
   d.from.address = "10.9.9.9:1";
-  d.from.life = d.from.birth = 1;
+  d.from.incarnation = d.from.start_nonce = 1;
   d.number = 1;
   d.body = Ping{1, false, false, {}};
   sim.inject(0, d);
   sim.run(3s);
-  CHECK_EQ(sim.member(0).figures().dropped[static_cast<std::size_t>(Drop::not_in_roster)], 1U);
+  CHECK_EQ(sim.member(0).metrics().dropped[static_cast<std::size_t>(DropReason::not_allowed)], 1U);
   CHECK_EQ(sim.member(0).members().size(), kSize);
 }
 
@@ -649,21 +653,21 @@
     membership::Datagram d;
     d.from.name = "s" + std::to_string(random() % 100'000);
     d.from.address = "10.9." + std::to_string(random() % 250) + "." + std::to_string(random() % 250) + ":1";
-    d.from.life = d.from.birth = random() >> 1;
+    d.from.incarnation = d.from.start_nonce = random() >> 1;
     d.number = random();
     if (i % 3 == 0)
       d.body = Ping{random(), i % 2 == 0, false, {}};
     else if (i % 3 == 1)
       d.body = Ack{random(), false, {}};
     else
-      d.body = Told{};
+      d.body = Gossip{};
     d.records.push_back(d.from);
     sim.inject(0, d);
     sim.run(1ms);
   }
   CHECK(sim.member(0).members().size() == kSize);
   CHECK(sim.member(0).memory() < 400'000);
-  CHECK_EQ(times(sim, What::died) + times(sim, What::joined), 0U);
+  CHECK_EQ(times(sim, MemberEventKind::died) + times(sim, MemberEventKind::joined), 0U);
 }
 
 // More records than one exchange holds, all unknown to one who comes: none of them is told by itself or by
@@ -674,9 +678,9 @@
     membership::Settings s;
     s.name = FleetSim::name_of(i);
     s.advertise = FleetSim::address_of(i);
-    s.life = s.birth = s.seed = i + 1;
-    s.period = 10s;  // probes would teach it others, too
-    s.fanout = 2 * kFleet;
+    s.incarnation = s.start_nonce = s.seed = i + 1;
+    s.probe_interval = 10s;  // probes would teach it others, too
+    s.gossip_fanout = 2 * kFleet;
     return s;
   };
   Time now = FleetSim::kStart;
@@ -687,28 +691,28 @@
   membership::Datagram d;
   d.from.name = FleetSim::name_of(1);
   d.from.address = FleetSim::address_of(1);
-  d.from.life = d.from.birth = 2;
+  d.from.incarnation = d.from.start_nonce = 2;
   d.number = 1;
   d.body = Ping{1, false, false, {}};
   effects.clear();
-  old.step(now, Heard{d}, effects);
+  old.step(now, DatagramReceived{d}, effects);
   for (const Effect& e : effects) {
-    const auto* tell = std::get_if<Tell>(&e);
+    const auto* tell = std::get_if<SendDatagram>(&e);
     const auto* ping = tell == nullptr ? nullptr : std::get_if<Ping>(&tell->datagram.body);
     if (ping != nullptr) d.body = Ack{ping->token, false, {}};
   }
   CHECK(std::holds_alternative<Ack>(d.body));
   ++d.number;
-  old.step(now, Heard{d}, effects);
-  d.body = Told{};
+  old.step(now, DatagramReceived{d}, effects);
+  d.body = Gossip{};
   for (std::size_t i = 2; i < kFleet; ++i) {
     Record r;
     r.name = FleetSim::name_of(i);
     r.address = FleetSim::address_of(i);
-    r.life = r.birth = i + 1;
+    r.incarnation = r.start_nonce = i + 1;
     d.records = {r};
     ++d.number;
-    old.step(now, Heard{d}, effects);
+    old.step(now, DatagramReceived{d}, effects);
   }
   CHECK_EQ(old.members().size(), kFleet);
   // Until it has no rumours left.
@@ -718,7 +722,7 @@
     old.step(now, Tick{}, effects);
     quiet = now - FleetSim::kStart > 300ms;
     for (const Effect& e : effects) {
-      const auto* tell = std::get_if<Tell>(&e);
+      const auto* tell = std::get_if<SendDatagram>(&e);
       quiet = quiet && (tell == nullptr || tell->datagram.records.empty());
     }
   }
@@ -731,7 +735,8 @@
     Effects said;
     m.step(now, event, said);
     for (Effect& e : said) {
-      if (auto* tell = std::get_if<Tell>(&e)) passing.emplace_back(tell->address, std::move(tell->datagram));
+      if (auto* tell = std::get_if<SendDatagram>(&e))
+        passing.emplace_back(tell->address, std::move(tell->datagram));
     }
     while (!passing.empty()) {
       const auto [address, datagram] = std::move(passing.front());
@@ -741,9 +746,9 @@
                                                          : nullptr;
       if (to == nullptr) continue;
       Effects more;
-      to->step(now, Heard{datagram}, more);
+      to->step(now, DatagramReceived{datagram}, more);
       for (Effect& e : more) {
-        if (auto* tell = std::get_if<Tell>(&e))
+        if (auto* tell = std::get_if<SendDatagram>(&e))
           passing.emplace_back(tell->address, std::move(tell->datagram));
       }
     }
@@ -756,7 +761,7 @@
   }
   CHECK_EQ(fresh.members().size(), kFleet + 1);
   CHECK_EQ(fresh.digest(), old.digest());
-  CHECK(old.figures().syncs <= 6);
+  CHECK(old.metrics().syncs <= 6);
 }
 
 // Random faults of all kinds for a while, then none: those who are up agree again, nobody who lived through
@@ -826,9 +831,9 @@
     for (std::size_t i = 0; i < size; ++i) {
       std::cerr << i << (sim.member(i).is_member() ? " member " : " none ") << sim.member(i).view().settled
                 << sim.member(i).catching_up() << ' ' << sim.member(i).view().names.size() << " life "
-                << sim.member(i).self().life << " health " << sim.member(i).health() << ':';
+                << sim.member(i).self().incarnation << " health " << sim.member(i).health() << ':';
       for (std::size_t j = 0; j < size; ++j)
-        std::cerr << ' ' << (i == j || !sim.state(i, j) ? "-" : word_of(*sim.state(i, j)));
+        std::cerr << ' ' << (i == j || !sim.state(i, j) ? "-" : to_string(*sim.state(i, j)));
       std::cerr << '\n';
     }
     CHECK(false);
--- a/tests/heirs_test.cpp
+++ b/tests/slot_failover_test.cpp
@@ -22,8 +22,8 @@
   Announcement a;
   a.id = "g";
   a.version = version;
-  a.by = "desk";
-  a.made = a.start = start;
+  a.author = "desk";
+  a.created_at = a.start = start;
   a.end = start + 2h;
   a.gap.emplace();
   a.gap->criteria.numbers = {"4711"};
@@ -32,31 +32,31 @@
 }
 
 void an_heir_has_the_slots_of_the_gone_before_it() {
-  Heirs heirs(Fleet{4, 2});
-  const auto ask = [&](Time now, std::uint32_t who) { heirs.refused(now, who, now - 1ms); };
+  SlotFailover heirs(Fleet{4, 2});
+  const auto ask = [&](Time now, std::uint32_t who) { heirs.mark_unreachable(now, who, now - 1ms); };
   Time now = kStart;
-  CHECK((heirs.to_ask(now) == std::vector<std::uint32_t>{1}));
+  CHECK((heirs.ports_to_watch(now) == std::vector<std::uint32_t>{1}));
   for (int i = 0; i < 40; ++i, now += 100ms) ask(now, 1);
-  CHECK(heirs.inherits(now, now, 1));
-  CHECK(!heirs.inherits(now, kStart + 2s, 1));  // it may have been ceded before the end
-  CHECK(!heirs.inherits(now, now, 0));          // that one is not gone
-  CHECK(!heirs.inherits(now, now, 3));          // behind it there is one who is there
-  CHECK((heirs.to_ask(now) == std::vector<std::uint32_t>{1, 0}));
+  CHECK(heirs.may_take_over(now, now, 1));
+  CHECK(!heirs.may_take_over(now, kStart + 2s, 1));  // it may have been ceded before the end
+  CHECK(!heirs.may_take_over(now, now, 0));          // that one is not gone
+  CHECK(!heirs.may_take_over(now, now, 3));          // behind it there is one who is there
+  CHECK((heirs.ports_to_watch(now) == std::vector<std::uint32_t>{1, 0}));
   for (int i = 0; i < 40; ++i, now += 100ms) {
     ask(now, 1);
     ask(now, 0);
   }
-  CHECK(heirs.inherits(now, now, 0) && heirs.held(now) == 2);
-  CHECK(!heirs.inherits(now + 2s, now + 2s, 1));  // not asked for too long
-  heirs.heard(1);
-  CHECK(!heirs.inherits(now, now, 1) && !heirs.inherits(now, now, 0));
+  CHECK(heirs.may_take_over(now, now, 0) && heirs.taken_over(now) == 2);
+  CHECK(!heirs.may_take_over(now + 2s, now + 2s, 1));  // not asked for too long
+  heirs.mark_alive(1);
+  CHECK(!heirs.may_take_over(now, now, 1) && !heirs.may_take_over(now, now, 0));
   // A row that was broken begins anew.
   ask(now, 1);
   now += 1s;
   ask(now, 1);
   now += 2s;
   ask(now, 1);
-  CHECK(!heirs.inherits(now, now, 1));
+  CHECK(!heirs.may_take_over(now, now, 1));
 }
 
 struct Played {
@@ -73,7 +73,7 @@
   std::mt19937_64 random(seed);
   constexpr std::uint32_t kSize = 4;
   struct Process {
-    std::unique_ptr<Heirs> heirs{};
+    std::unique_ptr<SlotFailover> heirs{};
     std::unique_ptr<GapRegister> gaps{};
     bool holds = false;
     bool stopped = false;
@@ -92,15 +92,15 @@
   const auto local = [&](std::uint32_t i, Time t) { return t + places[i].clock; };
   const auto start = [&](std::uint32_t i, Time now) {
     auto p = std::make_unique<Process>();
-    p->heirs = std::make_unique<Heirs>(Fleet{kSize, i});
+    p->heirs = std::make_unique<SlotFailover>(Fleet{kSize, i});
     p->gaps = std::make_unique<GapRegister>(Fleet{kSize, i}, random(), local(i, now));
-    if (heirs_on) p->gaps->inherit_by(p->heirs.get());
-    p->gaps->holds_place(local(i, now), false);
+    if (heirs_on) p->gaps->use_failover(p->heirs.get());
+    p->gaps->set_place_owned(local(i, now), false);
     p->gaps->announce(local(i, now), first);
     if (second) p->gaps->announce(local(i, now), *second);
     if (places[i].processes.empty()) {
       p->holds = true;
-      p->gaps->holds_place(local(i, now), true);
+      p->gaps->set_place_owned(local(i, now), true);
     }
     places[i].processes.push_back(std::move(p));
   };
@@ -109,7 +109,7 @@
     places[i].processes.erase(places[i].processes.begin());
     if (places[i].processes.empty()) return;
     places[i].processes[0]->holds = true;
-    places[i].processes[0]->gaps->holds_place(local(i, now), true);
+    places[i].processes[0]->gaps->set_place_owned(local(i, now), true);
   };
   for (std::uint32_t i = 0; i < kSize; ++i) {
     places[i].clock = std::chrono::milliseconds(static_cast<std::int64_t>(random() % 400) - 200);
@@ -141,7 +141,7 @@
         break;
       case 4:
         if (place.processes.size() == 2) {  // the old one lets go of the port, and ends later
-          place.processes[0]->gaps->holds_place(local(i, now), false);
+          place.processes[0]->gaps->set_place_owned(local(i, now), false);
           end(i, now);
         }
         break;
@@ -164,7 +164,7 @@
       for (auto& p : places[a].processes) {
         if (p->stopped || now < p->asks) continue;
         p->asks = now + 250ms;
-        for (const std::uint32_t who : p->heirs->to_ask(local(a, now))) {
+        for (const std::uint32_t who : p->heirs->ports_to_watch(local(a, now))) {
           if (random() % 10 == 0) continue;
           const Time reaches = now + std::chrono::milliseconds(random() % (random() % 20 == 0 ? 600 : 10));
           const Time answers = reaches + std::chrono::milliseconds(random() % 10);
@@ -173,7 +173,7 @@
             if (!places[who].processes.empty()) return;  // held: no refusal
             under_way.emplace(answers, [&, a, who, asker, asked](Time t) {
               for (auto& q : places[a].processes) {
-                if (q.get() == asker && !q->stopped) q->heirs->refused(local(a, t), who, asked);
+                if (q.get() == asker && !q->stopped) q->heirs->mark_unreachable(local(a, t), who, asked);
               }
             });
           });
@@ -194,7 +194,7 @@
           std::cerr << "seed " << seed << ": slot " << slot << " at " << it->second.first << " and " << at
                     << ", " << std::chrono::duration<double>(now - kStart).count() << " s\n";
         }
-        if (!p->heirs->to_ask(local(at, now)).empty() && p->heirs->held(local(at, now)) > 0)
+        if (!p->heirs->ports_to_watch(local(at, now)).empty() && p->heirs->taken_over(local(at, now)) > 0)
           ++played.inherited;
       }
     }
