--- a/bench/capacity/sums.cpp
+++ b/bench/capacity/sums.cpp
@@ -298,7 +298,7 @@
         slope("control_cpu_hollow", n) * 0.001 + slope("gatekeeper_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
     limits(r);
-    r.verdicts.push_back(bound("distribution::kMostSubscribed"));
+    r.verdicts.push_back(bound("distribution::kMaxSubscribedServices"));
     rows.push_back(r);
   }
   {
@@ -421,7 +421,7 @@
     r.cpu = slope("distributor_cpu_quiet", n) * 0.001 +
             slope("distributor_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("distribution::kMostClients")};
+    r.verdicts = {against(r.cpu, given("core"), "core"), bound("distribution::kMaxClients")};
     rows.push_back(r);
   }
   {
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -341,10 +341,10 @@
   // Reckoned: the same news by asking every 3 s with the versions held, in bytes of the lines as they are.
   void polling() {
     using namespace distribution;
-    std::vector<Noticed::Entry> held;
+    std::vector<VersionsNotified::Entry> held;
     for (const std::string& service : rig_.spread().of(0)) held.push_back({service, {1'790'000'000'000, {}}});
     const double question = static_cast<double>(control::subscribe_line("g0", held, true).dump().size() + 1);
-    const double answer = static_cast<double>(control::notices_line(Notice{}).dump().size() + 1);
+    const double answer = static_cast<double>(control::versions_line(NotifyVersions{}).dump().size() + 1);
     tell("polling_bytes_reckoned", (question + answer) / 3.0, "B/s");
     tell("polling_questions_of_a_distributor_reckoned",
          static_cast<double>(rig_.size()) / 3.0 / static_cast<double>(up_.size()), "1/s");
@@ -703,7 +703,7 @@
   for (const lab::ConfigSim::InForce& f : sim.take_in_force()) {
     for (std::size_t i = 0; i < kChanges; ++i) {
       const auto& result = sim.result(requests[i]);
-      if (!result || !result->committed || f.version != result->stamp.version ||
+      if (!result || !result->committed || f.version != result->id.version ||
           f.service != lab::ConfigSim::service_of(i % settings.services))
         continue;
       ++taken;
--- a/lab/config_sim.h
+++ b/lab/config_sim.h
@@ -50,7 +50,7 @@
   std::size_t bytes_per_second = 16 * 1024 * 1024;
   Duration wait{std::chrono::seconds(2)};
   // Why a gatekeeper does not take the documents; empty: it takes them.
-  std::function<std::string(std::size_t, const std::vector<distribution::Document>&)> refuses{};
+  std::function<std::string(std::size_t, const std::vector<distribution::ServiceConfig>&)> refuses{};
 };
 
 class ConfigSim {
@@ -69,8 +69,8 @@
     std::uint64_t steps = 0;
     std::uint64_t fetches = 0;  // of gatekeepers
     std::uint64_t applies = 0;
-    std::map<distribution::Told, std::uint64_t> told{};              // by gatekeepers
-    std::map<distribution::DistributorTold, std::uint64_t> found{};  // by distributors
+    std::map<distribution::SubscriberLogKind, std::uint64_t> told{};    // by gatekeepers
+    std::map<distribution::DistributorLogKind, std::uint64_t> found{};  // by distributors
   };
   struct InForce {
     Time at{};
@@ -129,7 +129,7 @@
     ++d.life;
     d.peers.assign(settings_.distributors - 1, {});
     distribution::Restored restored;
-    restored.nothing = !d.has_files;
+    restored.empty = !d.has_files;
     for (const auto& [bucket, records] : d.files) restored.records.insert(records.begin(), records.end());
     d.has_files = true;
     feed(i, restored);
@@ -238,9 +238,9 @@
       const auto unix_ms =
           std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kStart + distributors_[i].clock_error);
       at_node(i, [this, i, request, service, content, unix_ms] {
-        feed(i,
-             distribution::Publish{request, service, content,
-                                   static_cast<distribution::Version>(1'700'000'000'000 + unix_ms.count())});
+        feed(i, distribution::PublishRequested{
+                    request, service, content,
+                    static_cast<distribution::Version>(1'700'000'000'000 + unix_ms.count())});
       });
     }
     return request;
@@ -249,7 +249,7 @@
     at_node(node_of_gatekeeper(g), [this, g] { feed_gatekeeper(g, distribution::BaseChanged{}); });
   }
   void refuse_by(
-      std::function<std::string(std::size_t, const std::vector<distribution::Document>&)> refuses) {
+      std::function<std::string(std::size_t, const std::vector<distribution::ServiceConfig>&)> refuses) {
     settings_.refuses = std::move(refuses);
   }
   void take_within(Duration most) { take_most_ = most; }
@@ -280,57 +280,58 @@
   bool stopped(Node n) const { return process(n).stopped; }
   const distribution::Distributor& distributor(std::size_t i) const { return *distributors_.at(i).reducer; }
   const distribution::Subscriber& gatekeeper(std::size_t g) const { return *gatekeepers_.at(g).reducer; }
-  const std::optional<distribution::Published>& result(std::uint64_t request) const {
+  const std::optional<distribution::PublishFinished>& result(std::uint64_t request) const {
     return published_.at(request).result;
   }
   const Counts& counts() const { return counts_; }
-  std::uint64_t told(distribution::Told what) const {
+  std::uint64_t told(distribution::SubscriberLogKind what) const {
     const auto it = counts_.told.find(what);
     return it == counts_.told.end() ? 0 : it->second;
   }
-  std::uint64_t found(distribution::DistributorTold what) const {
+  std::uint64_t found(distribution::DistributorLogKind what) const {
     const auto it = counts_.found.find(what);
     return it == counts_.found.end() ? 0 : it->second;
   }
   // What is in force at a gatekeeper, by what it was told to take.
-  distribution::Stamp running(std::size_t g, const std::string& service) const {
+  distribution::VersionId running(std::size_t g, const std::string& service) const {
     const auto& all = gatekeepers_.at(g).running;
     const auto it = all.find(service);
-    return it == all.end() ? distribution::Stamp{} : it->second.stamp;
+    return it == all.end() ? distribution::VersionId{} : it->second.id;
   }
-  distribution::Stamp committed(std::size_t i, const std::string& service) const {
+  distribution::VersionId committed(std::size_t i, const std::string& service) const {
     const auto& records = distributor(i).records();
     const auto it = records.find(service);
-    return it == records.end() || !it->second.committed ? distribution::Stamp{} : it->second.committed->stamp;
+    return it == records.end() || !it->second.committed ? distribution::VersionId{}
+                                                        : it->second.committed->id;
   }
   bool all_vote() const {
     for (const Distributor& d : distributors_) {
-      if (!d.up || d.reducer->standing() != distribution::Standing::voting) return false;
+      if (!d.up || d.reducer->voter_state() != distribution::VoterState::voting) return false;
     }
     return true;
   }
   // All that are up hold the same, and what each gatekeeper has in force or has refused is that.
   bool all_equal() const { return trouble().empty(); }
   std::string trouble() const {
-    std::map<std::string, distribution::Stamp> newest;
+    std::map<std::string, distribution::VersionId> newest;
     for (std::size_t s = 0; s < settings_.services; ++s) {
       const std::string service = service_of(s);
-      std::optional<distribution::Stamp> stamp;
+      std::optional<distribution::VersionId> stamp;
       for (std::size_t i = 0; i < distributors_.size(); ++i) {
         if (!distributors_[i].up) continue;
-        const distribution::Stamp here = committed(i, service);
+        const distribution::VersionId here = committed(i, service);
         if (stamp && here != *stamp) return "distributor " + std::to_string(i) + " differs in " + service;
         stamp = here;
       }
-      newest[service] = stamp.value_or(distribution::Stamp{});
+      newest[service] = stamp.value_or(distribution::VersionId{});
     }
     for (std::size_t g = 0; g < gatekeepers_.size(); ++g) {
       if (!gatekeepers_[g].up) continue;
-      for (const auto& [service, held] : gatekeepers_[g].reducer->held()) {
-        const distribution::Stamp& wanted = newest.at(service);
-        if (held.in_force != running(g, service)) return name_of(g) + " says what is not so";
-        if (held.in_force == wanted || (held.refused && *held.refused == wanted)) continue;
-        return name_of(g) + " has " + std::to_string(held.in_force.version) + " of " + service + ", not " +
+      for (const auto& [service, held] : gatekeepers_[g].reducer->service_states()) {
+        const distribution::VersionId& wanted = newest.at(service);
+        if (held.active != running(g, service)) return name_of(g) + " says what is not so";
+        if (held.active == wanted || (held.rejected && *held.rejected == wanted)) continue;
+        return name_of(g) + " has " + std::to_string(held.active.version) + " of " + service + ", not " +
                std::to_string(wanted.version);
       }
     }
@@ -382,7 +383,7 @@
   struct Distributor : Process {
     std::unique_ptr<distribution::Distributor> reducer{};
     bool has_files = false;
-    std::map<std::size_t, std::map<std::string, distribution::Record>> files{};
+    std::map<std::size_t, std::map<std::string, distribution::ServiceRecord>> files{};
     std::map<std::string, distribution::Version> highest{};  // committed here, since its files were lost
     std::vector<PeerLink> peers{};
     Duration clock_error{};
@@ -391,7 +392,7 @@
     std::unique_ptr<distribution::Subscriber> reducer{};
     std::map<std::uint32_t, std::uint64_t> connections{};  // by source
     std::map<std::uint32_t, std::uint64_t> opening{};      // attempts
-    std::map<std::string, distribution::Document> running{};
+    std::map<std::string, distribution::ServiceConfig> running{};
   };
   struct Due {
     Time at{};
@@ -404,7 +405,7 @@
     std::string service{};
     std::string content{};
     Time at{};
-    std::optional<distribution::Published> result{};
+    std::optional<distribution::PublishFinished> result{};
   };
 
   static constexpr Time kStart = Time{} + std::chrono::hours(1);
@@ -515,7 +516,7 @@
         const std::uint64_t id = connect(i, other, peer);
         distributors_[i].peers[peer].connection = id;
         at_node(i, [this, i, peer, id] {
-          if (distributors_[i].peers[peer].connection == id) feed(i, distribution::PeerUp{peer});
+          if (distributors_[i].peers[peer].connection == id) feed(i, distribution::PeerConnected{peer});
         });
       });
     }
@@ -533,7 +534,7 @@
       own.opening.erase(it);
       if (!distributors_[source].up) {
         ++counts_.refused_connections;
-        at_node(n, [this, g, source] { feed_gatekeeper(g, distribution::SourceDown{source}); });
+        at_node(n, [this, g, source] { feed_gatekeeper(g, distribution::SourceDisconnected{source}); });
         return;
       }
       const std::uint64_t id = connect(n, source, source);
@@ -541,7 +542,8 @@
       at_node(n, [this, g, source, id] {
         const auto& mine = gatekeepers_[g].connections;
         const auto found = mine.find(source);
-        if (found != mine.end() && found->second == id) feed_gatekeeper(g, distribution::SourceUp{source});
+        if (found != mine.end() && found->second == id)
+          feed_gatekeeper(g, distribution::SourceConnected{source});
       });
     });
   }
@@ -552,7 +554,7 @@
     c.distributor = distributor;
     c.index = index;
     connections_.emplace(id, std::move(c));
-    send(id, true, distribution::DistributorEvent{distribution::ClientUp{id}});
+    send(id, true, distribution::DistributorEvent{distribution::ClientConnected{id}});
     return id;
   }
   // One end is closed: the other one reads what was sent before, and then that it is gone. With `lost`, what
@@ -580,7 +582,7 @@
   void tell_gone(std::uint64_t id, const Connection& c, bool client) {
     if (!client) {
       if (!c.distributor_open) return;
-      at_node(c.distributor, [this, id, c] { feed(c.distributor, distribution::ClientDown{id}); });
+      at_node(c.distributor, [this, id, c] { feed(c.distributor, distribution::ClientDisconnected{id}); });
       return;
     }
     if (!c.client_open) return;
@@ -590,14 +592,14 @@
         if (c.index >= peers.size() || peers[c.index].connection != id) return;
         peers[c.index].connection.reset();
         peers[c.index].retry = now_ + draw(kPeerRetry / 2, kPeerRetry);
-        feed(c.client, distribution::PeerDown{c.index});
+        feed(c.client, distribution::PeerDisconnected{c.index});
         return;
       }
       Gatekeeper& k = gatekeepers_[c.client - distributors_.size()];
       const auto it = k.connections.find(c.index);
       if (it == k.connections.end() || it->second != id) return;
       k.connections.erase(it);
-      feed_gatekeeper(c.client - distributors_.size(), distribution::SourceDown{c.index});
+      feed_gatekeeper(c.client - distributors_.size(), distribution::SourceDisconnected{c.index});
     });
   }
   void send(std::uint64_t id, bool up, Message message) {
@@ -660,7 +662,7 @@
     }
     if (up) {
       const auto& event = std::get<distribution::DistributorEvent>(message);
-      if (std::holds_alternative<distribution::Heard>(event)) it->second.unread = false;
+      if (std::holds_alternative<distribution::NotificationAcknowledged>(event)) it->second.unread = false;
       feed(c.distributor, event);
       if (may_double(event) && chance(settings_.doubled) && distributors_[c.distributor].up) {
         ++counts_.doubled;
@@ -677,8 +679,8 @@
       const auto& event = std::get<distribution::SubscriberEvent>(message);
       const std::size_t g = c.client - distributors_.size();
       // What the edge answers by itself.
-      if (std::holds_alternative<distribution::Noticed>(event))
-        send(id, true, distribution::DistributorEvent{distribution::Heard{id}});
+      if (std::holds_alternative<distribution::VersionsNotified>(event))
+        send(id, true, distribution::DistributorEvent{distribution::NotificationAcknowledged{id}});
       feed_gatekeeper(g, event);
       if (chance(settings_.doubled) && gatekeepers_[g].up) {
         ++counts_.doubled;
@@ -687,10 +689,10 @@
     }
   }
   static bool may_double(const distribution::DistributorEvent& e) {
-    return !std::holds_alternative<distribution::ClientUp>(e) &&
-           !std::holds_alternative<distribution::Subscribed>(e) &&
-           !std::holds_alternative<distribution::Heard>(e) &&
-           !std::holds_alternative<distribution::PeerNoticed>(e);
+    return !std::holds_alternative<distribution::ClientConnected>(e) &&
+           !std::holds_alternative<distribution::SubscriptionReceived>(e) &&
+           !std::holds_alternative<distribution::NotificationAcknowledged>(e) &&
+           !std::holds_alternative<distribution::PeerVersionsNotified>(e);
   }
 
   // About a line's bytes.
@@ -699,18 +701,20 @@
     constexpr std::size_t kLine = 60;
     constexpr std::size_t kStamp = 130;
     if (const auto* s = std::get_if<SubscriberEvent>(&message)) {
-      if (const auto* n = std::get_if<Noticed>(s)) return kLine + kStamp * n->entries.size();
-      if (const auto* d = std::get_if<Delivered>(s)) return kLine + kStamp + d->document.content.size();
+      if (const auto* n = std::get_if<VersionsNotified>(s)) return kLine + kStamp * n->entries.size();
+      if (const auto* d = std::get_if<ConfigDelivered>(s)) return kLine + kStamp + d->config.content.size();
       return kLine;
     }
     if (const auto* d = std::get_if<DistributorEvent>(&message)) {
-      if (const auto* n = std::get_if<PeerNoticed>(d)) return kLine + (kStamp + 30) * n->entries.size();
-      if (const auto* s = std::get_if<Subscribed>(d)) return kLine + kStamp * s->held.size();
-      if (const auto* p = std::get_if<PeerDelivered>(d)) return kLine + kStamp + p->document.content.size();
-      if (const auto* p = std::get_if<Proposed>(d)) return kLine + kStamp + p->document.content.size();
-      if (const auto* h = std::get_if<Handed>(d)) return kLine + kStamp + h->document.content.size();
-      if (const auto* r = std::get_if<Reported>(d)) return kLine + kStamp + r->reason.size();
-      if (std::holds_alternative<ClientUp>(*d)) return 0;
+      if (const auto* n = std::get_if<PeerVersionsNotified>(d))
+        return kLine + (kStamp + 30) * n->entries.size();
+      if (const auto* s = std::get_if<SubscriptionReceived>(d)) return kLine + kStamp * s->held.size();
+      if (const auto* p = std::get_if<PeerConfigDelivered>(d))
+        return kLine + kStamp + p->config.content.size();
+      if (const auto* p = std::get_if<ProposalReceived>(d)) return kLine + kStamp + p->config.content.size();
+      if (const auto* h = std::get_if<ConfigReturned>(d)) return kLine + kStamp + h->config.content.size();
+      if (const auto* r = std::get_if<StatusReported>(d)) return kLine + kStamp + r->reason.size();
+      if (std::holds_alternative<ClientConnected>(*d)) return 0;
       return kLine;
     }
     return 0;
@@ -718,30 +722,31 @@
 
   // ---- the oracle
 
-  void check_committed(const std::string& service, const distribution::Stamp& stamp, const char* what) const {
+  void check_committed(const std::string& service, const distribution::VersionId& stamp,
+                       const char* what) const {
     const auto it = committed_.find({service, stamp.version});
     require(it != committed_.end(),
             std::string(what) + " that nobody committed: " + service + ' ' + std::to_string(stamp.version));
-    require(it->second.stamp == stamp, std::string(what) + " under a committed number: " + service + ' ' +
-                                           std::to_string(stamp.version));
+    require(it->second.id == stamp, std::string(what) + " under a committed number: " + service + ' ' +
+                                        std::to_string(stamp.version));
   }
-  void check_document(const distribution::Document& d, const char* what) const {
-    check_committed(d.service, d.stamp, what);
-    require(committed_.at({d.service, d.stamp.version}).content == d.content,
+  void check_document(const distribution::ServiceConfig& d, const char* what) const {
+    check_committed(d.service, d.id, what);
+    require(committed_.at({d.service, d.id.version}).content == d.content,
             std::string(what) + " with another content: " + d.service);
   }
   void note_commit(std::size_t i, const std::string& service, distribution::Version version) {
     Distributor& d = distributors_[i];
     const auto& record = d.reducer->records().at(service);
-    require(record.committed && record.committed->stamp.version >= version, "a commit that is not there");
-    if (record.committed->stamp.version > version) return;  // in one step
-    const distribution::Document& document = *record.committed;
+    require(record.committed && record.committed->id.version >= version, "a commit that is not there");
+    if (record.committed->id.version > version) return;  // in one step
+    const distribution::ServiceConfig& document = *record.committed;
     require(distribution::is_sound(key_, document), "an unsound document was committed: " + service);
     require(contents_[service].contains(document.content), "a content that nobody published: " + service);
     const auto [it, fresh] = committed_.emplace(std::pair{service, version}, document);
     require(it->second == document,
             "two documents under the committed number " + std::to_string(version) + " of " + service);
-    require(!given_up_.contains({service, document.stamp}), "what was given up is committed: " + service);
+    require(!given_up_.contains({service, document.id}), "what was given up is committed: " + service);
     distribution::Version& highest = d.highest[service];
     require(version > highest, "distributor " + std::to_string(i) + " goes back in " + service + " from " +
                                    std::to_string(highest) + " to " + std::to_string(version));
@@ -773,33 +778,34 @@
   }
   std::uint32_t index_of(std::uint64_t id) const { return connections_.at(id).index; }
 
-  void carry_out(std::size_t i, const distribution::Save& e) {
+  void carry_out(std::size_t i, const distribution::SaveBucket& e) {
     distributors_[i].files[e.bucket] = distributors_[i].reducer->records_in(e.bucket);
   }
-  void carry_out(std::size_t i, const distribution::SubscribeAll& e) {
-    to_peer(i, e.peer,
-            distribution::Subscribed{to_peer_id(i, e.peer), "d" + std::to_string(i), true, {}, false});
+  void carry_out(std::size_t i, const distribution::SubscribeToPeer& e) {
+    to_peer(
+        i, e.peer,
+        distribution::SubscriptionReceived{to_peer_id(i, e.peer), "d" + std::to_string(i), true, {}, false});
   }
-  void carry_out(std::size_t i, const distribution::FetchFrom& e) {
-    to_peer(i, e.peer, distribution::Fetched{to_peer_id(i, e.peer), e.service, e.version});
+  void carry_out(std::size_t i, const distribution::FetchFromPeer& e) {
+    to_peer(i, e.peer, distribution::FetchRequested{to_peer_id(i, e.peer), e.service, e.version});
   }
-  void carry_out(std::size_t i, const distribution::HeardFrom& e) {
-    to_peer(i, e.peer, distribution::Heard{to_peer_id(i, e.peer)});
+  void carry_out(std::size_t i, const distribution::AcknowledgePeer& e) {
+    to_peer(i, e.peer, distribution::NotificationAcknowledged{to_peer_id(i, e.peer)});
   }
-  void carry_out(std::size_t i, const distribution::Propose& e) {
-    proposed_[{i, e.document.service, e.document.stamp.version}] = e.document.stamp;
-    to_peer(i, e.peer, distribution::Proposed{to_peer_id(i, e.peer), e.proposal, e.document});
+  void carry_out(std::size_t i, const distribution::SendProposal& e) {
+    proposed_[{i, e.config.service, e.config.id.version}] = e.config.id;
+    to_peer(i, e.peer, distribution::ProposalReceived{to_peer_id(i, e.peer), e.proposal, e.config});
   }
   void carry_out(std::size_t, const distribution::AnswerProposal& e) {
     if (!is_peer(e.client)) return;
     send(e.client, false,
          distribution::DistributorEvent{
-             distribution::PeerAnswered{index_of(e.client), e.proposal, e.accepted, e.seen}});
+             distribution::ProposalAnswered{index_of(e.client), e.proposal, e.accepted, e.highest_seen}});
   }
-  void carry_out(std::size_t, const distribution::Notice& e) {
-    require(e.entries.size() <= distribution::kMostNoticed, "a notice beyond its bound");
+  void carry_out(std::size_t, const distribution::NotifyVersions& e) {
+    require(e.entries.size() <= distribution::kMaxNotifiedVersions, "a notice beyond its bound");
     for (const auto& entry : e.entries) {
-      if (!entry.stamp.none()) check_committed(entry.service, entry.stamp, "a notice of something");
+      if (!entry.id.none()) check_committed(entry.service, entry.id, "a notice of something");
     }
     const auto it = connections_.find(e.client);
     if (it == connections_.end() || !it->second.distributor_open) return;
@@ -808,57 +814,59 @@
     if (is_peer(e.client)) {
       send(e.client, false,
            distribution::DistributorEvent{
-               distribution::PeerNoticed{index_of(e.client), e.entries, e.complete, e.standing}});
+               distribution::PeerVersionsNotified{index_of(e.client), e.entries, e.complete, e.voter_state}});
       return;
     }
-    distribution::Noticed noticed{index_of(e.client), {}, e.complete};
-    for (const auto& entry : e.entries) noticed.entries.push_back({entry.service, entry.stamp});
+    distribution::VersionsNotified noticed{index_of(e.client), {}, e.complete};
+    for (const auto& entry : e.entries) noticed.entries.push_back({entry.service, entry.id});
     send(e.client, false, distribution::SubscriberEvent{std::move(noticed)});
   }
-  void carry_out(std::size_t, const distribution::Deliver& e) {
-    check_document(e.document, "a document was delivered");
+  void carry_out(std::size_t, const distribution::DeliverConfig& e) {
+    check_document(e.config, "a document was delivered");
     if (!connections_.contains(e.client)) return;
     if (is_peer(e.client)) {
       send(e.client, false,
-           distribution::DistributorEvent{distribution::PeerDelivered{index_of(e.client), e.document}});
+           distribution::DistributorEvent{distribution::PeerConfigDelivered{index_of(e.client), e.config}});
     } else {
       send(e.client, false,
-           distribution::SubscriberEvent{distribution::Delivered{index_of(e.client), e.document}});
+           distribution::SubscriberEvent{distribution::ConfigDelivered{index_of(e.client), e.config}});
     }
   }
-  void carry_out(std::size_t, const distribution::Missing& e) {
+  void carry_out(std::size_t, const distribution::SendMissing& e) {
     if (!connections_.contains(e.client)) return;
     if (is_peer(e.client)) {
       send(e.client, false,
-           distribution::DistributorEvent{distribution::PeerNotThere{index_of(e.client), e.service}});
+           distribution::DistributorEvent{distribution::PeerConfigMissing{index_of(e.client), e.service}});
     } else {
       send(e.client, false,
-           distribution::SubscriberEvent{distribution::NotThere{index_of(e.client), e.service}});
+           distribution::SubscriberEvent{distribution::ConfigMissing{index_of(e.client), e.service}});
     }
   }
-  void carry_out(std::size_t, const distribution::Ask& e) {
+  void carry_out(std::size_t, const distribution::RequestConfig& e) {
     if (!connections_.contains(e.client) || is_peer(e.client)) return;
-    send(e.client, false, distribution::SubscriberEvent{distribution::Wanted{index_of(e.client), e.service}});
+    send(e.client, false,
+         distribution::SubscriberEvent{distribution::ConfigRequested{index_of(e.client), e.service}});
   }
-  void carry_out(std::size_t, const distribution::SendBeat& e) {
+  void carry_out(std::size_t, const distribution::SendHeartbeat& e) {
     if (!connections_.contains(e.client) || is_peer(e.client)) return;
-    send(e.client, false, distribution::SubscriberEvent{distribution::Beat{index_of(e.client)}});
+    send(e.client, false, distribution::SubscriberEvent{distribution::HeartbeatReceived{index_of(e.client)}});
   }
   void carry_out(std::size_t i, const distribution::CloseClient& e) { close_end(e.client, i); }
-  void carry_out(std::size_t, const distribution::Published& e) {
+  void carry_out(std::size_t, const distribution::PublishFinished& e) {
     Publication& p = published_.at(e.request);
     require(!p.result, "two answers to one publication");
     p.result = e;
     if (!e.committed) return;
-    check_committed(p.service, e.stamp, "a publication was told as committed");
-    require(committed_.at({p.service, e.stamp.version}).content == p.content,
+    check_committed(p.service, e.id, "a publication was told as committed");
+    require(committed_.at({p.service, e.id.version}).content == p.content,
             "a publication was committed with another content");
   }
-  void carry_out(std::size_t i, const distribution::DistributorHappened& e) {
-    ++counts_.found[e.what];
-    require(e.what != distribution::DistributorTold::conflict, "a conflict at a distributor: " + e.service);
-    if (e.what == distribution::DistributorTold::committed) note_commit(i, e.service, e.version);
-    if (e.what == distribution::DistributorTold::given_up) {
+  void carry_out(std::size_t i, const distribution::DistributorLogEvent& e) {
+    ++counts_.found[e.kind];
+    require(e.kind != distribution::DistributorLogKind::conflict,
+            "a conflict at a distributor: " + e.service);
+    if (e.kind == distribution::DistributorLogKind::committed) note_commit(i, e.service, e.version);
+    if (e.kind == distribution::DistributorLogKind::abandoned) {
       const auto it = proposed_.find({i, e.service, e.version});
       if (it != proposed_.end()) given_up_.insert({e.service, it->second});
     }
@@ -886,8 +894,8 @@
     require(it != all.end(), "a gatekeeper speaks to a source that is not up");
     send(it->second, true, event(it->second));
   }
-  void carry_out_at(std::size_t g, const distribution::Open& e) { open(g, e.source); }
-  void carry_out_at(std::size_t g, const distribution::Shut& e) {
+  void carry_out_at(std::size_t g, const distribution::OpenSource& e) { open(g, e.source); }
+  void carry_out_at(std::size_t g, const distribution::CloseSource& e) {
     Gatekeeper& k = gatekeepers_[g];
     k.opening.erase(e.source);
     const auto it = k.connections.find(e.source);
@@ -898,57 +906,58 @@
   }
   void carry_out_at(std::size_t g, const distribution::Subscribe& e) {
     to_source(g, e.source, [&](std::uint64_t id) {
-      return distribution::Subscribed{id, name_of(g), false, e.held, e.primary};
+      return distribution::SubscriptionReceived{id, name_of(g), false, e.held, e.primary};
     });
   }
-  void carry_out_at(std::size_t g, const distribution::TellPrimary& e) {
-    to_source(g, e.source, [&](std::uint64_t id) { return distribution::PrimaryTold{id, e.primary}; });
+  void carry_out_at(std::size_t g, const distribution::SendPrimary& e) {
+    to_source(g, e.source, [&](std::uint64_t id) { return distribution::PrimaryChanged{id, e.primary}; });
   }
-  void carry_out_at(std::size_t g, const distribution::Fetch& e) {
+  void carry_out_at(std::size_t g, const distribution::FetchConfig& e) {
     ++counts_.fetches;
-    to_source(g, e.source, [&](std::uint64_t id) { return distribution::Fetched{id, e.service, e.version}; });
+    to_source(g, e.source, [&](std::uint64_t id) {
+      return distribution::FetchRequested{id, e.service, e.version};
+    });
   }
-  void carry_out_at(std::size_t g, const distribution::Report& e) {
+  void carry_out_at(std::size_t g, const distribution::ReportStatus& e) {
     to_source(g, e.source, [&](std::uint64_t id) {
-      return distribution::Reported{id, e.service, e.stamp, e.in_force, e.reason};
+      return distribution::StatusReported{id, e.service, e.id, e.active, e.reason};
     });
   }
-  void carry_out_at(std::size_t g, const distribution::Hand& e) {
-    to_source(g, e.source, [&](std::uint64_t id) { return distribution::Handed{id, e.document}; });
+  void carry_out_at(std::size_t g, const distribution::ReturnConfig& e) {
+    to_source(g, e.source, [&](std::uint64_t id) { return distribution::ConfigReturned{id, e.config}; });
   }
-  void carry_out_at(std::size_t g, const distribution::Apply& e) {
+  void carry_out_at(std::size_t g, const distribution::ApplyConfigs& e) {
     Gatekeeper& k = gatekeepers_[g];
     ++counts_.applies;
-    for (const distribution::Document& d : e.documents) check_document(d, "a document is to be in force");
-    const std::string why = settings_.refuses ? settings_.refuses(g, e.documents) : std::string{};
+    for (const distribution::ServiceConfig& d : e.configs) check_document(d, "a document is to be in force");
+    const std::string why = settings_.refuses ? settings_.refuses(g, e.configs) : std::string{};
     if (why.empty()) {
-      std::map<std::string, distribution::Document> next;
-      for (const distribution::Document& d : e.documents) next[d.service] = d;
+      std::map<std::string, distribution::ServiceConfig> next;
+      for (const distribution::ServiceConfig& d : e.configs) next[d.service] = d;
       for (const auto& [service, d] : k.running) {
         const auto it = next.find(service);
         require(it != next.end(), name_of(g) + " goes back to nothing in " + service);
-        require(it->second.stamp.version >= d.stamp.version, name_of(g) + " goes back in " + service);
-        require(it->second.stamp.version > d.stamp.version || it->second == d,
+        require(it->second.id.version >= d.id.version, name_of(g) + " goes back in " + service);
+        require(it->second.id.version > d.id.version || it->second == d,
                 name_of(g) + " changes a content under its number: " + service);
       }
       for (const auto& [service, d] : next) {
         const auto it = k.running.find(service);
-        if (it == k.running.end() || it->second != d)
-          in_force_.push_back({now_, g, service, d.stamp.version});
+        if (it == k.running.end() || it->second != d) in_force_.push_back({now_, g, service, d.id.version});
       }
       k.running = std::move(next);
     }
-    const distribution::Applied applied{why.empty(), why};
+    const distribution::ApplyFinished applied{why.empty(), why};
     after(take_most_ > Duration{} ? draw(Duration{}, take_most_) : Duration{},
           [this, g, applied, life = k.life] {
             if (gatekeepers_[g].life == life)
               at_node(node_of_gatekeeper(g), [this, g, applied] { feed_gatekeeper(g, applied); });
           });
   }
-  void carry_out_at(std::size_t g, const distribution::Happened& e) {
-    ++counts_.told[e.what];
-    if (e.what == distribution::Told::in_force)
-      require(gatekeepers_[g].running.at(e.service).stamp.version == e.version,
+  void carry_out_at(std::size_t g, const distribution::SubscriberLogEvent& e) {
+    ++counts_.told[e.kind];
+    if (e.kind == distribution::SubscriberLogKind::activated)
+      require(gatekeepers_[g].running.at(e.service).id.version == e.version,
               name_of(g) + " tells of what is not in force");
   }
 
@@ -968,9 +977,9 @@
   Duration take_most_{};
   std::map<std::uint64_t, Publication> published_{};
   std::map<std::string, std::set<std::string>> contents_{};
-  std::map<std::pair<std::string, distribution::Version>, distribution::Document> committed_{};
-  std::map<std::tuple<std::size_t, std::string, distribution::Version>, distribution::Stamp> proposed_{};
-  std::set<std::pair<std::string, distribution::Stamp>> given_up_{};
+  std::map<std::pair<std::string, distribution::Version>, distribution::ServiceConfig> committed_{};
+  std::map<std::tuple<std::size_t, std::string, distribution::Version>, distribution::VersionId> proposed_{};
+  std::set<std::pair<std::string, distribution::VersionId>> given_up_{};
   std::vector<InForce> in_force_{};
   Counts counts_{};
 };
--- a/lab/fleet_sim.h
+++ b/lab/fleet_sim.h
@@ -42,9 +42,9 @@
     std::uint64_t cut = 0;    // datagrams that a cut link took
     std::uint64_t lost = 0;
     std::uint64_t doubled = 0;
-    std::uint64_t refused = 0;  // to a process that is gone
-    std::uint64_t unheard = 0;  // to a machine that has vanished
-    std::uint64_t held = 0;     // came while the receiver was stopped
+    std::uint64_t refused = 0;            // to a process that is gone
+    std::uint64_t unheard_datagrams = 0;  // to a machine that has vanished
+    std::uint64_t held = 0;               // came while the receiver was stopped
     std::uint64_t steps = 0;
   };
 
@@ -304,7 +304,7 @@
   void deliver(std::size_t to, const Datagram& d) {
     Node& n = nodes_[to];
     if (!n.up) {
-      ++counts_.unheard;
+      ++counts_.unheard_datagrams;
       return;
     }
     if (n.paused) {
--- a/lab/hollow.cpp
+++ b/lab/hollow.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "config/documents.h"
+#include "config/overlay.h"
 
 namespace graniterun::lab {
 namespace {
@@ -26,17 +26,17 @@
 
 // ---- the record
 
-HollowRecord::Entry& HollowRecord::of(const std::string& service, const distribution::Stamp& stamp) {
+HollowRecord::Entry& HollowRecord::of(const std::string& service, const distribution::VersionId& stamp) {
   Entry& e = entries_[{service, stamp.version}];
-  const std::string digest = distribution::hex_of(stamp.digest).substr(0, 16);
+  const std::string digest = distribution::to_hex(stamp.digest).substr(0, 16);
   if (e.digest.empty()) e.digest = digest;
   if (e.digest != digest) ++mixed;
   e.told = false;
   return e;
 }
 
-void HollowRecord::in_force(const std::string& service, const distribution::Stamp& before,
-                            const distribution::Stamp& stamp) {
+void HollowRecord::in_force(const std::string& service, const distribution::VersionId& before,
+                            const distribution::VersionId& stamp) {
   const std::int64_t at = steady_ns();
   const std::lock_guard lock(mutex_);
   if (!before.none()) --of(service, before).now;
@@ -46,12 +46,12 @@
   e.last = std::max(e.last, at);
 }
 
-void HollowRecord::gone(const std::string& service, const distribution::Stamp& stamp) {
+void HollowRecord::gone(const std::string& service, const distribution::VersionId& stamp) {
   const std::lock_guard lock(mutex_);
   --of(service, stamp).now;
 }
 
-void HollowRecord::refused(const std::string& service, const distribution::Stamp& stamp) {
+void HollowRecord::refused(const std::string& service, const distribution::VersionId& stamp) {
   const std::lock_guard lock(mutex_);
   ++of(service, stamp).refused;
 }
@@ -76,7 +76,7 @@
       journal_(config_.journal, config_.known_position, counters_) {
   if (deploy.configuration) {
     subscription_.emplace(*deploy.configuration, counters_,
-                          [this](Time, const std::vector<distribution::Document>& documents, Outbox&) {
+                          [this](Time, const std::vector<distribution::ServiceConfig>& documents, Outbox&) {
                             return take(documents);
                           });
   }
@@ -118,41 +118,41 @@
     record_.lists += journal_.take_updates().size();
   }
   if (std::exchange(refused_some_, false)) {  // each refusal is counted once
-    for (const auto& [service, held] : subscription_->subscriber().held()) {
-      if (held.refused && std::exchange(refused_[service], held.refused->version) != held.refused->version)
-        record_.refused(service, *held.refused);
+    for (const auto& [service, held] : subscription_->subscriber().service_states()) {
+      if (held.rejected && std::exchange(refused_[service], held.rejected->version) != held.rejected->version)
+        record_.refused(service, *held.rejected);
     }
   }
   effects = std::move(out.net);
 }
 
 // As a gatekeeper takes them, up to where the settings would go to the broker.
-std::optional<std::string> Hollow::take(const std::vector<distribution::Document>& documents) {
+std::optional<std::string> Hollow::take(const std::vector<distribution::ServiceConfig>& documents) {
   try {
-    const std::string text = laid_over(config_.text, documents);
+    const std::string text = with_overlay(config_.text, documents);
     const PlatformConfig fresh = read_platform_config(text);
     check_keys(config_, fresh);
     if (!whole(text, documents)) ++record_.mixed;
-  } catch (const BadConfig& trouble) {
+  } catch (const ConfigError& trouble) {
     refused_some_ = true;
     return trouble.what();
   }
-  for (const distribution::Document& d : documents) {
-    distribution::Stamp& held = force_[d.service];
-    if (held == d.stamp) continue;
-    if (d.stamp.version < held.version) ++record_.back;
-    if (d.stamp.version == held.version) ++record_.mixed;
-    record_.in_force(d.service, held, d.stamp);
-    held = d.stamp;
+  for (const distribution::ServiceConfig& d : documents) {
+    distribution::VersionId& held = force_[d.service];
+    if (held == d.id) continue;
+    if (d.id.version < held.version) ++record_.back;
+    if (d.id.version == held.version) ++record_.mixed;
+    record_.in_force(d.service, held, d.id);
+    held = d.id;
   }
   return std::nullopt;
 }
 
 // The documents of the measurements hold a serial number at both ends of themselves: what is in force has the
 // same at both.
-bool Hollow::whole(const std::string& text, const std::vector<distribution::Document>& documents) const {
+bool Hollow::whole(const std::string& text, const std::vector<distribution::ServiceConfig>& documents) const {
   bool marked = false;
-  for (const distribution::Document& d : documents)
+  for (const distribution::ServiceConfig& d : documents)
     marked = marked || d.content.find("\"marks\"") != d.content.npos;
   if (!marked) return true;
   const auto all = nlohmann::json::parse(text, nullptr, false);
@@ -168,7 +168,8 @@
     to.store(counters_.of(name), std::memory_order_relaxed);
   };
   f.ready.store(!subscription_ || subscription_->ready(), std::memory_order_relaxed);
-  if (subscription_) f.sources.store(subscription_->subscriber().sources_up(), std::memory_order_relaxed);
+  if (subscription_)
+    f.sources.store(subscription_->subscriber().connected_sources(), std::memory_order_relaxed);
   put(f.stale, "config.distribution.stale");
   put(f.conflicts, "config.distribution.conflicts");
   put(f.unsound, "config.distribution.unsound");
--- a/lab/hollow.h
+++ b/lab/hollow.h
@@ -49,10 +49,10 @@
   };
   using Key = std::pair<std::string, distribution::Version>;
 
-  void in_force(const std::string& service, const distribution::Stamp& before,
-                const distribution::Stamp& stamp);
-  void gone(const std::string& service, const distribution::Stamp& stamp);
-  void refused(const std::string& service, const distribution::Stamp& stamp);
+  void in_force(const std::string& service, const distribution::VersionId& before,
+                const distribution::VersionId& stamp);
+  void gone(const std::string& service, const distribution::VersionId& stamp);
+  void refused(const std::string& service, const distribution::VersionId& stamp);
   // What has changed since, and only that.
   std::map<Key, Entry> take_changed();
 
@@ -61,7 +61,7 @@
   std::atomic<std::uint64_t> lists{0};  // lists of servers taken
 
  private:
-  Entry& of(const std::string& service, const distribution::Stamp& stamp);
+  Entry& of(const std::string& service, const distribution::VersionId& stamp);
   std::mutex mutex_;
   std::map<Key, Entry> entries_;
 };
@@ -88,8 +88,8 @@
   void figures(HollowFigures& f) const;
 
  private:
-  std::optional<std::string> take(const std::vector<distribution::Document>& documents);
-  bool whole(const std::string& text, const std::vector<distribution::Document>& documents) const;
+  std::optional<std::string> take(const std::vector<distribution::ServiceConfig>& documents);
+  bool whole(const std::string& text, const std::vector<distribution::ServiceConfig>& documents) const;
 
   PlatformConfig config_;
   HollowRecord& record_;
@@ -98,7 +98,7 @@
   std::optional<control::Subscription> subscription_{};
   std::optional<control::Control> control_{};
   std::optional<fleet::Fleet> fleet_{};
-  std::map<std::string, distribution::Stamp> force_;
+  std::map<std::string, distribution::VersionId> force_;
   std::map<std::string, distribution::Version> refused_;
   bool refused_some_ = false;  // in this step
 };
--- a/lab/hollow_main.cpp
+++ b/lab/hollow_main.cpp
@@ -28,7 +28,7 @@
 
 std::string read_file(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw BadConfig("cannot read " + path);
+  if (!file) throw ConfigError("cannot read " + path);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
@@ -85,7 +85,7 @@
   const json deploy_of_all = file.value("deploy", json::object());
   const PlatformConfig config = read_platform_config(base);
   const auto key = fleet::key_in(read_file(file.at("key_file").get<std::string>()));
-  if (!key) throw BadConfig("the key file does not hold 64 hex digits");
+  if (!key) throw ConfigError("the key file does not hold 64 hex digits");
   const auto interval = std::chrono::milliseconds(file.value("interval_ms", 200));
   const auto ends = Clock::now() + std::chrono::seconds(file.value("lasts_s", 60));
 
--- a/src/app/gatekeeper.cpp
+++ b/src/app/gatekeeper.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "config/descriptors.h"
-#include "config/documents.h"
+#include "config/overlay.h"
 #include "management/telemetry.h"
 
 namespace graniterun {
@@ -55,8 +55,8 @@
 core::ClassTable first_classes(const PlatformConfig& config) {
   auto table = core::assign_places({}, config.class_names, config.settings.classes, {});
   if (!table)
-    throw BadConfig("the settings name more than " + std::to_string(core::ClassTable::kMaxClasses) +
-                    " classes");
+    throw ConfigError("the settings name more than " + std::to_string(core::ClassTable::kMaxClasses) +
+                      " classes");
   return *table;
 }
 
@@ -69,7 +69,7 @@
 }
 
 otlp::ExporterSettings exporter_settings(const PlatformConfig& config, const DeployConfig& deploy) {
-  return {deploy.collector, deploy.collector_host, config.name, deploy.export_every, config.seed};
+  return {deploy.collector, deploy.collector_host, config.name, deploy.export_interval, config.seed};
 }
 
 }  // namespace
@@ -92,7 +92,7 @@
   broker_.metrics().name(config.class_names);
   if (deploy.configuration) {
     subscription_.emplace(*deploy.configuration, counters_,
-                          [this](Time now, const std::vector<distribution::Document>& all, Outbox& out) {
+                          [this](Time now, const std::vector<distribution::ServiceConfig>& all, Outbox& out) {
                             return apply_overlay(now, all, out);
                           });
   } else {
@@ -367,18 +367,18 @@
 // new file, which has to be of use without them as well: the next start has it alone.
 void Gatekeeper::on(Time now, const net::FileRead& e, Outbox& out) {
   try {
-    if (!e.text) throw BadConfig("cannot read " + e.path);
+    if (!e.text) throw ConfigError("cannot read " + e.path);
     PlatformConfig file = read_platform_config(*e.text);
     check_keys(config_, file);
     if (documents_.empty()) {
       replace_settings(now, file, out);
     } else {
       try {
-        const PlatformConfig whole = read_platform_config(laid_over(file.text, documents_));
+        const PlatformConfig whole = read_platform_config(with_overlay(file.text, documents_));
         check_keys(file, whole);
         replace_settings(now, whole, out);
-      } catch (const BadConfig& trouble) {
-        throw BadConfig(std::string("with the documents in force over it: ") + trouble.what());
+      } catch (const ConfigError& trouble) {
+        throw ConfigError(std::string("with the documents in force over it: ") + trouble.what());
       }
     }
     counters_.add("config.reloads");
@@ -396,32 +396,31 @@
     if (!subscription_) return;
     config_.text = std::move(file.text);
     subscription_->base_changed(now, out);
-  } catch (const BadConfig& trouble) {
+  } catch (const ConfigError& trouble) {
     counters_.add("config.reloads_bad");
     out.log(net::Level::error, std::string("the old configuration is kept: ") + trouble.what());
   }
 }
 
 // Documents over the file that was last taken, whole or not at all; what is wrong with them.
-std::optional<std::string> Gatekeeper::apply_overlay(Time now,
-                                                     const std::vector<distribution::Document>& documents,
-                                                     Outbox& out) {
+std::optional<std::string> Gatekeeper::apply_overlay(
+    Time now, const std::vector<distribution::ServiceConfig>& documents, Outbox& out) {
   try {
-    const PlatformConfig whole = read_platform_config(laid_over(config_.text, documents));
+    const PlatformConfig whole = read_platform_config(with_overlay(config_.text, documents));
     check_keys(config_, whole);
     replace_settings(now, whole, out);
-  } catch (const BadConfig& trouble) {
+  } catch (const ConfigError& trouble) {
     return trouble.what();
   }
   documents_ = documents;
   return std::nullopt;
 }
 
-// Throws BadConfig before anything has changed.
+// Throws ConfigError before anything has changed.
 void Gatekeeper::replace_settings(Time now, const PlatformConfig& fresh, Outbox& out) {
   auto table =
       core::assign_places(classes_, fresh.class_names, fresh.settings.classes, broker_.places_in_use());
-  if (!table) throw BadConfig("open calls hold too many classes of before: try again when they are over");
+  if (!table) throw ConfigError("open calls hold too many classes of before: try again when they are over");
   classes_ = std::move(*table);
   Settings settings = fresh.settings;
   settings.classes = classes_.places;
--- a/src/app/gatekeeper.h
+++ b/src/app/gatekeeper.h
@@ -48,7 +48,8 @@
   std::string telemetry(Time now) const;
   core::Broker::AdmissionCheck admission_check();
   void replace_settings(Time now, const PlatformConfig& fresh, Outbox& out);
-  std::optional<std::string> apply_overlay(Time now, const std::vector<distribution::Document>& documents,
+  std::optional<std::string> apply_overlay(Time now,
+                                           const std::vector<distribution::ServiceConfig>& documents,
                                            Outbox& out);
   void handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out);
   const std::string& name_of(ServerId server) const;
@@ -60,8 +61,8 @@
   std::string counters_text() const;
 
   PlatformConfig config_;  // its text and keys: the file's, as last taken, without documents
-  std::vector<distribution::Document> documents_;  // in force over the file
-  core::ClassTable classes_;                       // those of the settings in force, and of open calls
+  std::vector<distribution::ServiceConfig> documents_;  // in force over the file
+  core::ClassTable classes_;                            // those of the settings in force, and of open calls
   DeployConfig deploy_;
   std::function<void(Counters&)> more_counters_;
   Counters counters_;
--- a/src/back/discovery.cpp
+++ b/src/back/discovery.cpp
@@ -144,10 +144,10 @@
   try {
     if (!event.data.empty()) {  // else it tells only how far the service is
       const auto data = nlohmann::json::parse(event.data, nullptr, false);
-      if (!data.is_object()) throw BadConfig("an event of the journal is no JSON object");
+      if (!data.is_object()) throw ConfigError("an event of the journal is no JSON object");
       if (data.contains("hosts")) updates_.push_back(read_endpoints(data["hosts"]));
     }
-  } catch (const BadConfig& trouble) {
+  } catch (const ConfigError& trouble) {
     counters_.add("journal.malformed");
     out.log(net::Level::warning, trouble.what());
     if (retried_after_ != position_) {
--- a/src/back/setup_servers.cpp
+++ b/src/back/setup_servers.cpp
@@ -163,8 +163,8 @@
   if (kind != ListKind::changes) {
     for (auto& [id, server] : servers_) server.endpoint.state = ServerState::terminated;
   }
-  std::unordered_map<std::string, std::vector<ServerId>>
-      by_address;  // those that have or had it in this list
+  // those that have or had it in this list
+  std::unordered_map<std::string, std::vector<ServerId>> by_address;
   for (const auto& [id, server] : servers_) by_address[server.endpoint.address].push_back(id);
   for (const Endpoint& host : list.endpoints) {
     const ServerId id = directory_.id_of(host.uid);
@@ -176,7 +176,7 @@
     const std::string address = host.address.empty() ? server.endpoint.address : host.address;
     server.endpoint = host;
     server.endpoint.address = address;
-    if (restarted) end_calls(server, host.started, out);
+    if (restarted) end_established_calls(server, host.started, out);
     if (moved) set_current_aside(server);
     if (fresh || moved) by_address[address].push_back(id);
     if (host.state == ServerState::in_service) {
@@ -193,7 +193,7 @@
   for (auto& [id, server] : servers_) {
     if (server.endpoint.state != ServerState::in_service) withdraw_invites(server, out);
     if (server.endpoint.state == ServerState::terminated) {
-      end_calls(server, {}, out);
+      end_established_calls(server, {}, out);
       set_current_aside(server);
     } else {
       servers_to_maintain_.insert(id);
@@ -409,7 +409,7 @@
       counters_.add(died ? "servers.died" : "servers.vanished");
       out.log(net::Level::warning, "setup server " + server.endpoint.uid + (died ? " died" : " vanished") +
                                        ": its standing calls are over");
-      end_calls(server, {}, out);
+      end_established_calls(server, {}, out);
       server.last_received_at = now;
       server.lost_at.reset();
     }
@@ -526,7 +526,7 @@
 }
 
 // Standing calls that a server can have no more: all of them, or those that stood before it started anew.
-void SetupServers::end_calls(Server& server, std::optional<Time> stood_before, Outbox& out) {
+void SetupServers::end_established_calls(Server& server, std::optional<Time> stood_before, Outbox& out) {
   for (const AttemptKey& key : std::set<AttemptKey>(server.attempts)) {
     const auto it = attempts_.find(key);
     const UpstreamAttempt& leg = it->second;
--- a/src/back/setup_servers.h
+++ b/src/back/setup_servers.h
@@ -112,7 +112,7 @@
   void enter_state(Time now, UpstreamAttempt& leg, AttemptState state);
   void index(const UpstreamAttempt& leg, bool in);
   void erase(Attempts::iterator leg);
-  void end_calls(Server& server, std::optional<Time> stood_before, Outbox& out);
+  void end_established_calls(Server& server, std::optional<Time> stood_before, Outbox& out);
   void close_connection(Time now, std::uint32_t conn, bool closed, Outbox& out);
   void handle_malformed(Time now, std::uint32_t conn, const std::string& trouble, Outbox& out);
   void handle_corrupt_stream(Time now, std::uint32_t conn, Outbox& out);
--- a/src/back/sip_trunk.cpp
+++ b/src/back/sip_trunk.cpp
@@ -91,13 +91,13 @@
     const ServerId id = directory_.id_of(host.uid);
     const auto [known, fresh] = endpoints_.try_emplace(id, host);
     if (!fresh && host.started && known->second.started != host.started)
-      end_calls(now, id, host.started, out);
+      end_established_calls(now, id, host.started, out);
     known->second = host;
     told.entries.push_back(directory_.entry_of(id, host));
   }
   out.notify_broker(core::ServersChanged{std::move(told)});
   for (const auto& [id, host] : endpoints_) {
-    if (host.state == ServerState::terminated) end_calls(now, id, {}, out);
+    if (host.state == ServerState::terminated) end_established_calls(now, id, {}, out);
   }
   // What is not written yet is not to reach a server that is to get nothing new.
   if (!settings_.reliable) return;
@@ -451,7 +451,8 @@
   out.notify_broker(std::move(ended));
 }
 
-void SipTrunk::end_calls(Time now, ServerId server, std::optional<Time> stood_before, Outbox& out) {
+void SipTrunk::end_established_calls(Time now, ServerId server, std::optional<Time> stood_before,
+                                     Outbox& out) {
   for (auto& [id, leg] : attempts_) {
     if (leg.server != server || leg.state != State::established) continue;
     if (stood_before && leg.state_since >= *stood_before) continue;
--- a/src/back/sip_trunk.h
+++ b/src/back/sip_trunk.h
@@ -83,7 +83,7 @@
   sip::Message in_dialog(UpstreamAttempt& leg, const std::string& method, std::uint32_t cseq);
   void enter_state(Time now, UpstreamAttempt& leg, State state);
   void bye(Time now, UpstreamAttempt& leg, int cause, Outbox& out);
-  void end_calls(Time now, ServerId server, std::optional<Time> stood_before, Outbox& out);
+  void end_established_calls(Time now, ServerId server, std::optional<Time> stood_before, Outbox& out);
   UpstreamAttempt* find(std::string_view call_id);
   std::string call_id_of(const core::Request& request, int attempt) const {
     return request.correlation_id + "-" + std::to_string(attempt) + "@" + settings_.address;
--- a/src/cli/distributor.cpp
+++ b/src/cli/distributor.cpp
@@ -69,11 +69,11 @@
       ->delimiter(',');
   app.add_option("--key-file", key_file, "64 hex digits, the same for all who publish, distribute and obey")
       ->required();
-  app.add_option("--dir", s.dir, "of its own files; made where it is not there")->required();
+  app.add_option("--dir", s.directory, "of its own files; made where it is not there")->required();
   app.add_option("--name", s.name, "its name in answers")->capture_default_str();
-  app.add_option("--connections", s.most_connections, "of gatekeepers, distributors and operators")
+  app.add_option("--connections", s.max_connections, "of gatekeepers, distributors and operators")
       ->capture_default_str()
-      ->check(CLI::Range(std::size_t{16}, distribution::kMostClients));
+      ->check(CLI::Range(std::size_t{16}, distribution::kMaxClients));
   app.add_option("--bytes-per-second", s.bytes_per_second, "of documents, to all together")
       ->capture_default_str()
       ->check(CLI::Range(std::size_t{64} * 1024, std::size_t{1} << 32));
@@ -87,25 +87,25 @@
   if (std::erase(s.peers, own) != 1)
     throw std::runtime_error("--peer does not name its own address, " + own +
                              ": it takes the addresses of all distributors (see --advertise)");
-  if (all > distribution::kMostDistributors)
-    throw std::runtime_error("there are more than " + std::to_string(distribution::kMostDistributors) +
+  if (all > distribution::kMaxDistributors)
+    throw std::runtime_error("there are more than " + std::to_string(distribution::kMaxDistributors) +
                              " distributors");
-  if (!control::is_gatekeeper(s.name)) throw std::runtime_error("--name is empty, or too long");
+  if (!control::is_gatekeeper_name(s.name)) throw std::runtime_error("--name is empty, or too long");
   const auto key = fleet::key_in(read_file(key_file));
   if (!key) throw std::runtime_error("the key file " + key_file + " does not hold 64 hex digits");
   s.key = *key;
-  prepare(s.dir);
+  prepare(s.directory);
   std::random_device device;
   s.seed = std::uint64_t{device()} << 32 | device();
 
   net::RuntimeLimits limits;
-  limits.connections = s.most_connections + kClosing;
+  limits.connections = s.max_connections + kClosing;
   limits.outbound = 4 * 1024 * 1024;  // all proposals that may be out at one time, to a slow peer
   limits.outbound_all = 128 * 1024 * 1024;
   const std::size_t needed = limits.connections + all + kOwn;
   const std::size_t had = descriptors(needed);
   const net::Logger logger(net::Level::info);
-  logger.line(net::Level::info, "at most " + std::to_string(s.most_connections) + " connections: " +
+  logger.line(net::Level::info, "at most " + std::to_string(s.max_connections) + " connections: " +
                                     std::to_string(needed) + " descriptors of " + std::to_string(had));
   net::Runtime runtime(limits, logger);
   control::ConfigDistributor distributor(std::move(s),
--- a/src/cli/graniterunctl.cpp
+++ b/src/cli/graniterunctl.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "control/config_ctl.h"
+#include "control/config_client.h"
 #include "control/gap_client.h"
 #include "net/runtime.h"
 
@@ -162,21 +162,22 @@
   } catch (const ProtocolError& trouble) {
     throw CLI::ValidationError("publish", trouble.what());
   }
-  if (const std::string trouble = trouble_with(o.service, text); !trouble.empty())
+  if (const std::string trouble = find_config_error(o.service, text); !trouble.empty())
     throw CLI::ValidationError("publish", trouble);
   return text;
 }
 
-ConfigCtlSettings settings_of(const ConfigCommands& commands, const ConfigOptions& o) {
-  ConfigCtlSettings s;
-  s.to = o.to;
+ConfigClientSettings settings_of(const ConfigCommands& commands, const ConfigOptions& o) {
+  ConfigClientSettings s;
+  s.addresses = o.to;
   s.service = o.service;
   s.json = o.json;
-  s.within = duration_of(o.within, "--within");
-  s.wait = o.wait_for == "in-force";
-  s.what = commands.publish->parsed() ? ConfigCtlSettings::What::publish : ConfigCtlSettings::What::status;
+  s.timeout = duration_of(o.within, "--within");
+  s.wait_until_active = o.wait_for == "in-force";
+  s.command = commands.publish->parsed() ? ConfigClientSettings::Command::publish
+                                         : ConfigClientSettings::Command::status;
   if (commands.publish->parsed()) s.content = patch_of(o);
-  if (!s.service.empty() && !distribution::is_service(s.service))
+  if (!s.service.empty() && !distribution::is_service_name(s.service))
     throw CLI::ValidationError("service", "'" + s.service + "' is no service's name");
   return s;
 }
@@ -239,7 +240,7 @@
 
   const ConfigCommands config = add_config(app, c);
   GapClientSettings s;
-  ConfigCtlSettings config_settings;
+  ConfigClientSettings config_settings;
   try {
     app.parse(argc, argv);
     if (config.parsed()) {
@@ -262,7 +263,7 @@
     const int status = app.exit(trouble);
     return status == 0 ? 0 : GapClient::kUsage;
   }
-  if (config.parsed()) return run_to_the_end(ConfigCtl(std::move(config_settings)));
+  if (config.parsed()) return run_to_the_end(ConfigClient(std::move(config_settings)));
   return run_to_the_end(GapClient(std::move(s)));
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -17,33 +17,33 @@
 
 const json& need(const json& object, std::string_view name) {
   const auto it = object.find(std::string(name));
-  if (it == object.end()) throw BadConfig("the configuration has no '" + std::string(name) + "'");
+  if (it == object.end()) throw ConfigError("the configuration has no '" + std::string(name) + "'");
   return *it;
 }
 
 std::string text(const json& object, std::string_view name) {
   const json& value = need(object, name);
-  if (!value.is_string()) throw BadConfig("'" + std::string(name) + "' is not text");
+  if (!value.is_string()) throw ConfigError("'" + std::string(name) + "' is not text");
   return value;
 }
 
 double number(const json& value, std::string_view name) {
-  if (!value.is_number()) throw BadConfig("'" + std::string(name) + "' is not a number");
+  if (!value.is_number()) throw ConfigError("'" + std::string(name) + "' is not a number");
   return value.get<double>();
 }
 
 json parse(std::string_view source, std::string_view what) {
   if (source.find_first_not_of(" \t\r\n") == std::string_view::npos)
-    throw BadConfig(std::string(what) + " is empty");
+    throw ConfigError(std::string(what) + " is empty");
   try {
     json parsed = json::parse(source);
-    if (!parsed.is_object()) throw BadConfig(std::string(what) + " is not a JSON object");
+    if (!parsed.is_object()) throw ConfigError(std::string(what) + " is not a JSON object");
     return parsed;
   } catch (const json::parse_error& trouble) {
     const std::string_view before = source.substr(0, std::min(trouble.byte, source.size()));
     const auto line = 1 + std::count(before.begin(), before.end(), '\n');
-    throw BadConfig(std::string(what) + " is no JSON from line " + std::to_string(line) + ", byte " +
-                    std::to_string(trouble.byte) + " on: cut short or misspelt there");
+    throw ConfigError(std::string(what) + " is no JSON from line " + std::to_string(line) + ", byte " +
+                      std::to_string(trouble.byte) + " on: cut short or misspelt there");
   }
 }
 
@@ -72,34 +72,35 @@
   out.merge(common);
 }
 
-constexpr double kLongestDeadlineNs = 86'400e9;  // a day
-constexpr double kMostAttempts = 1000;
+constexpr double kMaxDeadlineNs = 86'400e9;  // a day
+constexpr double kMaxAttempts = 1000;
 
 // A number above 0 and not beyond `most`, in the file's own type: text or null is none.
 void need_above_0(const json& object, std::string_view name, const std::string& path, double most) {
   const json& value = need(object, name);
   const double figure = value.is_number() ? value.get<double>() : 0.0;
   if (!(figure > 0.0 && figure <= most))
-    throw BadConfig("'" + path + std::string(name) + "' is " + value.dump() + ", not a number above 0" +
-                    (figure > most ? " and at most " + std::to_string(static_cast<std::int64_t>(most)) : ""));
+    throw ConfigError(
+        "'" + path + std::string(name) + "' is " + value.dump() + ", not a number above 0" +
+        (figure > most ? " and at most " + std::to_string(static_cast<std::int64_t>(most)) : ""));
 }
 
 // What the parser of the simulator's form can't tell: types of the file, and lists that belong together.
 void check_settings(const json& settings) {
-  need_above_0(need(settings, "limits"), "maxAttempts", "settings.limits.", kMostAttempts);
+  need_above_0(need(settings, "limits"), "maxAttempts", "settings.limits.", kMaxAttempts);
   const json& classes = need(settings, "classes");
-  if (!classes.is_array() || classes.empty()) throw BadConfig("'settings.classes' names no class");
+  if (!classes.is_array() || classes.empty()) throw ConfigError("'settings.classes' names no class");
   std::set<std::string> names;
   for (const json& one : classes) {
     const std::string name = text(one, "name");
-    if (name.empty() || name.size() > 64) throw BadConfig("a class's name is empty or over 64 bytes");
-    if (!names.insert(name).second) throw BadConfig("the class '" + name + "' is there twice");
-    need_above_0(one, "hardLimitNs", "class " + name + ": ", kLongestDeadlineNs);
-    need_above_0(one, "promiseNs", "class " + name + ": ", kLongestDeadlineNs);
+    if (name.empty() || name.size() > 64) throw ConfigError("a class's name is empty or over 64 bytes");
+    if (!names.insert(name).second) throw ConfigError("the class '" + name + "' is there twice");
+    need_above_0(one, "hardLimitNs", "class " + name + ": ", kMaxDeadlineNs);
+    need_above_0(one, "promiseNs", "class " + name + ": ", kMaxDeadlineNs);
   }
   const json& family = need(settings, "familyInfo");
   if (family.contains("poolsByClass") && family["poolsByClass"].size() != classes.size())
-    throw BadConfig("'settings.familyInfo.poolsByClass' does not name pools for each class");
+    throw ConfigError("'settings.familyInfo.poolsByClass' does not name pools for each class");
 }
 
 bool is_address(const std::string& text) {
@@ -154,7 +155,8 @@
 EndpointList read_endpoints(const json& list) {
   try {
     EndpointList result;
-    if (!list.is_object() || !list.contains("targets")) throw BadConfig("a list of servers has no 'targets'");
+    if (!list.is_object() || !list.contains("targets"))
+      throw ConfigError("a list of servers has no 'targets'");
     result.complete = list.value("all", false);
     for (const json& target : list.at("targets")) {
       Endpoint host;
@@ -173,7 +175,7 @@
     }
     return result;
   } catch (const json::exception& trouble) {
-    throw BadConfig(std::string("a list of servers is malformed: ") + trouble.what());
+    throw ConfigError(std::string("a list of servers is malformed: ") + trouble.what());
   }
 }
 
@@ -186,7 +188,7 @@
     c.listen = text(whole, "listen");
     c.journal = whole.value("journal", std::string());
     if (!c.journal.empty() && !is_address(c.journal))
-      throw BadConfig("'journal' is '" + c.journal + "', not an address and a port");
+      throw ConfigError("'journal' is '" + c.journal + "', not an address and a port");
     c.management = whole.value("management", std::string());
     c.file_listen = c.listen;
     c.file_management = c.management;
@@ -194,12 +196,12 @@
     const auto seed_number =
         seed.is_string() ? jsonl::number_of_hex(seed.get_ref<const std::string&>())
                          : std::optional<std::uint64_t>(static_cast<std::uint64_t>(number(seed, "seed")));
-    if (!seed_number) throw BadConfig("'seed' is not hex digits");
+    if (!seed_number) throw ConfigError("'seed' is not hex digits");
     c.seed = *seed_number;
     if (whole.contains("limits")) c.sockets = whole["limits"].value("sockets", c.sockets);
 
     const json& settings = need(whole, "settings");
-    if (!settings.is_object()) throw BadConfig("'settings' is not an object");
+    if (!settings.is_object()) throw ConfigError("'settings' is not an object");
     check_settings(settings);
     std::string flat = "SETTINGS";
     flatten(settings, {}, flat);
@@ -221,16 +223,16 @@
     }
     return c;
   } catch (const json::exception& trouble) {
-    throw BadConfig(std::string("the configuration is malformed: ") + trouble.what());
+    throw ConfigError(std::string("the configuration is malformed: ") + trouble.what());
   } catch (const wire::MalformedInput& trouble) {
-    throw BadConfig(std::string("the settings are malformed: ") + trouble.what());
+    throw ConfigError(std::string("the settings are malformed: ") + trouble.what());
   }
 }
 
 void check_keys(const PlatformConfig& before, const PlatformConfig& fresh) {
   for (const std::string& key : before.keys) {
     if (!fresh.keys.contains(key))
-      throw BadConfig("the configuration has no '" + key + "', which the one in force has");
+      throw ConfigError("the configuration has no '" + key + "', which the one in force has");
   }
 }
 
@@ -244,8 +246,8 @@
   const double value = number(*it, name);
   if (!(value >= static_cast<double>(least) && value <= static_cast<double>(most)) ||
       std::floor(value) != value)
-    throw BadConfig("'" + std::string(name) + "' is not a whole number from " + std::to_string(least) +
-                    " to " + std::to_string(most));
+    throw ConfigError("'" + std::string(name) + "' is not a whole number from " + std::to_string(least) +
+                      " to " + std::to_string(most));
   return static_cast<std::int64_t>(value);
 }
 
@@ -257,7 +259,7 @@
   c.max_connections = static_cast<std::size_t>(whole(control, "connections", 32, 1, 1024));
   c.fleet.size = static_cast<std::uint32_t>(whole(gaps, "fleet_size", fleet.size, 1, 1024));
   c.fleet.index = static_cast<std::uint32_t>(whole(gaps, "fleet_index", fleet.index, 0, 1023));
-  if (c.fleet.index >= c.fleet.size) throw BadConfig("'fleet_index' is not below 'fleet_size'");
+  if (c.fleet.index >= c.fleet.size) throw ConfigError("'fleet_index' is not below 'fleet_size'");
   c.publisher_wait = milliseconds(whole(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
   if (!gaps.contains("hot")) return c;
   const json& hot = gaps["hot"];
@@ -265,7 +267,7 @@
   h.hot_threshold = static_cast<double>(whole(hot, "from_per_second", 20, 1, 1'000'000));
   h.cool_threshold = static_cast<double>(whole(hot, "below_per_second", 5, 0, 1'000'000));
   if (h.cool_threshold >= h.hot_threshold)
-    throw BadConfig("'below_per_second' is not below 'from_per_second'");
+    throw ConfigError("'below_per_second' is not below 'from_per_second'");
   h.hot_duration = milliseconds(whole(hot, "hot_after_ms", 2000, 0, kDayMs));
   h.cool_duration = milliseconds(whole(hot, "cool_after_ms", 30'000, 0, kDayMs));
   h.max_gaps = static_cast<std::size_t>(whole(hot, "gaps", 0, 0, 100));
@@ -278,7 +280,7 @@
 std::string address_in(const json& object, const char* name) {
   const std::string address = text(object, name);
   if (!is_address(address) || address.size() > membership::kMaxAddressLength)
-    throw BadConfig("'" + std::string(name) + "' is '" + address + "', not an address and a port");
+    throw ConfigError("'" + std::string(name) + "' is '" + address + "', not an address and a port");
   return address;
 }
 
@@ -288,8 +290,8 @@
   for (const json& one : object.value(name, json::array())) {
     if (!one.is_string() || one.get_ref<const std::string&>().empty() ||
         one.get_ref<const std::string&>().size() > longest || all.size() >= most)
-      throw BadConfig("'" + std::string(name) + "' is not a list of at most " + std::to_string(most) +
-                      " texts of 1 to " + std::to_string(longest) + " bytes");
+      throw ConfigError("'" + std::string(name) + "' is not a list of at most " + std::to_string(most) +
+                        " texts of 1 to " + std::to_string(longest) + " bytes");
     all.push_back(one.get<std::string>());
   }
   return all;
@@ -301,26 +303,26 @@
                                             "seeds",     "roster",       "key_file",
                                             "period_ms", "suspicion_ms", "clock_offset_ms"};
   for (const auto& [key, value] : fleet.items()) {
-    if (!kKnown.contains(key)) throw BadConfig("'fleet' has the unknown key '" + key + "'");
+    if (!kKnown.contains(key)) throw ConfigError("'fleet' has the unknown key '" + key + "'");
   }
   fleet::FleetSettings f;
   f.fleet = text(fleet, "name");
   if (f.fleet.empty() || f.fleet.size() > membership::kMaxNameLength)
-    throw BadConfig("the fleet's 'name' is not 1 to 64 bytes long");
+    throw ConfigError("the fleet's 'name' is not 1 to 64 bytes long");
   f.listen = address_in(fleet, "listen");
   membership::Settings& m = f.membership;
   m.name = name;
   if (m.name.empty() || m.name.size() > membership::kMaxNameLength)
-    throw BadConfig("this gatekeeper's name is not 1 to 64 bytes long: a fleet needs one");
+    throw ConfigError("this gatekeeper's name is not 1 to 64 bytes long: a fleet needs one");
   m.advertise = fleet.contains("advertise") ? address_in(fleet, "advertise") : f.listen;
   m.seeds = names_in(fleet, "seeds", 64, membership::kMaxAddressLength);
   for (const std::string& seed : m.seeds) {
-    if (!is_address(seed)) throw BadConfig("the seed '" + seed + "' is not an address and a port");
+    if (!is_address(seed)) throw ConfigError("the seed '" + seed + "' is not an address and a port");
   }
   for (std::string& one : names_in(fleet, "roster", membership::kMaxMembers, membership::kMaxNameLength))
     m.allowed_names.insert(std::move(one));
   if (!m.allowed_names.empty() && !m.allowed_names.contains(m.name))
-    throw BadConfig("the 'roster' does not hold this gatekeeper's own name, '" + m.name + "'");
+    throw ConfigError("the 'roster' does not hold this gatekeeper's own name, '" + m.name + "'");
   m.probe_interval = milliseconds(whole(fleet, "period_ms", 250, 50, 10'000));
   m.ack_timeout = m.probe_interval * 2 / 5;
   m.gossip_interval = m.probe_interval * 2 / 5;
@@ -333,17 +335,17 @@
 
 void read_configuration(const json& configuration, const std::string& name, DeployConfig& c) {
   static const std::set<std::string> kKnown{"distributors", "services", "key_file", "wait_ms"};
-  if (!configuration.is_object()) throw BadConfig("'configuration' is not an object");
+  if (!configuration.is_object()) throw ConfigError("'configuration' is not an object");
   for (const auto& [key, value] : configuration.items()) {
-    if (!kKnown.contains(key)) throw BadConfig("'configuration' has the unknown key '" + key + "'");
+    if (!kKnown.contains(key)) throw ConfigError("'configuration' has the unknown key '" + key + "'");
   }
   // 1 to so many, none of them twice.
   const auto list = [&configuration](const char* key, std::size_t most, std::size_t longest) {
-    if (!need(configuration, key).is_array()) throw BadConfig("'" + std::string(key) + "' is not a list");
+    if (!need(configuration, key).is_array()) throw ConfigError("'" + std::string(key) + "' is not a list");
     std::vector<std::string> all = names_in(configuration, key, most, longest);
-    if (all.empty()) throw BadConfig("'" + std::string(key) + "' is empty");
+    if (all.empty()) throw ConfigError("'" + std::string(key) + "' is empty");
     if (std::set<std::string>(all.begin(), all.end()).size() != all.size())
-      throw BadConfig("'" + std::string(key) + "' has one of them twice");
+      throw ConfigError("'" + std::string(key) + "' has one of them twice");
     return all;
   };
   distribution::SubscriberSettings s;
@@ -351,15 +353,15 @@
   constexpr std::size_t kLongestName = 255;
   if (name.empty() || name.size() > kLongestName ||
       std::any_of(name.begin(), name.end(), [](unsigned char one) { return one < 0x20 || one == 0x7f; }))
-    throw BadConfig("this gatekeeper's name is not 1 to 255 bytes long without control characters");
-  s.distributors = list("distributors", distribution::kMostDistributors, membership::kMaxAddressLength);
+    throw ConfigError("this gatekeeper's name is not 1 to 255 bytes long without control characters");
+  s.distributors = list("distributors", distribution::kMaxDistributors, membership::kMaxAddressLength);
   for (const std::string& one : s.distributors) {
-    if (!is_address(one)) throw BadConfig("the distributor '" + one + "' is not an address and a port");
+    if (!is_address(one)) throw ConfigError("the distributor '" + one + "' is not an address and a port");
   }
-  s.services = list("services", distribution::kMostSubscribed, distribution::kLongestService);
+  s.services = list("services", distribution::kMaxSubscribedServices, distribution::kMaxServiceNameLength);
   for (const std::string& one : s.services) {
-    if (!distribution::is_service(one))
-      throw BadConfig("the service '" + one + "' is not letters, digits, '.', '-' and '_'");
+    if (!distribution::is_service_name(one))
+      throw ConfigError("the service '" + one + "' is not letters, digits, '.', '-' and '_'");
   }
   s.wait = std::chrono::milliseconds(whole(configuration, "wait_ms", 2000, 0, 60'000));
   c.configuration_key_file = text(configuration, "key_file");
@@ -380,14 +382,14 @@
       c.sip_server_transport = sip.value("servers", c.sip_server_transport);
       const std::string& t = c.sip_server_transport;
       if (t != "platform" && t != "udp" && t != "tcp")
-        throw BadConfig("'servers' is not one of platform, udp, tcp");
+        throw ConfigError("'servers' is not one of platform, udp, tcp");
       for (const json& one : sip.value("load_control_from", json::array())) {
         if (!one.is_string() || c.load_control_from.size() >= 64)
-          throw BadConfig("'load_control_from' is not a list of at most 64 addresses");
+          throw ConfigError("'load_control_from' is not a list of at most 64 addresses");
         c.load_control_from.push_back(one.get<std::string>());
       }
       if (!c.load_control_from.empty() && !whole_file.contains("control"))
-        throw BadConfig("'load_control_from' needs a 'control', whose gaps it adds to");
+        throw ConfigError("'load_control_from' needs a 'control', whose gaps it adds to");
       if (t != "platform") c.sip_servers_from = text(sip, "servers_from");
     }
     for (const json& one : whole_file.value("contracts", json::array())) {
@@ -396,7 +398,7 @@
       if (one.contains("class")) {
         const std::string name = text(one, "class");
         if (std::find(class_names.begin(), class_names.end(), name) == class_names.end())
-          throw BadConfig("a contract names the unknown class '" + name + "'");
+          throw ConfigError("a contract names the unknown class '" + name + "'");
         contract.call_class = name;
       }
       if (one.contains("deadline_ms"))
@@ -407,7 +409,7 @@
       c.contracts.push_back(std::move(contract));
     }
     if (whole_file.contains("gaps") && !whole_file.contains("control"))
-      throw BadConfig("'gaps' needs a 'control' with where to listen");
+      throw ConfigError("'gaps' needs a 'control' with where to listen");
     if (whole_file.contains("control"))
       c.control = read_control(whole_file["control"], whole_file.value("gaps", json::object()), fleet);
     if (whole_file.contains("fleet")) {
@@ -417,7 +419,8 @@
       // Who knows who belongs to the fleet knows its size and its own place there.
       if (c.control && !roster.empty()) {
         if (gaps.contains("fleet_size") || gaps.contains("fleet_index"))
-          throw BadConfig("'fleet_size' and 'fleet_index' follow from the fleet's 'roster': leave them out");
+          throw ConfigError(
+              "'fleet_size' and 'fleet_index' follow from the fleet's 'roster': leave them out");
         c.control->places.assign(roster.begin(), roster.end());
         c.control->fleet.size = static_cast<std::uint32_t>(roster.size());
         c.control->fleet.index =
@@ -429,12 +432,12 @@
       const json& otlp = whole_file["otlp"];
       c.collector = text(otlp, "collector");
       c.collector_host = otlp.value("host", *c.collector);
-      c.export_every = std::chrono::milliseconds(otlp.value("every_ms", std::int64_t{5000}));
-      if (c.export_every <= Duration{}) throw BadConfig("'every_ms' is not above 0");
+      c.export_interval = std::chrono::milliseconds(otlp.value("every_ms", std::int64_t{5000}));
+      if (c.export_interval <= Duration{}) throw ConfigError("'every_ms' is not above 0");
     }
     return c;
   } catch (const json::exception& trouble) {
-    throw BadConfig(std::string("the deploy file is malformed: ") + trouble.what());
+    throw ConfigError(std::string("the deploy file is malformed: ") + trouble.what());
   }
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -19,7 +19,7 @@
 namespace graniterun {
 
 // Its text is one plain line.
-class BadConfig : public std::runtime_error {
+class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -38,7 +38,7 @@
   bool complete{};
   std::vector<Endpoint> endpoints{};
 };
-// Throws BadConfig.
+// Throws ConfigError.
 EndpointList read_endpoints(const nlohmann::json& list);
 
 struct PlatformConfig {
@@ -61,9 +61,9 @@
   std::uint32_t index{};         // of this gatekeeper among settings.senders
   Settings settings{};
 };
-PlatformConfig read_platform_config(std::string_view text);  // throws BadConfig
-// Throws BadConfig where `fresh` lacks a key that `before` has: a file that was cut or misspelt, not one that
-// means the default.
+PlatformConfig read_platform_config(std::string_view text);  // throws ConfigError
+// Throws ConfigError where `fresh` lacks a key that `before` has: a file that was cut or misspelt, not one
+// that means the default.
 void check_keys(const PlatformConfig& before, const PlatformConfig& fresh);
 
 struct DeployConfig {
@@ -75,7 +75,7 @@
   std::vector<core::Contract> contracts{};
   std::optional<std::string> collector{};  // OTLP over HTTP
   std::string collector_host{};
-  Duration export_every{std::chrono::seconds(5)};
+  Duration export_interval{std::chrono::seconds(5)};
   std::optional<control::ControlSettings> control{};  // absent: no gaps can be announced
   std::optional<fleet::FleetSettings> fleet{};        // absent: it speaks to no other gatekeeper
   std::string fleet_key_file{};                       // whoever reads the file puts its key into `fleet`
@@ -84,8 +84,8 @@
   std::optional<distribution::SubscriberSettings> configuration{};
   std::string configuration_key_file{};  // whoever reads the file puts its key into `configuration`
 };
-// Throws BadConfig. Class names, `name` of this gatekeeper and the fleet, where the file does not say it, are
-// those of the platform's configuration.
+// Throws ConfigError. Class names, `name` of this gatekeeper and the fleet, where the file does not say it,
+// are those of the platform's configuration.
 DeployConfig read_deploy_config(std::string_view text, const std::vector<std::string>& class_names,
                                 limits::Fleet fleet = {}, const std::string& name = {});
 
--- a/src/config/documents.cpp
+++ b/src/config/overlay.cpp
@@ -1,4 +1,4 @@
-#include "config/documents.h"
+#include "config/overlay.h"
 
 #include <nlohmann/json.hpp>
 
@@ -11,9 +11,9 @@
 json parse(std::string_view text) { return json::parse(text, nullptr, false); }
 
 // What is wrong with a patch; empty: nothing, and `patch` is what it says.
-std::string trouble_with(const std::string& content, json& patch) {
-  if (content.size() > distribution::kLargestDocument)
-    return "is longer than " + std::to_string(distribution::kLargestDocument) + " bytes";
+std::string find_error(const std::string& content, json& patch) {
+  if (content.size() > distribution::kMaxConfigBytes)
+    return "is longer than " + std::to_string(distribution::kMaxConfigBytes) + " bytes";
   bool too_deep = false;
   const auto looks = [&too_deep](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || depth > kDeepestDocument;
@@ -31,16 +31,17 @@
 
 }  // namespace
 
-std::string laid_over(std::string_view base, const std::vector<distribution::Document>& documents) {
-  if (documents.size() > distribution::kMostSubscribed)
-    throw BadConfig("there are more than " + std::to_string(distribution::kMostSubscribed) + " documents");
+std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& documents) {
+  if (documents.size() > distribution::kMaxSubscribedServices)
+    throw ConfigError("there are more than " + std::to_string(distribution::kMaxSubscribedServices) +
+                      " documents");
   json whole = parse(base);
-  if (!whole.is_object()) throw BadConfig("the configuration under the documents is no JSON object");
-  for (const distribution::Document& document : documents) {
+  if (!whole.is_object()) throw ConfigError("the configuration under the documents is no JSON object");
+  for (const distribution::ServiceConfig& document : documents) {
     json patch;
-    if (const std::string trouble = trouble_with(document.content, patch); !trouble.empty())
-      throw BadConfig("the document of '" + document.service + "', version " +
-                      std::to_string(document.stamp.version) + ", " + trouble);
+    if (const std::string trouble = find_error(document.content, patch); !trouble.empty())
+      throw ConfigError("the document of '" + document.service + "', version " +
+                        std::to_string(document.id.version) + ", " + trouble);
     whole.merge_patch(patch);
   }
   return whole.dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/config/documents.h
+++ b/src/config/overlay.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "distribution/document.h"
+#include "distribution/service_config.h"
 
 namespace graniterun {
 
@@ -15,9 +15,9 @@
 constexpr int kDeepestDocument = 64;
 
 // The text that read_platform_config is to read: `base`, with each document's JSON merge patch (RFC 7396)
-// laid over what came before it, in their order. Throws BadConfig where the base or a document is no JSON
+// laid over what came before it, in their order. Throws ConfigError where the base or a document is no JSON
 // object, a document sets anything but `settings` and `journal`, is longer than kLargestDocument or deeper
-// than kDeepestDocument, or there are more than kMostSubscribed. Cost: linear in the texts.
-std::string laid_over(std::string_view base, const std::vector<distribution::Document>& documents);
+// than kDeepestDocument, or there are more than kMaxSubscribedServices. Cost: linear in the texts.
+std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& documents);
 
 }  // namespace graniterun
--- a/src/control/config_distributor.h
+++ b/src/control/config_distributor.h
@@ -30,12 +30,12 @@
 struct ConfigDistributorSettings {
   std::string listen{};              // where gatekeepers, distributors and operators connect
   std::vector<std::string> peers{};  // addresses of the other distributors
-  std::string dir{};                 // of its files; it is there
+  std::string directory{};           // of its files; it is there
   std::string name{"distributor"};
   distribution::Key key{};
   std::size_t bytes_per_second = 16 * 1024 * 1024;  // of documents delivered to all
-  std::size_t most_connections = 2048;  // beyond: the one idle longest that is no client goes, or the newest
-  std::uint64_t seed{};                 // another number at each start
+  std::size_t max_connections = 2048;  // beyond: the one idle longest that is no client goes, or the newest
+  std::uint64_t seed{};                // another number at each start
 };
 
 class ConfigDistributor {
@@ -45,26 +45,26 @@
 
   void step(Time now, const net::Event& event, net::Effects& effects);
   const Counters& counters() const { return counters_; }
-  const distribution::Distributor& held() const { return core_; }
+  const distribution::Distributor& distributor() const { return distributor_; }
 
  private:
   struct Peer {
     std::string address{};
     std::uint32_t conn = 0;  // the last one asked for; 0: none
-    bool up = false;
+    bool connected = false;
     Time next_connect{};
-    Duration pause{};
-    Time heard{};
+    Duration backoff{};
+    Time last_received_at{};
   };
   struct Caller {
-    bool client = false;  // it has said what a gatekeeper or distributor says; else it may be an operator
-    std::size_t publishes = 0;  // of its own that are not answered yet
+    bool is_client = false;  // it has said what a gatekeeper or distributor says; else it may be an operator
+    std::size_t pending_publications = 0;  // of its own that are not answered yet
   };
-  struct Publishing {
+  struct PendingPublication {
     net::ConnId conn{};
     std::string service{};
   };
-  static constexpr std::size_t kKinds = static_cast<std::size_t>(distribution::DistributorTold::full) + 1;
+  static constexpr std::size_t kKinds = static_cast<std::size_t>(distribution::DistributorLogKind::full) + 1;
 
   void on(Time now, const net::Started& e, Outbox& out);
   void on(Time now, const net::FileRead& e, Outbox& out);
@@ -81,33 +81,33 @@
   std::string path_of(std::size_t bucket) const;
   std::string index_path() const;
   std::string index_text() const;
-  void index_read(const net::FileRead& e, Outbox& out);
-  void bucket_read(const net::FileRead& e, Outbox& out);
-  void no_use(const std::string& path, const std::string& why, Outbox& out);
-  void begin(Time now, Outbox& out);
-  void files_of_step(net::Effects& effects);
+  void read_index(const net::FileRead& e, Outbox& out);
+  void read_bucket(const net::FileRead& e, Outbox& out);
+  void reject_file(const std::string& path, const std::string& why, Outbox& out);
+  void start_serving(Time now, Outbox& out);
+  void write_changed_files(net::Effects& effects);
 
   // The pure core.
-  void feed(Time now, const distribution::DistributorEvent& event, Outbox& out);
-  void carry_out(Time now, const distribution::Save& e, Outbox& out);
-  void carry_out(Time now, const distribution::SubscribeAll& e, Outbox& out);
-  void carry_out(Time now, const distribution::FetchFrom& e, Outbox& out);
-  void carry_out(Time now, const distribution::HeardFrom& e, Outbox& out);
-  void carry_out(Time now, const distribution::Propose& e, Outbox& out);
-  void carry_out(Time now, const distribution::AnswerProposal& e, Outbox& out);
-  void carry_out(Time now, const distribution::Notice& e, Outbox& out);
-  void carry_out(Time now, const distribution::Deliver& e, Outbox& out);
-  void carry_out(Time now, const distribution::Missing& e, Outbox& out);
-  void carry_out(Time now, const distribution::Ask& e, Outbox& out);
-  void carry_out(Time now, const distribution::SendBeat& e, Outbox& out);
-  void carry_out(Time now, const distribution::CloseClient& e, Outbox& out);
-  void carry_out(Time now, const distribution::Published& e, Outbox& out);
-  void carry_out(Time now, const distribution::DistributorHappened& e, Outbox& out);
+  void step_distributor(Time now, const distribution::DistributorEvent& event, Outbox& out);
+  void apply(Time now, const distribution::SaveBucket& e, Outbox& out);
+  void apply(Time now, const distribution::SubscribeToPeer& e, Outbox& out);
+  void apply(Time now, const distribution::FetchFromPeer& e, Outbox& out);
+  void apply(Time now, const distribution::AcknowledgePeer& e, Outbox& out);
+  void apply(Time now, const distribution::SendProposal& e, Outbox& out);
+  void apply(Time now, const distribution::AnswerProposal& e, Outbox& out);
+  void apply(Time now, const distribution::NotifyVersions& e, Outbox& out);
+  void apply(Time now, const distribution::DeliverConfig& e, Outbox& out);
+  void apply(Time now, const distribution::SendMissing& e, Outbox& out);
+  void apply(Time now, const distribution::RequestConfig& e, Outbox& out);
+  void apply(Time now, const distribution::SendHeartbeat& e, Outbox& out);
+  void apply(Time now, const distribution::CloseClient& e, Outbox& out);
+  void apply(Time now, const distribution::PublishFinished& e, Outbox& out);
+  void apply(Time now, const distribution::DistributorLogEvent& e, Outbox& out);
 
   // Connections.
-  void from_caller(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
-  void from_operator(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
-  void publish(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_caller_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_operator_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_publish(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   nlohmann::json status_of(Time now, const nlohmann::json& line) const;
   nlohmann::json all_services(const nlohmann::json& line) const;
   nlohmann::json attached(const nlohmann::json& line) const;
@@ -115,35 +115,35 @@
   void send(distribution::ClientId client, const nlohmann::json& line, Outbox& out);
   void send_to_peer(std::uint32_t peer, const nlohmann::json& line, Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
-  void lost(Time now, std::uint32_t peer, Outbox& out);
-  void pause(Time now, Peer& peer);
+  void handle_peer_lost(Time now, std::uint32_t peer, Outbox& out);
+  void back_off(Time now, Peer& peer);
   bool is_busy(net::ConnId conn) const;
   std::optional<std::uint32_t> peer_of(net::ConnId conn) const;
 
   ConfigDistributorSettings settings_;
-  std::function<void(Counters&)> others_;
-  distribution::Distributor core_;
+  std::function<void(Counters&)> add_runtime_counters_;
+  distribution::Distributor distributor_;
   Counters counters_;
-  RateLimitedWarning refused_;
-  RateLimitedWarning peers_told_;
-  RateLimitedWarning happened_[kKinds];
+  RateLimitedWarning malformed_warning_;
+  RateLimitedWarning peer_warning_;
+  RateLimitedWarning event_warnings_[kKinds];
   front::ConnectionReaper reaper_;
   std::mt19937_64 random_;
   std::vector<Peer> peers_;
   std::map<net::ConnId, Caller> callers_;
-  std::map<std::uint64_t, Publishing> publishing_;  // by request
+  std::map<std::uint64_t, PendingPublication> pending_publications_;  // by request
   std::uint64_t last_request_ = 0;
   std::uint32_t last_conn_ = 0;
-  Time next_look_{};  // at connections that say nothing
+  Time next_reap_at_{};  // at connections that say nothing
 
   bool listening_ = false;
   bool failed_ = false;
-  bool indexed_ = false;  // `known` has been looked for
-  bool voted_ = false;    // as `known` says
-  std::set<std::size_t> known_;
-  std::set<std::size_t> unread_;  // buckets that are still awaited at the start
+  bool index_read_ = false;  // `known` has been looked for
+  bool has_voted_ = false;   // as `known` says
+  std::set<std::size_t> stored_buckets_;
+  std::set<std::size_t> unread_buckets_;  // buckets that are still awaited at the start
   distribution::Restored restored_;
-  std::set<std::size_t> unsaved_;  // buckets that changed in this step
+  std::set<std::size_t> changed_buckets_;  // buckets that changed in this step
 };
 
 }  // namespace graniterun::control
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -34,7 +34,7 @@
 Time time_of(std::string_view text) {
   GDateTime* parsed = g_date_time_new_from_iso8601(std::string(text).c_str(), nullptr);
   if (parsed == nullptr)
-    throw BadDocument("'" + std::string(text.substr(0, 40)) + "' is no date with a time zone");
+    throw LoadControlError("'" + std::string(text.substr(0, 40)) + "' is no date with a time zone");
   const Time time{std::chrono::seconds(g_date_time_to_unix(parsed))};
   g_date_time_unref(parsed);
   return time;
@@ -54,7 +54,7 @@
   text = trimmed(text);
   const auto figure = number_in<double>(text);
   if (!figure || !std::isfinite(*figure) || *figure < 0.0 || *figure > 1e6)
-    throw BadDocument("'" + std::string(text.substr(0, 40)) + "' is no figure from 0 to 1,000,000");
+    throw LoadControlError("'" + std::string(text.substr(0, 40)) + "' is no figure from 0 to 1,000,000");
   return *figure;
 }
 
@@ -64,7 +64,7 @@
   for (const char c : text.substr(0, text.find(';'))) {
     if (std::string_view("-.() ").find(c) == std::string_view::npos) number += c;
   }
-  if (number.empty()) throw BadDocument("a tel: URI has no number");
+  if (number.empty()) throw LoadControlError("a tel: URI has no number");
   return number;
 }
 
@@ -73,12 +73,13 @@
   const std::size_t scheme = uri.starts_with("sip:") ? 4 : uri.starts_with("sips:") ? 5 : 0;
   const std::size_t at = uri.find('@');
   if (scheme == 0 || at == std::string_view::npos || at <= scheme)
-    throw BadDocument("'" + std::string(uri.substr(0, 60)) + "' is no sip: URI with a user and no tel: URI");
+    throw LoadControlError("'" + std::string(uri.substr(0, 60)) +
+                           "' is no sip: URI with a user and no tel: URI");
   return std::string(uri.substr(scheme, at - scheme));
 }
 
 [[noreturn]] void unknown(const pugi::xml_node& node) {
-  throw BadDocument("<" + std::string(local(node)) + "> is not understood");
+  throw LoadControlError("<" + std::string(local(node)) + "> is not understood");
 }
 
 void read_to(const pugi::xml_node& to, LoadRule& rule) {
@@ -104,12 +105,12 @@
     } else if (local(c) == "method") {
       // Gaps are for calls: one for other requests can't be kept.
       if (trimmed(c.child_value()) != "INVITE")
-        throw BadDocument("only the method INVITE can be held back here");
+        throw LoadControlError("only the method INVITE can be held back here");
     } else if (local(c) == "validity") {
       for (const pugi::xml_node& end : c.children()) {
         if (local(end) != "from" && local(end) != "until") unknown(end);
         std::optional<Time>& which = local(end) == "from" ? rule.from : rule.until;
-        if (which) throw BadDocument("a validity of several spans is not understood");
+        if (which) throw LoadControlError("a validity of several spans is not understood");
         which = time_of(trimmed(end.child_value()));
       }
     } else {
@@ -123,7 +124,7 @@
   for (const pugi::xml_node& accept : actions.children()) {
     if (local(accept) != "accept") unknown(accept);
     const std::string_view otherwise = accept.attribute("alt-action").as_string("reject");
-    if (otherwise != "reject") throw BadDocument("only the alt-action 'reject' can be kept here");
+    if (otherwise != "reject") throw LoadControlError("only the alt-action 'reject' can be kept here");
     for (const pugi::xml_node& how : accept.children()) {
       const auto known = std::find(std::begin(kHow), std::end(kHow), local(how));
       if (known == std::end(kHow)) unknown(how);
@@ -132,35 +133,35 @@
       ++found;
     }
   }
-  if (found != 1) throw BadDocument("a rule does not say just once what is accepted");
+  if (found != 1) throw LoadControlError("a rule does not say just once what is accepted");
   if (rule.how == LoadRule::How::percent && rule.figure > 100.0)
-    throw BadDocument("a percentage is over 100");
+    throw LoadControlError("a percentage is over 100");
 }
 
 }  // namespace
 
-LoadDocument read_load_control(std::string_view xml) {
-  if (xml.size() > kLargestDocument) throw BadDocument("the document is over 12 KiB large");
+LoadControlDocument read_load_control(std::string_view xml) {
+  if (xml.size() > kLargestDocument) throw LoadControlError("the document is over 12 KiB large");
   pugi::xml_document parsed;
   // Declarations of a document type are not read: nothing in them is expanded.
   const pugi::xml_parse_result result = parsed.load_buffer(xml.data(), xml.size(), pugi::parse_default);
-  if (!result) throw BadDocument(std::string("it is no XML: ") + result.description());
+  if (!result) throw LoadControlError(std::string("it is no XML: ") + result.description());
   const pugi::xml_node root = parsed.document_element();
-  if (local(root) != "ruleset") throw BadDocument("its root is no <ruleset>");
+  if (local(root) != "ruleset") throw LoadControlError("its root is no <ruleset>");
   bool speaks_load = false;
   for (const pugi::xml_attribute& a : root.attributes())
     speaks_load = speaks_load || std::string_view(a.value()) == kLoad;
-  if (!speaks_load) throw BadDocument("it does not name the load-control namespace");
-  LoadDocument document;
+  if (!speaks_load) throw LoadControlError("it does not name the load-control namespace");
+  LoadControlDocument document;
   document.version = root.attribute("version").as_uint(0);
   if (std::string_view(root.attribute("state").as_string("full")) != "full")
-    throw BadDocument("only full states are understood");
+    throw LoadControlError("only full states are understood");
   for (const pugi::xml_node& node : root.children()) {
     if (local(node) != "rule") unknown(node);
     LoadRule rule;
     rule.id = node.attribute("id").value();
     if (rule.id.empty() || rule.id.size() > 64)
-      throw BadDocument("a rule's id is empty or over 64 characters long");
+      throw LoadControlError("a rule's id is empty or over 64 characters long");
     bool acts = false;
     for (const pugi::xml_node& part : node.children()) {
       if (local(part) == "conditions") {
@@ -172,14 +173,14 @@
         unknown(part);
       }
     }
-    if (!acts) throw BadDocument("a rule has no <actions>");
-    if (document.rules.size() >= kMostRules) throw BadDocument("it has over 200 rules");
+    if (!acts) throw LoadControlError("a rule has no <actions>");
+    if (document.rules.size() >= kMaxRules) throw LoadControlError("it has over 200 rules");
     document.rules.push_back(std::move(rule));
   }
   return document;
 }
 
-std::string write_load_control(const LoadDocument& document) {
+std::string write_load_control(const LoadControlDocument& document) {
   pugi::xml_document out;
   pugi::xml_node root = out.append_child("ruleset");
   root.append_attribute("xmlns") = kPolicy;
@@ -235,13 +236,13 @@
   return rule;
 }
 
-std::vector<limits::Announcement> gaps_of(const LoadDocument& document, const std::string& neighbour,
+std::vector<limits::Announcement> gaps_of(const LoadControlDocument& document, const std::string& neighbour,
                                           Time now, Time until) {
   std::vector<limits::Announcement> all;
   for (const LoadRule& rule : document.rules) {
-    if (rule.how == LoadRule::How::win) throw BadDocument("a window can't be kept here: ask for a rate");
+    if (rule.how == LoadRule::How::win) throw LoadControlError("a window can't be kept here: ask for a rate");
     if (rule.numbers.empty() && rule.prefixes.empty())
-      throw BadDocument("rule " + rule.id + " names no called number");
+      throw LoadControlError("rule " + rule.id + " names no called number");
     limits::Announcement a;
     a.id = ("lc-" + neighbour + "-" + rule.id).substr(0, limits::kMaxTextLength);
     a.author = neighbour;
@@ -268,7 +269,7 @@
     }
     a.gap = std::move(g);
     if (const std::string trouble = limits::find_error(a, now); !trouble.empty())
-      throw BadDocument("rule " + rule.id + ": " + trouble);
+      throw LoadControlError("rule " + rule.id + ": " + trouble);
     all.push_back(std::move(a));
   }
   return all;
--- a/src/control/load_control.h
+++ b/src/control/load_control.h
@@ -13,7 +13,7 @@
 
 namespace graniterun::control {
 
-class BadDocument : public std::runtime_error {
+class LoadControlError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -34,24 +34,24 @@
   bool operator==(const LoadRule&) const = default;
 };
 
-struct LoadDocument {
+struct LoadControlDocument {
   std::uint32_t version{};
   std::vector<LoadRule> rules{};
-  bool operator==(const LoadDocument&) const = default;
+  bool operator==(const LoadControlDocument&) const = default;
 };
 
-constexpr std::size_t kMostRules = 200;
+constexpr std::size_t kMaxRules = 200;
 constexpr std::size_t kLargestDocument = 12 * 1024;  // bytes: it has to fit a SIP message
 
-LoadDocument read_load_control(std::string_view xml);  // throws BadDocument
-std::string write_load_control(const LoadDocument& document);
+LoadControlDocument read_load_control(std::string_view xml);  // throws LoadControlError
+std::string write_load_control(const LoadControlDocument& document);
 
 // What neighbours are told of a gap; nothing where a rule can't say it: a gap for each number apart or for a
 // class, and one that lets all pass.
 std::optional<LoadRule> rule_of(const limits::Announcement& a);
-// The gaps that a neighbour's document stands for, from now until `until` at the latest. Throws BadDocument
-// where a rule can't be kept here: a window, or one without a called number.
-std::vector<limits::Announcement> gaps_of(const LoadDocument& document, const std::string& neighbour,
+// The gaps that a neighbour's document stands for, from now until `until` at the latest. Throws
+// LoadControlError where a rule can't be kept here: a window, or one without a called number.
+std::vector<limits::Announcement> gaps_of(const LoadControlDocument& document, const std::string& neighbour,
                                           Time now, Time until);
 
 }  // namespace graniterun::control
--- a/src/control/subscription.cpp
+++ b/src/control/subscription.cpp
@@ -23,30 +23,30 @@
   std::optional<net::Level> level;
   std::string_view words;
 };
-constexpr Kind kind_of(Told told) {
+constexpr Kind kind_of(SubscriberLogKind told) {
   using net::Level;
   switch (told) {
-    case Told::in_force:
+    case SubscriberLogKind::activated:
       return {"in_force", Level::info, "is in force"};
-    case Told::refused:
+    case SubscriberLogKind::rejected:
       return {"refused", Level::warning, "is refused, and what was in force stays"};
-    case Told::stale:
+    case SubscriberLogKind::stale:
       return {"stale", std::nullopt, "is older than what is in force"};
-    case Told::conflict:
+    case SubscriberLogKind::conflict:
       return {"conflicts", Level::error, "is told with another content than the one in force, which stays"};
-    case Told::unsound:
+    case SubscriberLogKind::unsound:
       return {"unsound", Level::warning, "is not what its digest says, and is passed over"};
-    case Told::unasked:
+    case SubscriberLogKind::unrequested:
       return {"unasked", Level::warning, "was not asked for"};
-    case Told::fetch_late:
+    case SubscriberLogKind::fetch_timed_out:
       return {"fetch_late", std::nullopt, "was not delivered in time"};
-    case Told::source_up:
+    case SubscriberLogKind::source_connected:
       return {"source_up", Level::info, "a distributor is reached"};
-    case Told::source_down:
+    case SubscriberLogKind::source_disconnected:
       return {"source_down", Level::warning, "a distributor is not reached, or is lost"};
-    case Told::current:
+    case SubscriberLogKind::current:
       return {"current", Level::info, "what the distributors have in force is in force here, or refused"};
-    case Told::waited_out:
+    case SubscriberLogKind::wait_expired:
       return {"waited_out", Level::warning, "no distributor has told all that is in force"};
   }
   return {"other", std::nullopt, ""};
@@ -56,7 +56,7 @@
 
 // A text of somebody's settings, as part of a line.
 std::string plain(std::string text) {
-  std::size_t most = kToldReason;
+  std::size_t most = kMaxSentReasonLength;
   // Not within a character.
   while (text.size() > most && most > 0 && (static_cast<unsigned char>(text[most]) & 0xC0) == 0x80) --most;
   if (text.size() > most) text.resize(most);
@@ -83,7 +83,7 @@
   SubscriberEffects effects;
   subscriber_.start(now, effects);
   std::vector<SubscriberEvent> more;
-  for (const SubscriberEffect& effect : effects) carry_out(now, effect, more, out);
+  for (const SubscriberEffect& effect : effects) apply(now, effect, more, out);
   for (const SubscriberEvent& event : more) step(now, event, out);
   out.arm(net::Concern::configuration, lane_.number, now + kTick);
 }
@@ -105,9 +105,9 @@
 void Subscription::on(Time now, const net::Connected& e, Outbox& out) {
   const auto source = source_of(e.conn);
   if (!source) return out.close(e.conn);
-  links_.at(*source).up = true;
+  links_.at(*source).connected = true;
   counters_.add("config.distribution.connected");
-  step(now, SourceUp{*source}, out);
+  step(now, SourceConnected{*source}, out);
 }
 
 void Subscription::on(Time now, const net::ConnectFailed& e, Outbox& out) {
@@ -115,7 +115,7 @@
   if (!source) return;
   counters_.add("config.distribution.connect_failed");
   links_.erase(*source);
-  step(now, SourceDown{*source}, out);
+  step(now, SourceDisconnected{*source}, out);
 }
 
 void Subscription::on(Time now, const net::Closed& e, Outbox& out) {
@@ -123,13 +123,13 @@
   if (!source) return;
   counters_.add("config.distribution.closed");
   links_.erase(*source);
-  step(now, SourceDown{*source}, out);
+  step(now, SourceDisconnected{*source}, out);
 }
 
-void Subscription::give_up(Time now, std::uint32_t source, Outbox& out) {
+void Subscription::close_source(Time now, std::uint32_t source, Outbox& out) {
   out.drop(links_.at(source).conn);
   links_.erase(source);
-  step(now, SourceDown{source}, out);
+  step(now, SourceDisconnected{source}, out);
 }
 
 void Subscription::on(Time now, const net::Received& e, Outbox& out) {
@@ -141,22 +141,22 @@
   const auto refuse = [&](const std::string& trouble) {
     if (std::exchange(bad, true)) return;
     counters_.add("config.distribution.malformed");
-    line(now, malformed_, net::Level::warning,
-         "configuration: the distributor " + distributors_[*source] +
-             " says what can't be read, and is given up: " + plain(trouble),
-         out);
+    log_limited(now, malformed_, net::Level::warning,
+                "configuration: the distributor " + distributors_[*source] +
+                    " says what can't be read, and is given up: " + plain(trouble),
+                out);
   };
   const auto used = read_lines(
       e.bytes,
       [&](const json& object) {
-        if (!bad && open()) take(now, *source, object, out);
+        if (!bad && open()) handle_line(now, *source, object, out);
       },
       [&](const json&, const std::string& trouble) {
         if (open()) refuse(trouble);
       });
   if (!open()) return;
   if (!used) refuse("a line has no end within 32 KiB");
-  if (bad) return give_up(now, *source, out);
+  if (bad) return close_source(now, *source, out);
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
@@ -169,19 +169,20 @@
 
 void Subscription::send(std::uint32_t source, const json& line, Outbox& out) {
   const auto it = links_.find(source);
-  if (it == links_.end() || !it->second.up) return;
+  if (it == links_.end() || !it->second.connected) return;
   counters_.add("config.distribution.lines_out");
   out.send(it->second.conn, line_of(line));
 }
 
-void Subscription::take(Time now, std::uint32_t source, const json& object, Outbox& out) {
-  const SubscriberEvent event = subscriber_event_of(source, object);
+void Subscription::handle_line(Time now, std::uint32_t source, const json& object, Outbox& out) {
+  const SubscriberEvent event = parse_subscriber_line(source, object);
   counters_.add("config.distribution.lines_in");
   // Each notice and each beat has its answer, whatever comes of it.
-  if (std::holds_alternative<Beat>(event)) send(source, beat_answer_line(), out);
+  if (std::holds_alternative<HeartbeatReceived>(event)) send(source, heartbeat_answer_line(), out);
   const net::ConnId conn = links_.at(source).conn;
   step(now, event, out);
-  if (std::holds_alternative<Noticed>(event) && source_of(conn) == source) send(source, heard_line(), out);
+  if (std::holds_alternative<VersionsNotified>(event) && source_of(conn) == source)
+    send(source, acknowledge_line(), out);
 }
 
 // ---- what the Subscriber asks for
@@ -192,19 +193,19 @@
     const SubscriberEvent next = std::move(more[i]);
     SubscriberEffects effects;
     subscriber_.step(now, next, effects);
-    for (const SubscriberEffect& effect : effects) carry_out(now, effect, more, out);
+    for (const SubscriberEffect& effect : effects) apply(now, effect, more, out);
   }
 }
 
-void Subscription::carry_out(Time now, const SubscriberEffect& effect, std::vector<SubscriberEvent>& more,
-                             Outbox& out) {
-  if (const auto* open = std::get_if<Open>(&effect)) {
+void Subscription::apply(Time now, const SubscriberEffect& effect, std::vector<SubscriberEvent>& more,
+                         Outbox& out) {
+  if (const auto* open = std::get_if<OpenSource>(&effect)) {
     const net::ConnId conn{net::Concern::configuration, lane_.number + 1 + lane_.of * connections_++};
     if (const auto old = links_.find(open->source); old != links_.end()) out.drop(old->second.conn);
     links_.insert_or_assign(open->source, Link{conn});
     counters_.add("config.distribution.connects");
     out.net.push_back(net::Connect{conn, distributors_.at(open->source), kConnectTimeout});
-  } else if (const auto* shut = std::get_if<Shut>(&effect)) {
+  } else if (const auto* shut = std::get_if<CloseSource>(&effect)) {
     const auto it = links_.find(shut->source);
     if (it == links_.end()) return;
     counters_.add("config.distribution.shut");
@@ -212,53 +213,53 @@
     links_.erase(it);
   } else if (const auto* subscribe = std::get_if<Subscribe>(&effect)) {
     send(subscribe->source, subscribe_line(name_, subscribe->held, subscribe->primary), out);
-  } else if (const auto* primary = std::get_if<TellPrimary>(&effect)) {
+  } else if (const auto* primary = std::get_if<SendPrimary>(&effect)) {
     send(primary->source, primary_line(primary->primary), out);
-  } else if (const auto* fetch = std::get_if<Fetch>(&effect)) {
+  } else if (const auto* fetch = std::get_if<FetchConfig>(&effect)) {
     counters_.add("config.distribution.fetches");
     send(fetch->source, fetch_line(fetch->service, fetch->version), out);
-  } else if (const auto* report = std::get_if<Report>(&effect)) {
+  } else if (const auto* report = std::get_if<ReportStatus>(&effect)) {
     send(report->source, report_line(*report), out);
-  } else if (const auto* hand = std::get_if<Hand>(&effect)) {
+  } else if (const auto* hand = std::get_if<ReturnConfig>(&effect)) {
     counters_.add("config.distribution.handed");
-    send(hand->source, hand_line(hand->document), out);
-  } else if (const auto* apply = std::get_if<distribution::Apply>(&effect)) {
-    const auto trouble = apply_(now, apply->documents, out);
+    send(hand->source, return_line(hand->config), out);
+  } else if (const auto* apply = std::get_if<distribution::ApplyConfigs>(&effect)) {
+    const auto trouble = apply_(now, apply->configs, out);
     counters_.add(trouble ? "config.distribution.sets_refused" : "config.distribution.sets_taken");
-    more.push_back(Applied{!trouble, trouble ? plain(*trouble) : std::string()});
+    more.push_back(ApplyFinished{!trouble, trouble ? plain(*trouble) : std::string()});
   } else {
-    note(now, std::get<Happened>(effect), out);
+    log_event(now, std::get<SubscriberLogEvent>(effect), out);
   }
 }
 
 // ---- the log, the counters, the answers
 
-void Subscription::line(Time now, Seldom& kind, net::Level level, std::string text, Outbox& out) {
+void Subscription::log_limited(Time now, RateLimit& kind, net::Level level, std::string text, Outbox& out) {
   if (kind.lines == 0 || now - kind.second >= 1s) {
     kind.second = now;
     kind.lines = 0;
   }
-  if (kind.lines >= kLinesASecond) {
-    ++kind.left_out;
+  if (kind.lines >= kMaxLogLinesPerSecond) {
+    ++kind.suppressed;
     return;
   }
   ++kind.lines;
-  if (kind.left_out > 0)
-    text += " (" + std::to_string(std::exchange(kind.left_out, 0)) + " more since the last line)";
+  if (kind.suppressed > 0)
+    text += " (" + std::to_string(std::exchange(kind.suppressed, 0)) + " more since the last line)";
   out.log(level, std::move(text));
 }
 
-void Subscription::note(Time now, const Happened& e, Outbox& out) {
-  const Kind kind = kind_of(e.what);
+void Subscription::log_event(Time now, const SubscriberLogEvent& e, Outbox& out) {
+  const Kind kind = kind_of(e.kind);
   counters_.add("config.distribution." + std::string(kind.counter));
   if (!kind.level) return;
   std::string text = "configuration: ";
   if (!e.service.empty()) text += e.service + ", version " + std::to_string(e.version) + ", ";
   text += kind.words;
-  if (e.what == Told::waited_out)
+  if (e.kind == SubscriberLogKind::wait_expired)
     text += " within " + std::to_string(ms_of(wait_)) + " ms: it serves on its start configuration";
   if (!e.reason.empty()) text += ": " + plain(e.reason);
-  line(now, told_[e.what], *kind.level, std::move(text), out);
+  log_limited(now, log_limits_[e.kind], *kind.level, std::move(text), out);
 }
 
 json Subscription::answer(const json& asked) const {
@@ -271,21 +272,21 @@
             {"what", "held"},
             {"ready", subscriber_.ready()},
             {"current", subscriber_.is_current()},
-            {"sources", subscriber_.sources_up()}};
+            {"sources", subscriber_.connected_sources()}};
   // A line is bounded: what has no room is asked for by the last service before it.
   std::string after = text("after");
   json page = json::array();
   std::size_t bytes = 0;
-  for (const auto& [service, held] : subscriber_.held()) {
+  for (const auto& [service, held] : subscriber_.service_states()) {
     if (!after.empty()) {
       if (service == after) after.clear();
       continue;
     }
-    json one = {{"service", service}, {"version", held.in_force.version}};
-    if (!held.in_force.none()) one["digest"] = hex_of(held.in_force.digest);
-    if (held.refused) {
-      one["refused"] = {{"version", held.refused->version},
-                        {"digest", hex_of(held.refused->digest)},
+    json one = {{"service", service}, {"version", held.active.version}};
+    if (!held.active.none()) one["digest"] = to_hex(held.active.digest);
+    if (held.rejected) {
+      one["refused"] = {{"version", held.rejected->version},
+                        {"digest", to_hex(held.rejected->digest)},
                         {"reason", held.reason}};
     }
     bytes += line_of(one).size();
@@ -300,15 +301,16 @@
 }
 
 std::vector<Gauge> Subscription::gauges() const {
-  const auto held = subscriber_.held();
-  const auto refused =
-      std::count_if(held.begin(), held.end(), [](const auto& one) { return one.second.refused.has_value(); });
+  const auto held = subscriber_.service_states();
+  const auto refused = std::count_if(held.begin(), held.end(),
+                                     [](const auto& one) { return one.second.rejected.has_value(); });
   std::vector<Gauge> all;
-  all.push_back({"config.sources_up", "{distributor}", static_cast<double>(subscriber_.sources_up()), {}});
+  all.push_back(
+      {"config.sources_up", "{distributor}", static_cast<double>(subscriber_.connected_sources()), {}});
   all.push_back({"config.current", "1", subscriber_.is_current() ? 1.0 : 0.0, {}});
   all.push_back({"config.refused", "{document}", static_cast<double>(refused), {}});
   for (const auto& [service, one] : held)
-    all.push_back({"config.version", "1", static_cast<double>(one.in_force.version), {{"service", service}}});
+    all.push_back({"config.version", "1", static_cast<double>(one.active.version), {{"service", service}}});
   return all;
 }
 
--- a/src/control/subscription.h
+++ b/src/control/subscription.h
@@ -4,8 +4,8 @@
 // counts it as config.distribution.*. docs/design/distribution.md tells of the lines.
 //
 // Bounds: a line is at most kLineBound bytes, longer ones and such as are no line of a distributor close that
-// connection; kSources connections; a reason that goes into a line or the log kToldReason bytes; of each kind
-// kLinesASecond in the log.
+// connection; kSources connections; a reason that goes into a line or the log kMaxSentReasonLength bytes; of
+// each kind kMaxLogLinesPerSecond in the log.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 
 namespace graniterun::control {
 
-constexpr unsigned kLinesASecond = 4;
+constexpr unsigned kMaxLogLinesPerSecond = 4;
 
 class Subscription {
  public:
   // Takes the documents, all that are to be in force, whole or not at all. What is wrong with them; nothing:
   // they are in force.
   using Apply = std::function<std::optional<std::string>(
-      Time now, const std::vector<distribution::Document>& documents, Outbox& out)>;
+      Time now, const std::vector<distribution::ServiceConfig>& documents, Outbox& out)>;
   // Where several share one runtime, each has its own numbers of connections (number + 1, and every `of`th
   // after it) and its own timer (number).
   struct Lane {
@@ -60,24 +60,24 @@
  private:
   struct Link {
     net::ConnId conn;
-    bool up = false;
+    bool connected = false;
   };
   // The lines of one kind.
-  struct Seldom {
+  struct RateLimit {
     Time second{};  // when the second began that `lines` are counted in
     unsigned lines = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
   };
 
   void step(Time now, const distribution::SubscriberEvent& event, Outbox& out);
-  void carry_out(Time now, const distribution::SubscriberEffect& effect,
-                 std::vector<distribution::SubscriberEvent>& more, Outbox& out);
-  void note(Time now, const distribution::Happened& e, Outbox& out);
-  void line(Time now, Seldom& kind, net::Level level, std::string text, Outbox& out);
+  void apply(Time now, const distribution::SubscriberEffect& effect,
+             std::vector<distribution::SubscriberEvent>& more, Outbox& out);
+  void log_event(Time now, const distribution::SubscriberLogEvent& e, Outbox& out);
+  void log_limited(Time now, RateLimit& kind, net::Level level, std::string text, Outbox& out);
   void send(std::uint32_t source, const nlohmann::json& line, Outbox& out);
-  void take(Time now, std::uint32_t source, const nlohmann::json& line, Outbox& out);
+  void handle_line(Time now, std::uint32_t source, const nlohmann::json& line, Outbox& out);
   std::optional<std::uint32_t> source_of(net::ConnId conn) const;
-  void give_up(Time now, std::uint32_t source, Outbox& out);
+  void close_source(Time now, std::uint32_t source, Outbox& out);
 
   std::string name_;
   std::vector<std::string> distributors_;
@@ -88,8 +88,8 @@
   distribution::Subscriber subscriber_;
   std::map<std::uint32_t, Link> links_;  // by distributor
   std::uint32_t connections_ = 0;
-  std::map<distribution::Told, Seldom> told_;
-  Seldom malformed_{};
+  std::map<distribution::SubscriberLogKind, RateLimit> log_limits_;
+  RateLimit malformed_{};
 };
 
 }  // namespace graniterun::control
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -29,7 +29,7 @@
 // Smoothing of own rates: over so long at least, and over so many events while that is no longer than the
 // most. One of hundreds of senders sees a core server's events seconds apart.
 constexpr Duration kRateMemory = 2s;
-constexpr Duration kRateMemoryMost = 12s;
+constexpr Duration kMaxRateMemory = 12s;
 constexpr double kRateEvents = 5.0;
 // Wait taken for granted at a full processor, or without a connection.
 constexpr Duration kFullWait = 2s;
@@ -46,13 +46,13 @@
 // So long a wait is held against a core server without news of it.
 constexpr Duration kWaitMemory = 4s;
 // News of free lines is taken to come at most so late.
-constexpr Duration kLinesNews = 1s;
+constexpr Duration kCircuitNewsDelay = 1s;
 // So many times the calls until the next news make free lines plenty.
-constexpr double kLinesPlenty = 1.5;
+constexpr double kCircuitsPlenty = 1.5;
 // Smoothing of the most lines seen busy: longer than a restart takes.
 constexpr Duration kBusiestMemory = 60s;
 // Of a core server's lines so many are taken to be planned right, whatever has been seen busy.
-constexpr double kLeastBusy = 0.2;
+constexpr double kMinBusyShare = 0.2;
 // A sender that has forgotten a long wait returns with so much of its equal part of the server.
 constexpr double kReturnPart = 0.3;
 // A number is remembered so long after the last word of it.
@@ -63,18 +63,16 @@
 constexpr Duration kHoldReserve = 400ms;
 // A held call is answered so long before its deadline.
 constexpr Duration kAnswerMargin = 20ms;
-// A server's faults are smoothed over so many set-ups; from this share on it is asked last, but for one
-// set-up in so long that tries it out.
+// Faults are smoothed over kFaultEvents setups; from kFaulty on a server is asked last but for trial setups.
 constexpr double kFaultEvents = 6.0;
 constexpr double kFaulty = 0.4;
 constexpr Duration kFaultTry = 500ms;
 // So often a call is tried again after a fault.
 constexpr std::size_t kFaultRepeats = 2;
-// Part of the cold budget that is granted by the settings, and as much again by what the server answers: the
-// rest is for turns that were saved.
-constexpr double kColdPart = 0.4;
+// Part of the slow-start budget granted by the settings, and again by answers; the rest is for saved turns.
+constexpr double kSlowStartPart = 0.4;
 // Told rates are late and noisy: so much of one is believed of a cold server.
-constexpr double kToldRateBelief = 0.8;
+constexpr double kReportedRateBelief = 0.8;
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
@@ -97,7 +95,7 @@
 // Events a second, the older ones fading: over some time, and where events are rare over some events.
 class SmoothedRate {
  public:
-  explicit SmoothedRate(Duration longest = kRateMemory) : longest_(longest) {}
+  explicit SmoothedRate(Duration longest = kRateMemory) : max_memory_(longest) {}
   void add(Time now) {
     fade(now);
     if (first_) {
@@ -117,13 +115,13 @@
 
  private:
   double memory_s() const {
-    return std::clamp(kRateEvents * gap_s_, seconds(kRateMemory), seconds(longest_));
+    return std::clamp(kRateEvents * gap_s_, seconds(kRateMemory), seconds(max_memory_));
   }
   void fade(Time now) {
     count_ *= std::exp(-seconds(now - faded_) / memory_s());
     faded_ = now;
   }
-  Duration longest_;
+  Duration max_memory_;
   std::optional<Time> first_;
   Time added_{};
   Time faded_{};
@@ -157,12 +155,12 @@
       lost.emplace_back(u.call, u.since);
     }
     silent_ = 0;
-    least_ = least_ ? std::min(*least_, delay) : delay;
-    own_ = Known{delay - *least_, now};
+    min_delay_ = min_delay_ ? std::min(*min_delay_, delay) : delay;
+    own_ = Known{delay - *min_delay_, now};
     return lost;
   }
   // Given up unanswered. Where answers get lost, as many as are tolerated in a row tell nothing.
-  void unheard(Time now, Duration delay, std::size_t tolerated) {
+  void timed_out(Time now, Duration delay, std::size_t tolerated) {
     if (silent_ < tolerated) {
       ++silent_;
     } else {
@@ -172,9 +170,9 @@
   // Given up or turned away after waiting that long: it would have taken longer still.
   void outlasted(Time now, Duration delay) {
     ++silent_;
-    own_ = Known{std::max(recent(own_, now), delay - least_.value_or(Duration{})), now};
+    own_ = Known{std::max(recent(own_, now), delay - min_delay_.value_or(Duration{})), now};
   }
-  void told(Time now, Duration wait) { told_ = Known{wait, now}; }
+  void reported(Time now, Duration wait) { reported_ = Known{wait, now}; }
 
   struct Known {
     Duration wait{};
@@ -182,7 +180,7 @@
   };
   // What was known last, however long ago.
   Known last_known() const {
-    if (!own_ || (told_ && told_->at > own_->at)) return told_.value_or(Known{});
+    if (!own_ || (reported_ && reported_->at > own_->at)) return reported_.value_or(Known{});
     return *own_;
   }
 
@@ -199,11 +197,11 @@
   // report is late, and silence is no good news; where answers get lost, that of as many as are tolerated is
   // none.
   Duration wait(Time now, std::size_t tolerated) const {
-    const Duration longest = std::max(recent(own_, now), recent(told_, now));
+    const Duration longest = std::max(recent(own_, now), recent(reported_, now));
     std::size_t silent = silent_;
     for (const Unanswered& u : unanswered_) {
       if (u.overtaken || silent++ < tolerated) continue;
-      return std::max(longest, now - u.since - least_.value_or(Duration{}));
+      return std::max(longest, now - u.since - min_delay_.value_or(Duration{}));
     }
     return longest;
   }
@@ -222,9 +220,9 @@
     return known && now - known->at < kWaitMemory ? known->wait : Duration{};
   }
   std::size_t silent_ = 0;  // given up unanswered since the last answer
-  std::optional<Duration> least_;
+  std::optional<Duration> min_delay_;
   std::optional<Known> own_;
-  std::optional<Known> told_;
+  std::optional<Known> reported_;
 };
 
 // ---- Throttle
@@ -245,8 +243,8 @@
 
   // The chance with which a call of this value that was offered is to be refused. `part_per_s` is this
   // sender's equal part of what the server can take.
-  double refused_share(Time now, double value, const ProcessorEstimate& processor, Duration wait,
-                       double part_per_s, std::uint32_t senders) {
+  double rejected_share(Time now, double value, const ProcessorEstimate& processor, Duration wait,
+                        double part_per_s, std::uint32_t senders) {
     if (!updated_ || now - *updated_ >= kControlInterval) {
       updated_ = now;
       target_ = std::numeric_limits<double>::infinity();
@@ -295,7 +293,7 @@
 // each would be several times the budget: a turn then comes once in several windows, at another time for each
 // sender, by its place among them. Covers every way of starting (replaced, crashed, added) and needs no word
 // from the others.
-class ColdGuard {
+class SlowStartLimiter {
  public:
   void sent() {
     if (!turns_.empty()) turns_.pop_front();
@@ -305,8 +303,8 @@
     const double senders = std::max(1U, settings.senders);
     const double window_s = std::max(seconds(settings.overload_window), 1e-3);
     while (!answered_.empty() && now - answered_.front() > settings.overload_window) answered_.pop_front();
-    const double spent = kColdPart * settings.overload_multiple;
-    const double own_per_s = std::max(spent * cold_capacity_per_s / senders, kLeastTurnsPerS);
+    const double spent = kSlowStartPart * settings.overload_multiple;
+    const double own_per_s = std::max(spent * cold_capacity_per_s / senders, kMinTurnsPerS);
     const double turns_per_s = own_per_s + spent * static_cast<double>(answered_.size()) / window_s;
     if (!granted_until_) {
       granted_until_ = online_since;
@@ -332,7 +330,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(turns / per_s));
   }
   // One in some hours: no division by nought for a server of which nothing is known.
-  static constexpr double kLeastTurnsPerS = 1e-4;
+  static constexpr double kMinTurnsPerS = 1e-4;
   std::deque<Time> answered_;  // within the last window
   std::deque<Time> turns_;     // granted and not used, by the time of the grant
   std::optional<Time> granted_until_;
@@ -406,20 +404,20 @@
 
 struct Server {
   ServerEntry entry;
-  std::optional<double> free_lines;
-  Time lines_told_at{};
-  int sent_since_told = 0;
-  double lines = 1.0;
-  bool lines_told = false;
-  std::optional<double> allowed_per_s;   // told, for all senders together
-  SmoothedRate sought{kRateMemoryMost};  // calls of this sender that would go there
+  std::optional<double> free_circuits;
+  Time circuits_reported_at{};
+  int sent_since_report = 0;
+  double circuits = 1.0;
+  bool circuits_reported = false;
+  std::optional<double> allowed_per_s;  // told, for all senders together
+  SmoothedRate sought{kMaxRateMemory};  // calls of this sender that would go there
   ProcessorEstimate processor;
   Throttle throttle;
-  ColdGuard cold_guard;
+  SlowStartLimiter slow_start;
   Faults faults;
 
   bool in_service() const { return entry.state == ServerState::in_service; }
-  bool cold(Time now, const Settings& settings) const {
+  bool in_slow_start(Time now, const Settings& settings) const {
     return entry.online_since && now < *entry.online_since + settings.slow_start_duration;
   }
 };
@@ -437,7 +435,7 @@
   double most(Time now) const { return most_ * std::exp(-seconds(now - at_) / seconds(kBusiestMemory)); }
 
  private:
-  SmoothedRate taken_{kRateMemoryMost};  // this sender's set-ups that stood there
+  SmoothedRate taken_{kMaxRateMemory};  // this sender's set-ups that stood there
   double most_ = 0.0;
   Time at_{};
 };
@@ -452,7 +450,7 @@
   NewCall request;
   Time first_try{};  // of its caller, as far as this sender can tell
   int attempts = 0;
-  int most_attempts = 0;  // as the settings had it when it came
+  int max_attempts = 0;  // as the settings had it when it came
   std::optional<Attempt> out;
   bool answered = false;           // nothing is owed any more
   bool offered = false;            // has been to the pick before
@@ -522,32 +520,32 @@
     std::erase_if(servers_, [](const auto& s) { return s.second.entry.state == ServerState::terminated; });
   }
 
-  void on(const ServerReport& e) { note_report(e.server, e.report); }
+  void on(const ServerReport& e) { record_report(e.server, e.report); }
 
-  void note_report(ServerId id, const LoadReport& report) {
+  void record_report(ServerId id, const LoadReport& report) {
     const auto it = servers_.find(id);
     if (it == servers_.end()) return;
-    if (report.free_circuits) note_lines(it->second, *report.free_circuits);
+    if (report.free_circuits) record_circuits(it->second, *report.free_circuits);
     if (report.circuits && *report.circuits > 0.0) {
-      it->second.lines = *report.circuits;
-      it->second.lines_told = true;
+      it->second.circuits = *report.circuits;
+      it->second.circuits_reported = true;
     }
     if (report.free_circuits)
-      places_[it->second.entry.pool].busy(now_, it->second.lines - *report.free_circuits);
+      places_[it->second.entry.pool].busy(now_, it->second.circuits - *report.free_circuits);
     if (report.allowed_per_s) it->second.allowed_per_s = report.allowed_per_s;
-    if (report.wait) it->second.processor.told(now_, *report.wait);
+    if (report.wait) it->second.processor.reported(now_, *report.wait);
   }
 
-  void note_lines(Server& server, double free_lines) {
-    server.free_lines = free_lines;
-    server.lines_told_at = now_;
-    server.sent_since_told = 0;
+  void record_circuits(Server& server, double free_lines) {
+    server.free_circuits = free_lines;
+    server.circuits_reported_at = now_;
+    server.sent_since_report = 0;
   }
 
   void on(const PeerMessage&) {}
 
   void on(const SettingsChanged& e) {
-    std::erase_if(patience_, [&](const auto& p) {  // a place may hold another class now
+    std::erase_if(caller_timeout_, [&](const auto& p) {  // a place may hold another class now
       return p.first >= e.settings.classes.size() || p.first >= settings_.classes.size() ||
              !(e.settings.classes[p.first] == settings_.classes[p.first]);
     });
@@ -565,7 +563,7 @@
   void on(const NewCall& e) {
     Call& call = calls_[e.call];
     call.request = e;
-    call.most_attempts = settings_.max_attempts;
+    call.max_attempts = settings_.max_attempts;
     call.first_try = now_;
     if (e.in_transit || settings_.layout == Layout::meshed || e.call_class >= settings_.classes.size()) {
       conclude(call, Reject{e.call, {}});
@@ -575,13 +573,13 @@
         call.first_try = numbers_.first_try(e.number).value_or(call.first_try);
       place(call);
     }
-    forget_if_over(e.call);
+    forget_if_finished(e.call);
   }
 
   // A sender that stood still finds calls that have waited for it. Their deadlines tell how long: callers of
   // a class leave equal times, and no call came before the turn before this one.
   Time came_at(const NewCall& e) {
-    Duration& longest = patience_[e.call_class];
+    Duration& longest = caller_timeout_[e.call_class];
     const Duration left = e.deadline - now_;
     longest = std::max(longest, left);
     return turn_before_ ? std::max(now_ - (longest - left), *turn_before_) : now_;
@@ -598,10 +596,10 @@
     }
     if (Server* server = find(e.server)) {
       server->processor.settled(e.call);
-      note_answer(*server, e.delay);
+      record_answer(*server, e.delay);
       server->faults.ended(false);
       server->throttle.taken(now_);
-      if (server->cold(now_, settings_)) server->cold_guard.answered(now_);
+      if (server->in_slow_start(now_, settings_)) server->slow_start.answered(now_);
       places_[server->entry.pool].taken(now_);
     }
   }
@@ -616,7 +614,7 @@
     if (e.reason == FullReason::number_busy) numbers_.busy(now_, call->request.number);
     if (e.call_finished) call->answered = true;
     if (!call->answered) decide_after(*call, e);
-    forget_if_over(e.call);
+    forget_if_finished(e.call);
   }
 
   void on(const CallerDisconnected& e) {
@@ -624,7 +622,7 @@
     if (call == nullptr) return;
     call->answered = true;
     if (call->out && !call->out->stands && settings_.may_cancel) act(CancelAttempt{e.call, call->out->index});
-    forget_if_over(e.call);
+    forget_if_finished(e.call);
   }
 
   void on(const TimerDue& e) {
@@ -641,12 +639,12 @@
     if (now_ < *call->held_until) return wake(id, *call->held_until - now_);
     call->held_until.reset();
     place(*call);
-    forget_if_over(id);
+    forget_if_finished(id);
   }
 
   // What an ended attempt tells of the processor it went to.
   void learn(const AttemptEnded& e, bool stood) {
-    note_report(e.server, e.report);
+    record_report(e.server, e.report);
     Server* server = find(e.server);
     if (server == nullptr) return;
     const bool in_turn = server->processor.settled(e.call);
@@ -654,16 +652,16 @@
     switch (e.outcome) {
       case Outcome::ok:
       case Outcome::busy_or_fault:
-        note_answer(*server, e.delay);
+        record_answer(*server, e.delay);
         server->throttle.taken(now_);
         break;
       case Outcome::full:
         if (e.reason == FullReason::processor) {
-          if (e.retry_after) server->processor.told(now_, *e.retry_after);
+          if (e.retry_after) server->processor.reported(now_, *e.retry_after);
           server->processor.outlasted(now_, kFullWait);
         } else {
           server->throttle.taken(now_);
-          if (e.reason == FullReason::no_circuit && !e.report.free_circuits) note_lines(*server, 0.0);
+          if (e.reason == FullReason::no_circuit && !e.report.free_circuits) record_circuits(*server, 0.0);
         }
         break;
       case Outcome::no_connection:  // down, out of reach or with no connection to spare: the list learns late
@@ -671,7 +669,7 @@
         break;
       case Outcome::timed_out:
       case Outcome::cancelled:
-        if (in_turn) server->processor.unheard(now_, e.delay, tolerated());
+        if (in_turn) server->processor.timed_out(now_, e.delay, tolerated());
         break;
       default:
         break;
@@ -679,7 +677,7 @@
   }
 
   // A call found lost is looked at again when its repeats have had their chance.
-  void note_answer(Server& server, Duration delay) {
+  void record_answer(Server& server, Duration delay) {
     lost_share_ -= lost_share_ / kLossEvents;
     for (const auto& [id, since] : server.processor.answered(now_, delay)) {
       lost_share_ += (1.0 - lost_share_) / kLossEvents;
@@ -705,7 +703,7 @@
   void give_up_lost(const Call& call) {
     const Server* server = find(call.out->server);
     if (call.out->stands || server == nullptr) return;
-    if (class_of(call).idempotency != Idempotency::idempotent || call.attempts >= call.most_attempts) return;
+    if (class_of(call).idempotency != Idempotency::idempotent || call.attempts >= call.max_attempts) return;
     const bool in_time = now_ < call.first_try + class_of(call).latency_objective - settings_.release_guard;
     if (server->processor.lost(call.request.call) ||
         (in_time && tolerated() > 0 && server->processor.last_known().wait <= kWaitBudget)) {
@@ -715,7 +713,7 @@
 
   void decide_after(Call& call, const AttemptEnded& e) {
     const CallId id = call.request.call;
-    const bool spent = call.attempts >= call.most_attempts;
+    const bool spent = call.attempts >= call.max_attempts;
     const bool once_only = call.may_have_run && class_of(call).idempotency != Idempotency::idempotent;
     // A busy number is busy everywhere; a fault is one server's, and passes. What fails a third time is the
     // call's own.
@@ -764,8 +762,8 @@
   // can't be had and no other is within budget, two are drawn from the rest and the throttle has its say
   // there.
   Server* pick(Call& call) {
-    const bool fresh =
-        !std::exchange(call.offered, true);  // offers of held calls are no further demand for lines
+    // offers of held calls are no further demand for lines
+    const bool fresh = !std::exchange(call.offered, true);
     std::vector<Server*> open;
     std::vector<Server*> pressed;
     std::vector<Server*> faulty;
@@ -821,7 +819,7 @@
                                        senders * (1.0 + server.processor.unanswered()))
       return false;
     const double in_line = static_cast<double>(server.processor.unanswered()) * senders;
-    return in_line * mean_hold_s_ <= server.lines * seconds(kDivertBudget);
+    return in_line * mean_hold_s_ <= server.circuits * seconds(kDivertBudget);
   }
 
   // Of two drawn core servers the one with fewer own unanswered set-ups. Core servers may differ tenfold in
@@ -829,27 +827,27 @@
   Server* draw(const std::vector<Server*>& from) {
     if (from.empty()) return nullptr;
     double lines = 0.0;
-    for (const Server* server : from) lines += server->lines;
+    for (const Server* server : from) lines += server->circuits;
     const auto one_of = [&] {
       double mark = random_.uniform() * lines;
       for (Server* server : from) {
-        if ((mark -= server->lines) < 0.0) return server;
+        if ((mark -= server->circuits) < 0.0) return server;
       }
       return from.back();
     };
     Server* one = one_of();
     Server* other = one_of();
     const auto crowded = [](const Server* server) {
-      return static_cast<double>(server->processor.unanswered() + 1) / server->lines;
+      return static_cast<double>(server->processor.unanswered() + 1) / server->circuits;
     };
     return crowded(other) < crowded(one) ? other : one;
   }
 
   bool passes(const Call& call, Server& server) {
     const double part_per_s = capacity(server) / std::max(1U, settings_.senders);
-    return random_.uniform() >= server.throttle.refused_share(now_, value_of(call), server.processor,
-                                                              server.processor.wait(now_, tolerated()),
-                                                              part_per_s, settings_.senders);
+    return random_.uniform() >= server.throttle.rejected_share(now_, value_of(call), server.processor,
+                                                               server.processor.wait(now_, tolerated()),
+                                                               part_per_s, settings_.senders);
   }
 
   // What the call is worth now: little when its aim has passed, counted from the caller's first try; nothing
@@ -865,13 +863,15 @@
   // next news, a sender takes no more than its part of them, and of those that fall free meanwhile: all would
   // rush for the last ones otherwise, and be turned away. A part of less than a line is taken by chance.
   bool free_for(const Call& call, Server& server) {
-    if (!server.free_lines) return true;
-    const double free = *server.free_lines + seconds(now_ - server.lines_told_at) * capacity(server);
-    const double wanted = seconds(kLinesNews) * capacity(server);
-    if (free >= std::max(kLinesPlenty * wanted, call.request.circuits)) return true;
+    if (!server.free_circuits) return true;
+    const double free =
+        *server.free_circuits + seconds(now_ - server.circuits_reported_at) * capacity(server);
+    const double wanted = seconds(kCircuitNewsDelay) * capacity(server);
+    if (free >= std::max(kCircuitsPlenty * wanted, call.request.circuits)) return true;
     const double senders = std::max(1U, settings_.senders);
-    const double left = free / senders - static_cast<double>(server.sent_since_told);
-    const double expected = server.sought.per_second(now_) * seconds(kLinesNews);  // own calls until news
+    const double left = free / senders - static_cast<double>(server.sent_since_report);
+    const double expected =
+        server.sought.per_second(now_) * seconds(kCircuitNewsDelay);  // own calls until news
     return left >= call.request.circuits || random_.uniform() * std::max(expected, 1e-9) < left;
   }
 
@@ -891,22 +891,22 @@
   // And not spared for being cold.
   bool eligible(const Call& call, Server& server) {
     if (!open_to(call, server)) return false;
-    return !server.cold(now_, settings_) ||
-           server.cold_guard.admits(now_, *server.entry.online_since, settings_, cold_capacity(server));
+    return !server.in_slow_start(now_, settings_) ||
+           server.slow_start.admits(now_, *server.entry.online_since, settings_, cold_capacity(server));
   }
 
   void send(Call& call, Server& server) {
     call.out = Attempt{call.attempts++, server.entry.server, false};
     call.last = server.entry.server;
     server.processor.sent(now_, call.request.call);
-    server.cold_guard.sent();
+    server.slow_start.sent();
     if (server.faults.faulty()) server.faults.tried(now_);
-    ++server.sent_since_told;
+    ++server.sent_since_report;
     act(SendSetup{call.request.call, server.entry.server, call.request.deadline});
     // In time for another attempt within the aim, should this one stay unanswered.
     const Time call_off =
         call.first_try + class_of(call).latency_objective - settings_.release_guard - kHoldReserve;
-    if (tolerated() > 0 && settings_.may_cancel && call_off > now_ && call.attempts < call.most_attempts)
+    if (tolerated() > 0 && settings_.may_cancel && call_off > now_ && call.attempts < call.max_attempts)
       wake(call.request.call, std::max(call_off - now_, kLostAfter));
   }
 
@@ -916,14 +916,14 @@
   // many taken there as this one.
   double capacity(const Server& server) {
     Place& place = places_[server.entry.pool];
-    if (!server.lines_told) return place.taken_per_s(now_) * std::max(1U, settings_.senders);
-    return std::clamp(place.most(now_), kLeastBusy * server.lines, server.lines) / mean_hold_s_;
+    if (!server.circuits_reported) return place.taken_per_s(now_) * std::max(1U, settings_.senders);
+    return std::clamp(place.most(now_), kMinBusyShare * server.circuits, server.circuits) / mean_hold_s_;
   }
 
   // What a cold one can be taken to set up now: its least by the rules, or what it says itself.
   double cold_capacity(const Server& server) {
     const double least = settings_.slow_start_fraction * capacity(server);
-    return server.allowed_per_s ? std::max(least, kToldRateBelief * *server.allowed_per_s) : least;
+    return server.allowed_per_s ? std::max(least, kReportedRateBelief * *server.allowed_per_s) : least;
   }
 
   // -- small things
@@ -939,7 +939,7 @@
     }
   }
 
-  void forget_if_over(CallId id) {
+  void forget_if_finished(CallId id) {
     const auto it = calls_.find(id);
     if (it != calls_.end() && it->second.answered && !it->second.out) calls_.erase(it);
   }
@@ -961,8 +961,9 @@
   Random random_;
   double mean_hold_s_ = 1e-3;  // of the class that holds longest: capacity is rather taken too low
   Time now_{};
-  std::optional<Time> turn_before_;          // when something was told last
-  std::map<ClassIndex, Duration> patience_;  // the longest time left by a call of the class when it was told
+  std::optional<Time> turn_before_;  // when something was told last
+  std::map<ClassIndex, Duration>
+      caller_timeout_;  // the longest time left by a call of the class when it was told
   std::vector<Action>* actions_ = nullptr;
   std::map<ServerId, Server> servers_;
   std::map<Pool, Place> places_;  // outlives the processors that serve there
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -234,9 +234,9 @@
     ServerState state{};
     std::optional<Time> online_since{};
     std::deque<Time> recent_sends{};  // within the last window
-    std::deque<Time>
-        recently_established{};  // set-ups that stood there within the last window, while it was cold
-    double peak_sends = 0.0;     // the most sends within a window while it was warm
+    // set-ups that stood there within the last window, while it was cold
+    std::deque<Time> recently_established{};
+    double peak_sends = 0.0;  // the most sends within a window while it was warm
   };
   struct PendingTimer {
     enum class Kind : std::uint8_t { deadline, guard, module } kind{};
--- a/src/core/contracts.h
+++ b/src/core/contracts.h
@@ -27,8 +27,8 @@
   struct Terms {
     std::optional<Duration> deadline{};
     std::optional<int> attempts{};
-    std::optional<Duration>
-        over_budget_retry_after{};  // set: refuse at once; the budget has room again after this
+    // set: refuse at once; the budget has room again after this
+    std::optional<Duration> over_budget_retry_after{};
   };
   // Takes one request out of the budget, where it has room.
   Terms admit(Time now, std::string_view team, std::string_view call_class);
--- a/src/distribution/distributor.h
+++ b/src/distribution/distributor.h
@@ -10,11 +10,11 @@
 // subscribed to each other's documents by the same messages as gatekeepers, to all services.
 //
 // What it accepted and committed is saved before it is answered or told (Save comes before the effects that
-// rest on it, in one step's order). A distributor that starts from nothing accepts no proposal for kSilence,
-// longer than a proposal lives (kProposalLives), and not before a majority of the others that have a vote
-// have told it all they know, or all of them say that they too are new. So what it may have accepted before
-// cannot be accepted twice. What gatekeepers have in force and no distributor knows any more is asked back
-// from them (Ask).
+// rest on it, in one step's order). A distributor that starts from nothing accepts no proposal for
+// kRecoveryWait, longer than a proposal lives (kProposalTtl), and not before a majority of the others that
+// have a vote have told it all they know, or all of them say that they too are new. So what it may have
+// accepted before cannot be accepted twice. What gatekeepers have in force and no distributor knows any more
+// is asked back from them (Ask).
 //
 // Invariants.
 //  1. The committed version of a service never goes back, and no version has two digests, over restarts of
@@ -23,8 +23,9 @@
 //  2. Nothing is told to anybody that is not committed, and nothing is committed that is not sound.
 //  3. A client is owed at most one notice's answer at a time: a slow one is told the newest, never a backlog.
 //
-// Bounds: kMostServices documents and as many accepted ones, kMostClients clients with kMostSubscribed
-// services each, kMostProposals proposals of one's own, kMostQueued documents waiting to be delivered.
+// Bounds: kMaxServices documents and as many accepted ones, kMaxClients clients with kMaxSubscribedServices
+// services each, kMaxProposals proposals of one's own, kMaxQueuedDeliveries documents waiting to be
+// delivered.
 #pragma once
 
 #include <array>
@@ -37,25 +38,26 @@
 #include <variant>
 #include <vector>
 
-#include "distribution/document.h"
+#include "distribution/service_config.h"
 #include "distribution/subscriber.h"
 
 namespace graniterun::distribution {
 
-constexpr std::size_t kMostDistributors = 64;
-constexpr std::size_t kMostClients = 4096;
-constexpr std::size_t kMostProposals = 64;
-constexpr std::size_t kMostNoticed = 100;  // entries of one notice
-constexpr std::size_t kMostLost = 4096;    // names of gatekeepers that are gone, kept for kLostKept
-constexpr Duration kLostKept = std::chrono::minutes(10);
-constexpr Duration kProposalLives = std::chrono::seconds(3);  // then it is given up, and never committed
-constexpr Duration kSilence = std::chrono::seconds(8);        // more than twice that
-constexpr Duration kUnread = std::chrono::seconds(30);        // a notice; then the client is closed
-constexpr Duration kBeatEvery = std::chrono::seconds(5);
-constexpr std::size_t kMostQueued = 16384;    // documents that wait to be delivered, to all clients
-constexpr std::size_t kMostPeerFetches = 32;  // documents on their way to a distributor
-constexpr int kMostTries = 5;                 // numbers drawn for one publication
-constexpr std::size_t kBuckets = 64;          // parts in which what is known is saved: a service is in one
+constexpr std::size_t kMaxDistributors = 64;
+constexpr std::size_t kMaxClients = 4096;
+constexpr std::size_t kMaxProposals = 64;
+constexpr std::size_t kMaxNotifiedVersions = 100;  // entries of one notice
+// names of gatekeepers that are gone, kept for kLostRetention
+constexpr std::size_t kMaxLostGatekeepers = 4096;
+constexpr Duration kLostRetention = std::chrono::minutes(10);
+constexpr Duration kProposalTtl = std::chrono::seconds(3);   // then it is given up, and never committed
+constexpr Duration kRecoveryWait = std::chrono::seconds(8);  // more than twice that
+constexpr Duration kNotificationTimeout = std::chrono::seconds(30);  // a notice; then the client is closed
+constexpr Duration kHeartbeatInterval = std::chrono::seconds(5);
+constexpr std::size_t kMaxQueuedDeliveries = 16384;  // documents that wait to be delivered, to all clients
+constexpr std::size_t kMaxPeerFetches = 32;          // documents on their way to a distributor
+constexpr int kMaxPublishAttempts = 5;               // numbers drawn for one publication
+constexpr std::size_t kBuckets = 64;  // parts in which what is known is saved: a service is in one
 
 struct DistributorSettings {
   std::string name{};
@@ -66,17 +68,18 @@
 };
 
 // Whether this one's answer counts in a majority.
-enum class Standing : std::uint8_t {
-  is_new,      // started from nothing, and knows of nobody who was not
-  recovering,  // started from nothing among others who know something
+enum class VoterState : std::uint8_t {
+  uninitialized,  // started from nothing, and knows of nobody who was not
+  recovering,     // started from nothing among others who know something
   voting,
 };
 
 // What is saved of a service.
-struct Record {
-  std::optional<Document> committed{};
-  std::optional<Document> accepted{};  // above what is committed, or none
-  Version seen{};  // the highest that was accepted or committed here, or that others told before it voted
+struct ServiceRecord {
+  std::optional<ServiceConfig> committed{};
+  std::optional<ServiceConfig> accepted{};  // above what is committed, or none
+  // the highest that was accepted or committed here, or that others told before it voted
+  Version highest_seen{};
 };
 
 // ---- events. A client is a connection that came in; a peer is another distributor that this one connects
@@ -85,175 +88,178 @@
 using ClientId = std::uint64_t;
 
 struct Restored {  // once, first of all: what was saved; `nothing`: there were no files at all
-  std::map<std::string, Record> records{};
-  bool nothing = false;
+  std::map<std::string, ServiceRecord> records{};
+  bool empty = false;
 };
-struct PeerUp {
+struct PeerConnected {
   std::uint32_t peer{};
 };
-struct PeerDown {
+struct PeerDisconnected {
   std::uint32_t peer{};
 };
 // A peer's news, as a gatekeeper gets them, and the highest number that it has seen of each.
-struct PeerNoticed {
+struct PeerVersionsNotified {
   std::uint32_t peer{};
   struct Entry {
     std::string service{};
-    Stamp stamp{};  // none: nothing is committed there
-    Version seen{};
+    VersionId id{};  // none: nothing is committed there
+    Version highest_seen{};
   };
   std::vector<Entry> entries{};
   bool complete = false;
-  Standing standing{};
+  VoterState voter_state{};
 };
-struct PeerDelivered {
+struct PeerConfigDelivered {
   std::uint32_t peer{};
-  Document document{};
+  ServiceConfig config{};
 };
-struct PeerNotThere {
+struct PeerConfigMissing {
   std::uint32_t peer{};
   std::string service{};
 };
-struct PeerAnswered {  // a proposal of ours
+struct ProposalAnswered {  // a proposal of ours
   std::uint32_t peer{};
   std::uint64_t proposal{};
   bool accepted = false;
-  Version seen{};  // where it was not
+  Version highest_seen{};  // where it was not
 };
-struct ClientUp {
+struct ClientConnected {
   ClientId client{};
 };
-struct ClientDown {
+struct ClientDisconnected {
   ClientId client{};
 };
-struct Subscribed {
+struct SubscriptionReceived {
   ClientId client{};
   std::string name{};
   bool all = false;  // a distributor: every service, and `seen` with each
-  std::vector<Noticed::Entry> held{};
+  std::vector<VersionsNotified::Entry> held{};
   bool primary = false;
 };
-struct PrimaryTold {
+struct PrimaryChanged {
   ClientId client{};
   bool primary = false;
 };
-struct Heard {  // the notice has been read
+struct NotificationAcknowledged {  // the notice has been read
   ClientId client{};
 };
-struct Fetched {
+struct FetchRequested {
   ClientId client{};
   std::string service{};
   Version version{};
 };
-struct Reported {
+struct StatusReported {
   ClientId client{};
   std::string service{};
-  Stamp stamp{};
-  bool in_force = false;
+  VersionId id{};
+  bool active = false;
   std::string reason{};
 };
-struct Handed {
+struct ConfigReturned {
   ClientId client{};
-  Document document{};
+  ServiceConfig config{};
 };
-struct Proposed {
+struct ProposalReceived {
   ClientId client{};
   std::uint64_t proposal{};
-  Document document{};
+  ServiceConfig config{};
 };
-struct Publish {
+struct PublishRequested {
   std::uint64_t request{};  // the edge's own
   std::string service{};
   std::string content{};
-  Version guess{};  // Unix time in milliseconds, the edge's; 0: `now` counts as it
+  Version version_hint{};  // Unix time in milliseconds, the edge's; 0: `now` counts as it
 };
 
-using DistributorEvent = std::variant<Restored, PeerUp, PeerDown, PeerNoticed, PeerDelivered, PeerNotThere,
-                                      PeerAnswered, ClientUp, ClientDown, Subscribed, PrimaryTold, Heard,
-                                      Fetched, Reported, Handed, Proposed, Publish, Tick>;
+using DistributorEvent =
+    std::variant<Restored, PeerConnected, PeerDisconnected, PeerVersionsNotified, PeerConfigDelivered,
+                 PeerConfigMissing, ProposalAnswered, ClientConnected, ClientDisconnected,
+                 SubscriptionReceived, PrimaryChanged, NotificationAcknowledged, FetchRequested,
+                 StatusReported, ConfigReturned, ProposalReceived, PublishRequested, Tick>;
 
 // ---- effects
 
-struct Save {  // the bucket, whole: `records_in(bucket)`
+struct SaveBucket {  // the bucket, whole: `records_in(bucket)`
   std::size_t bucket{};
 };
-struct SubscribeAll {
+struct SubscribeToPeer {
   std::uint32_t peer{};
 };
-struct FetchFrom {
+struct FetchFromPeer {
   std::uint32_t peer{};
   std::string service{};
   Version version{};
 };
-struct HeardFrom {  // its notice has been read
+struct AcknowledgePeer {  // its notice has been read
   std::uint32_t peer{};
 };
-struct Propose {
+struct SendProposal {
   std::uint32_t peer{};
   std::uint64_t proposal{};
-  Document document{};
+  ServiceConfig config{};
 };
 struct AnswerProposal {
   ClientId client{};
   std::uint64_t proposal{};
   bool accepted = false;
-  Version seen{};
+  Version highest_seen{};
 };
-struct Notice {
+struct NotifyVersions {
   ClientId client{};
-  std::vector<PeerNoticed::Entry> entries{};
+  std::vector<PeerVersionsNotified::Entry> entries{};
   bool complete = false;
-  bool with_seen = false;  // the client is a distributor
-  Standing standing{};
+  bool with_highest_seen = false;  // the client is a distributor
+  VoterState voter_state{};
 };
-struct Deliver {
+struct DeliverConfig {
   ClientId client{};
-  Document document{};
+  ServiceConfig config{};
 };
-struct Missing {  // what was asked for is not to be had here
+struct SendMissing {  // what was asked for is not to be had here
   ClientId client{};
   std::string service{};
 };
-struct Ask {  // the client has something newer in force than is known here
+struct RequestConfig {  // the client has something newer in force than is known here
   ClientId client{};
   std::string service{};
 };
-struct SendBeat {
+struct SendHeartbeat {
   ClientId client{};
 };
 struct CloseClient {  // it said what no client says
   ClientId client{};
-  std::string why{};
+  std::string reason{};
 };
-struct Published {
+struct PublishFinished {
   std::uint64_t request{};
   bool committed = false;
-  Stamp stamp{};
-  std::string
-      why{};  // where it is not: "no majority", "others publish it", "not voting yet", "too large", ...
+  VersionId id{};
+  // where it is not: "no majority", "others publish it", "not voting yet", "too large", ...
+  std::string reason{};
 };
-enum class DistributorTold : std::uint8_t {
+enum class DistributorLogKind : std::uint8_t {
   committed,
   accepted,
-  turned_down,  // a proposal of another one, for its number
-  given_up,     // a proposal of one's own
-  stale,        // a peer or client told of an older version
-  conflict,     // two digests under one committed number: must never be
+  rejected,   // a proposal of another one, for its number
+  abandoned,  // a proposal of one's own
+  stale,      // a peer or client told of an older version
+  conflict,   // two digests under one committed number: must never be
   unsound,
-  learned_back,  // a document that a gatekeeper had in force was taken from it
-  standing,      // it has changed
-  full,          // a bound was reached: what it is stands in `reason`
+  recovered,    // a document that a gatekeeper had in force was taken from it
+  voter_state,  // it has changed
+  full,         // a bound was reached: what it is stands in `reason`
 };
-struct DistributorHappened {
-  DistributorTold what{};
+struct DistributorLogEvent {
+  DistributorLogKind kind{};
   std::string service{};
   Version version{};
   std::string reason{};
 };
 
 using DistributorEffect =
-    std::variant<Save, SubscribeAll, FetchFrom, HeardFrom, Propose, AnswerProposal, Notice, Deliver, Missing,
-                 Ask, SendBeat, CloseClient, Published, DistributorHappened>;
+    std::variant<SaveBucket, SubscribeToPeer, FetchFromPeer, AcknowledgePeer, SendProposal, AnswerProposal,
+                 NotifyVersions, DeliverConfig, SendMissing, RequestConfig, SendHeartbeat, CloseClient,
+                 PublishFinished, DistributorLogEvent>;
 using DistributorEffects = std::vector<DistributorEffect>;
 
 class Distributor {
@@ -264,149 +270,151 @@
   // something.
   void step(Time now, const DistributorEvent& event, DistributorEffects& out);
 
-  Standing standing() const { return standing_; }
+  VoterState voter_state() const { return voter_state_; }
   static std::size_t bucket_of(std::string_view service);
-  std::map<std::string, Record> records_in(std::size_t bucket) const;  // linear in the bucket
-  const std::map<std::string, Record>& records() const { return records_; }
+  std::map<std::string, ServiceRecord> records_in(std::size_t bucket) const;  // linear in the bucket
+  const std::map<std::string, ServiceRecord>& records() const { return records_; }
 
   // How far a service's document has come among the gatekeepers that count themselves here (`primary`).
   struct Status {
-    Stamp committed{};
+    VersionId committed{};
     std::size_t subscribed = 0;
-    std::size_t in_force = 0;
-    struct Refusal {
+    std::size_t active = 0;
+    struct Rejection {
       std::string name{};
       Version version{};
       std::string reason{};
     };
-    std::vector<Refusal> refused{};  // 100 at most
-    std::size_t refused_all = 0;
+    std::vector<Rejection> rejections{};  // 100 at most
+    std::size_t rejected_count = 0;
     std::vector<std::string> behind{};  // names, 100 at most
-    std::size_t behind_all = 0;
+    std::size_t behind_count = 0;
   };
   Status status(std::string_view service) const;
-  struct Lost {
+  struct LostGatekeeper {
     std::string name{};
-    Time since{};
+    Time lost_at{};
   };
-  std::vector<Lost> lost() const;              // counted themselves here, and are not connected any more
-  bool attached(std::string_view name) const;  // whether a gatekeeper of that name is connected here
+  std::vector<LostGatekeeper> lost_gatekeepers()
+      const;                                      // counted themselves here, and are not connected any more
+  bool is_attached(std::string_view name) const;  // whether a gatekeeper of that name is connected here
   std::size_t clients() const;
 
  private:
   struct Peer {
-    bool up = false;
+    bool connected = false;
     bool subscribed = false;
-    bool told_all = false;     // since this one may count it: see `may_subscribe`
-    bool told_voting = false;  // the same, while it was voting
+    bool synchronized = false;           // since this one may count it: see `may_subscribe`
+    bool synchronized_by_voter = false;  // the same, while it was voting
   };
   struct Subscription {
-    Stamp held{};  // in force there
-    Stamp told{};  // the newest it was told of
-    std::optional<Stamp> refused{};
+    VersionId active{};    // in force there
+    VersionId notified{};  // the newest it was told of
+    std::optional<VersionId> rejected{};
     std::string reason{};
   };
   struct Client {
     std::string name{};
     bool subscribed = false;
-    bool all = false;
+    bool is_distributor = false;
     bool primary = false;
-    bool unanswered = false;  // a notice is out
-    bool complete = false;    // it was told that it has been told all
-    bool standing_owed = false;
-    Time noticed{};
-    Time said{};  // anything at all
+    bool notification_pending = false;  // a notice is out
+    bool complete = false;              // it was told that it has been told all
+    bool voter_state_pending = false;
+    Time notified_at{};
+    Time last_sent_at{};  // anything at all
     std::map<std::string, Subscription, std::less<>> services{};
-    std::set<std::string> owed{};
-    std::set<std::string> queued{};  // documents that it waits for
+    std::set<std::string> pending_services{};
+    std::set<std::string> queued_deliveries{};  // documents that it waits for
   };
   struct Publication {
     std::uint64_t request{};
-    Document document{};
-    Version guess{};
-    int tries = 0;
-    bool out = false;  // proposed; else it waits for `when`
-    Time when{};       // the proposal's end, or the next try
-    std::set<std::uint32_t> accepted{};
-    std::set<std::uint32_t> refused{};
-    bool number_taken = false;
+    ServiceConfig config{};
+    Version version_hint{};
+    int attempts = 0;
+    bool proposed = false;  // proposed; else it waits for `when`
+    Time due_at{};          // the proposal's end, or the next try
+    std::set<std::uint32_t> accepted_by{};
+    std::set<std::uint32_t> rejected_by{};
+    bool version_taken = false;
   };
-  struct Want {  // of peers
-    std::map<std::uint32_t, Stamp> has{};
-    std::optional<std::uint32_t> asked{};
-    Time until{};
+  struct PendingFetch {  // of peers
+    std::map<std::uint32_t, VersionId> offers{};
+    std::optional<std::uint32_t> asked_peer{};
+    Time deadline{};
     std::map<std::uint32_t, Time> not_before{};
   };
-  struct Asking {  // of clients
+  struct PendingRecovery {  // of clients
     Version version{};
-    std::optional<ClientId> asked{};
-    Time until{};  // then another one is asked
+    std::optional<ClientId> asked_client{};
+    Time deadline{};  // then another one is asked
   };
-  struct Queued {
+  struct QueuedDelivery {
     Version version{};
     std::uint64_t number{};
     ClientId client{};
     std::string service{};
-    bool operator<(const Queued& other) const {  // the newest first
+    bool operator<(const QueuedDelivery& other) const {  // the newest first
       return version != other.version ? version > other.version : number < other.number;
     }
   };
 
   void on(Time now, const Restored& e, DistributorEffects& out);
-  void on(Time now, const PeerUp& e, DistributorEffects& out);
-  void on(Time now, const PeerDown& e, DistributorEffects& out);
-  void on(Time now, const PeerNoticed& e, DistributorEffects& out);
-  void on(Time now, const PeerDelivered& e, DistributorEffects& out);
-  void on(Time now, const PeerNotThere& e, DistributorEffects& out);
-  void on(Time now, const PeerAnswered& e, DistributorEffects& out);
-  void on(Time now, const ClientUp& e, DistributorEffects& out);
-  void on(Time now, const ClientDown& e, DistributorEffects& out);
-  void on(Time now, const Subscribed& e, DistributorEffects& out);
-  void on(Time now, const PrimaryTold& e, DistributorEffects& out);
-  void on(Time now, const Heard& e, DistributorEffects& out);
-  void on(Time now, const Fetched& e, DistributorEffects& out);
-  void on(Time now, const Reported& e, DistributorEffects& out);
-  void on(Time now, const Handed& e, DistributorEffects& out);
-  void on(Time now, const Proposed& e, DistributorEffects& out);
-  void on(Time now, const Publish& e, DistributorEffects& out);
+  void on(Time now, const PeerConnected& e, DistributorEffects& out);
+  void on(Time now, const PeerDisconnected& e, DistributorEffects& out);
+  void on(Time now, const PeerVersionsNotified& e, DistributorEffects& out);
+  void on(Time now, const PeerConfigDelivered& e, DistributorEffects& out);
+  void on(Time now, const PeerConfigMissing& e, DistributorEffects& out);
+  void on(Time now, const ProposalAnswered& e, DistributorEffects& out);
+  void on(Time now, const ClientConnected& e, DistributorEffects& out);
+  void on(Time now, const ClientDisconnected& e, DistributorEffects& out);
+  void on(Time now, const SubscriptionReceived& e, DistributorEffects& out);
+  void on(Time now, const PrimaryChanged& e, DistributorEffects& out);
+  void on(Time now, const NotificationAcknowledged& e, DistributorEffects& out);
+  void on(Time now, const FetchRequested& e, DistributorEffects& out);
+  void on(Time now, const StatusReported& e, DistributorEffects& out);
+  void on(Time now, const ConfigReturned& e, DistributorEffects& out);
+  void on(Time now, const ProposalReceived& e, DistributorEffects& out);
+  void on(Time now, const PublishRequested& e, DistributorEffects& out);
   void on(Time now, const Tick& e, DistributorEffects& out);
 
   std::size_t majority() const { return (settings_.peers + 1) / 2 + 1; }
-  Record& record_of(const std::string& service);
-  Stamp committed(const std::string& service) const;
-  Version seen(const std::string& service) const;
+  ServiceRecord& record_of(const std::string& service);
+  VersionId committed(const std::string& service) const;
+  Version highest_seen(const std::string& service) const;
   bool may_subscribe(Time now) const;
   bool may_complete(const Client& client) const;
-  bool has_room_for(const std::string& service) const;
-  void subscribe(Time now, DistributorEffects& out);
-  void set_standing(Time now, Standing standing, DistributorEffects& out);
-  void recover(Time now, DistributorEffects& out);
-  bool commit(Time now, const Document& document, DistributorEffects& out);
+  bool has_capacity_for(const std::string& service) const;
+  void subscribe_to_peers(Time now, DistributorEffects& out);
+  void set_voter_state(Time now, VoterState standing, DistributorEffects& out);
+  void update_recovery(Time now, DistributorEffects& out);
+  bool commit(Time now, const ServiceConfig& document, DistributorEffects& out);
   void propose(Time now, std::uint64_t id, Publication publication, DistributorEffects& out);
-  void try_again(Time now, std::uint64_t id, const std::string& why, DistributorEffects& out);
-  void end(Time now, std::uint64_t id, DistributorEffects& out);
-  void give_up(std::uint64_t id, const std::string& why, DistributorEffects& out);
+  void retry_publication(Time now, std::uint64_t id, const std::string& why, DistributorEffects& out);
+  void end_proposal(Time now, std::uint64_t id, DistributorEffects& out);
+  void abandon_publication(std::uint64_t id, const std::string& why, DistributorEffects& out);
   void count_votes(Time now, std::uint64_t id, DistributorEffects& out);
-  void notify(Time now, ClientId id, Client& client, DistributorEffects& out);
-  void drop(Time now, ClientId id);
-  void close(Time now, ClientId id, const std::string& why, DistributorEffects& out);
-  void fetch_more(Time now, DistributorEffects& out, bool at_tick = false);
-  void deliver(Time now, DistributorEffects& out);
-  void look_at(Time now, const std::string& service, const Stamp& in_force, DistributorEffects& out);
-  void ask_more(Time now, DistributorEffects& out);
-  void happened(DistributorTold what, const std::string& service, Version version, std::string reason,
-                DistributorEffects& out) const;
-  void lose(Time now, const std::string& name);
+  void notify_client(Time now, ClientId id, Client& client, DistributorEffects& out);
+  void forget_client(Time now, ClientId id);
+  void close_client(Time now, ClientId id, const std::string& why, DistributorEffects& out);
+  void start_peer_fetches(Time now, DistributorEffects& out, bool at_tick = false);
+  void deliver_queued(Time now, DistributorEffects& out);
+  void compare_reported_version(Time now, const std::string& service, const VersionId& in_force,
+                                DistributorEffects& out);
+  void request_missing_configs(Time now, DistributorEffects& out);
+  void log_event(DistributorLogKind what, const std::string& service, Version version, std::string reason,
+                 DistributorEffects& out) const;
+  void remember_lost(Time now, const std::string& name);
 
   DistributorSettings settings_;
-  Standing standing_ = Standing::is_new;
-  std::map<std::string, Record> records_;
+  VoterState voter_state_ = VoterState::uninitialized;
+  std::map<std::string, ServiceRecord> records_;
   std::array<std::set<std::string>, kBuckets> buckets_;  // the services of each
   std::mt19937_64 random_;
-  bool born_known_ = false;
-  Time born_{};
-  Time ticked_{};
-  Time woke_{};
+  bool started_ = false;
+  Time started_at_{};
+  Time last_tick_at_{};
+  Time resumed_at_{};
   bool settled_ = false;  // it votes, and has what was told to it when it began to
   Time voting_since_{};
   std::vector<Peer> peers_;
@@ -415,15 +423,15 @@
   std::set<ClientId> distributors_;  // clients that are subscribed to all
   std::map<std::string, std::set<ClientId>, std::less<>> by_name_;
   std::map<std::uint64_t, Publication> publications_;
-  std::map<std::string, Want> wants_;
-  std::size_t fetching_ = 0;
-  std::map<std::string, Asking> asking_;
-  std::set<Queued> queue_;
-  std::uint64_t queued_ = 0;
+  std::map<std::string, PendingFetch> pending_fetches_;
+  std::size_t fetches_in_flight_ = 0;
+  std::map<std::string, PendingRecovery> pending_recoveries_;
+  std::set<QueuedDelivery> deliveries_;
+  std::uint64_t last_delivery_ = 0;
   double tokens_ = 0;  // bytes; below 0 where a document was larger than what was left
-  Time filled_{};
-  std::set<std::pair<Time, ClientId>> beats_;
-  std::map<std::string, Time, std::less<>> lost_;
+  Time tokens_refilled_at_{};
+  std::set<std::pair<Time, ClientId>> heartbeats_;
+  std::map<std::string, Time, std::less<>> lost_gatekeepers_;
 };
 
 }  // namespace graniterun::distribution
--- a/src/distribution/document.cpp
+++ b/src/distribution/service_config.cpp
@@ -1,4 +1,4 @@
-#include "distribution/document.h"
+#include "distribution/service_config.h"
 
 #include <sodium.h>
 
@@ -40,21 +40,21 @@
   return digest;
 }
 
-bool is_sound(const Key& key, const Document& document) {
-  if (document.stamp.none() || !is_service(document.service)) return false;
-  if (document.content.size() > kLargestDocument) return false;
-  return digest_of(key, document.service, document.stamp.version, document.content) == document.stamp.digest;
+bool is_sound(const Key& key, const ServiceConfig& document) {
+  if (document.id.none() || !is_service_name(document.service)) return false;
+  if (document.content.size() > kMaxConfigBytes) return false;
+  return digest_of(key, document.service, document.id.version, document.content) == document.id.digest;
 }
 
-bool is_service(std::string_view name) {
-  if (name.empty() || name.size() > kLongestService) return false;
+bool is_service_name(std::string_view name) {
+  if (name.empty() || name.size() > kMaxServiceNameLength) return false;
   return std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
            c == '-' || c == '_';
   });
 }
 
-std::string hex_of(const Digest& digest) {
+std::string to_hex(const Digest& digest) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string hex;
   hex.reserve(digest.size() * 2);
@@ -65,7 +65,7 @@
   return hex;
 }
 
-bool digest_in(std::string_view hex, Digest& out) {
+bool parse_digest(std::string_view hex, Digest& out) {
   if (hex.size() != out.size() * 2) return false;
   Digest digest{};
   for (std::size_t i = 0; i < digest.size(); ++i) {
--- a/src/distribution/document.h
+++ b/src/distribution/service_config.h
@@ -14,10 +14,10 @@
 
 namespace graniterun::distribution {
 
-constexpr std::size_t kLongestService = 64;          // bytes of a service's name; 1 at least
-constexpr std::size_t kLargestDocument = 12 * 1024;  // bytes of a content, so that a document fits one line
-constexpr std::size_t kMostServices = 4096;          // that a distributor holds documents of
-constexpr std::size_t kMostSubscribed = 64;          // services of one gatekeeper
+constexpr std::size_t kMaxServiceNameLength = 64;   // bytes of a service's name; 1 at least
+constexpr std::size_t kMaxConfigBytes = 12 * 1024;  // bytes of a content, so that a document fits one line
+constexpr std::size_t kMaxServices = 4096;          // that a distributor holds documents of
+constexpr std::size_t kMaxSubscribedServices = 64;  // services of one gatekeeper
 
 // A number of a service's documents; 0: none. The first guess is Unix time in milliseconds, and no more than
 // a guess: numbers of one service are compared with each other only.
@@ -29,27 +29,27 @@
 using Digest = std::array<unsigned char, 32>;
 
 // Which document of a service.
-struct Stamp {
+struct VersionId {
   Version version{};
   Digest digest{};
-  auto operator<=>(const Stamp&) const = default;
+  auto operator<=>(const VersionId&) const = default;
   bool none() const { return version == 0; }
 };
 
-struct Document {
+struct ServiceConfig {
   std::string service{};
-  Stamp stamp{};
+  VersionId id{};
   std::string content{};
-  bool operator==(const Document&) const = default;
+  bool operator==(const ServiceConfig&) const = default;
 };
 
 // Cost: linear in the content. Needs no initialisation of libsodium.
 Digest digest_of(const Key& key, std::string_view service, Version version, std::string_view content);
 // Its digest is its own, its name and content are within their bounds, its number is not 0.
-bool is_sound(const Key& key, const Document& document);
-bool is_service(std::string_view name);  // 1 to 64 of a-z, A-Z, 0-9, '.', '-', '_'
+bool is_sound(const Key& key, const ServiceConfig& document);
+bool is_service_name(std::string_view name);  // 1 to 64 of a-z, A-Z, 0-9, '.', '-', '_'
 
-std::string hex_of(const Digest& digest);  // 64 digits
-bool digest_in(std::string_view hex, Digest& out);
+std::string to_hex(const Digest& digest);  // 64 digits
+bool parse_digest(std::string_view hex, Digest& out);
 
 }  // namespace graniterun::distribution
