--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -10,18 +10,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kOpenWithin = 5s;
+constexpr Duration kOpenTimeout = 5s;
 // A source that was up for so long is tried at once when it is lost, and not after the doubled pause.
-constexpr Duration kSteady = 10s;
+constexpr Duration kSteadyConnection = 10s;
 // A source that did not have what it told of, or told something unsound, is asked again after so long.
-constexpr Duration kAskAgain = 500ms;
+constexpr Duration kOfferRetryDelay = 500ms;
 // A tick so late is a stop of this process: what sources said meanwhile has not been read yet.
-constexpr Duration kStopped = 1s;
+constexpr Duration kPauseThreshold = 1s;
 
 }  // namespace
 
 Version Subscriber::Service::floor() const {
-  return std::max(in_force ? in_force->stamp.version : 0, newer ? newer->stamp.version : 0);
+  return std::max(active ? active->id.version : 0, candidate ? candidate->id.version : 0);
 }
 
 Subscriber::Subscriber(SubscriberSettings settings)
@@ -30,7 +30,7 @@
       sources_(settings_.distributors.size()),
       random_(settings_.seed) {
   for (const std::string& name : settings_.services) {
-    if (services_.size() >= kMostSubscribed) break;
+    if (services_.size() >= kMaxSubscribedServices) break;
     if (!places_.emplace(name, services_.size()).second) continue;
     services_.push_back({});
     services_.back().name = name;
@@ -43,71 +43,73 @@
 }
 
 void Subscriber::start(Time now, SubscriberEffects& out) {
-  began_ = now;
-  ticked_ = now;
-  hold_sources(now, out);
-  become_ready(now, out);
+  started_at_ = now;
+  last_tick_at_ = now;
+  maintain_sources(now, out);
+  update_readiness(now, out);
 }
 
 void Subscriber::step(Time now, const SubscriberEvent& event, SubscriberEffects& out) {
   std::visit([&](const auto& e) { on(now, e, out); }, event);
-  fetch_more(now, out);
-  apply_more(now, out);
-  hold_sources(now, out);
-  become_ready(now, out);
+  start_fetches(now, out);
+  start_apply(now, out);
+  maintain_sources(now, out);
+  update_readiness(now, out);
 }
 
 // ---- sources
 
-void Subscriber::heard(Time now, std::uint32_t source) {
-  if (source < sources_.size()) sources_[source].heard = now;
+void Subscriber::record_source_input(Time now, std::uint32_t source) {
+  if (source < sources_.size()) sources_[source].last_received_at = now;
 }
 
-void Subscriber::on(Time now, const SourceUp& e, SubscriberEffects& out) {
+void Subscriber::on(Time now, const SourceConnected& e, SubscriberEffects& out) {
   if (e.source >= sources_.size() || sources_[e.source].state != Source::State::opening) return;
   Source& source = sources_[e.source];
-  source.state = Source::State::up;
+  source.state = Source::State::connected;
   source.complete = false;
-  source.since = now;
-  source.heard = now;
-  out.emplace_back(Happened{Told::source_up, {}, 0, settings_.distributors[e.source]});
+  source.state_since = now;
+  source.last_received_at = now;
+  out.emplace_back(
+      SubscriberLogEvent{SubscriberLogKind::source_connected, {}, 0, settings_.distributors[e.source]});
   choose_primary(e.source, out);
   Subscribe subscribe{e.source, {}, primary_ == e.source};
   for (const Service& s : services_)
-    subscribe.held.push_back({s.name, s.in_force ? s.in_force->stamp : Stamp{}});
+    subscribe.held.push_back({s.name, s.active ? s.active->id : VersionId{}});
   out.emplace_back(std::move(subscribe));
   for (const Service& s : services_) {
-    if (s.refused) report(s, e.source, out);
+    if (s.rejected) report_status(s, e.source, out);
   }
 }
 
 // What it told is no more to be had from it.
-void Subscriber::forget(std::uint32_t source) {
+void Subscriber::forget_source(std::uint32_t source) {
   for (Service& s : services_) {
     s.offers.erase(source);
     if (s.fetch && s.fetch->source == source) s.fetch.reset();
   }
 }
 
-void Subscriber::lose(Time now, std::uint32_t index, SubscriberEffects& out) {
+void Subscriber::handle_source_lost(Time now, std::uint32_t index, SubscriberEffects& out) {
   Source& source = sources_[index];
-  const bool was_up = source.state == Source::State::up;
-  if (was_up && now - source.since >= kSteady) source.pause = kRetryLeast;
-  std::uniform_int_distribution<Duration::rep> draw(source.pause.count() / 2, source.pause.count());
-  source.retry = now + Duration(draw(random_));
-  source.pause = std::min<Duration>(source.pause * 2, kRetryMost);
-  source.state = Source::State::shut;
+  const bool was_up = source.state == Source::State::connected;
+  if (was_up && now - source.state_since >= kSteadyConnection) source.backoff = kMinReconnectBackoff;
+  std::uniform_int_distribution<Duration::rep> draw(source.backoff.count() / 2, source.backoff.count());
+  source.reopen_at = now + Duration(draw(random_));
+  source.backoff = std::min<Duration>(source.backoff * 2, kMaxReconnectBackoff);
+  source.state = Source::State::closed;
   source.complete = false;
-  source.since = now;
-  forget(index);
+  source.state_since = now;
+  forget_source(index);
   if (!was_up) return;
-  out.emplace_back(Happened{Told::source_down, {}, 0, settings_.distributors[index]});
+  out.emplace_back(
+      SubscriberLogEvent{SubscriberLogKind::source_disconnected, {}, 0, settings_.distributors[index]});
   choose_primary(std::nullopt, out);
 }
 
-void Subscriber::on(Time now, const SourceDown& e, SubscriberEffects& out) {
-  if (e.source >= sources_.size() || sources_[e.source].state == Source::State::shut) return;
-  lose(now, e.source, out);
+void Subscriber::on(Time now, const SourceDisconnected& e, SubscriberEffects& out) {
+  if (e.source >= sources_.size() || sources_[e.source].state == Source::State::closed) return;
+  handle_source_lost(now, e.source, out);
 }
 
 // The best ranked one of those that are up and have told all, or of those that are up: one that was stopped
@@ -115,160 +117,169 @@
 void Subscriber::choose_primary(std::optional<std::uint32_t> fresh, SubscriberEffects& out) {
   std::optional<std::uint32_t> best;
   for (const std::uint32_t index : ranking_) {
-    if (!is_up(index) || (best && !sources_[index].complete)) continue;
+    if (!is_connected(index) || (best && !sources_[index].complete)) continue;
     if (best && sources_[*best].complete) break;
     best = index;
   }
   if (best == primary_) return;
-  if (primary_ && is_up(*primary_)) out.emplace_back(TellPrimary{*primary_, false});
+  if (primary_ && is_connected(*primary_)) out.emplace_back(SendPrimary{*primary_, false});
   primary_ = best;
-  if (best && best != fresh) out.emplace_back(TellPrimary{*best, true});
+  if (best && best != fresh) out.emplace_back(SendPrimary{*best, true});
 }
 
-void Subscriber::hold_sources(Time now, SubscriberEffects& out) {
+void Subscriber::maintain_sources(Time now, SubscriberEffects& out) {
   // Where better ranked ones have told all, the others are let go.
   std::vector<std::uint32_t> up;
   std::size_t opening = 0;
   for (const std::uint32_t index : ranking_) {
-    if (is_up(index)) up.push_back(index);
+    if (is_connected(index)) up.push_back(index);
     opening += sources_[index].state == Source::State::opening ? 1 : 0;
   }
   while (up.size() > kSources && std::all_of(up.begin(), up.begin() + kSources,
                                              [&](std::uint32_t i) { return sources_[i].complete; })) {
     const std::uint32_t worst = up.back();
     up.pop_back();
-    out.emplace_back(Shut{worst});
-    out.emplace_back(Happened{Told::source_down, {}, 0, settings_.distributors[worst]});
-    sources_[worst].state = Source::State::shut;
+    out.emplace_back(CloseSource{worst});
+    out.emplace_back(
+        SubscriberLogEvent{SubscriberLogKind::source_disconnected, {}, 0, settings_.distributors[worst]});
+    sources_[worst].state = Source::State::closed;
     sources_[worst].complete = false;
-    forget(worst);
+    forget_source(worst);
   }
   bool tries_better = up.size() > kSources || opening > 0;
   for (const std::uint32_t index : ranking_) {
     Source& source = sources_[index];
     const bool wanted = up.size() + opening < kSources;
     if (!wanted && (tries_better || index == up.back())) break;
-    if (source.state != Source::State::shut || source.retry > now) continue;
+    if (source.state != Source::State::closed || source.reopen_at > now) continue;
     tries_better = true;
     source.state = Source::State::opening;
-    source.since = now;
+    source.state_since = now;
     ++opening;
-    out.emplace_back(Open{index});
+    out.emplace_back(OpenSource{index});
   }
 }
 
-void Subscriber::on(Time now, const Beat& e, SubscriberEffects&) { heard(now, e.source); }
+void Subscriber::on(Time now, const HeartbeatReceived& e, SubscriberEffects&) {
+  record_source_input(now, e.source);
+}
 
 void Subscriber::on(Time now, const Tick&, SubscriberEffects& out) {
-  if (now - ticked_ > kStopped) {
-    for (Source& source : sources_) source.heard = source.since = now;
+  if (now - last_tick_at_ > kPauseThreshold) {
+    for (Source& source : sources_) source.last_received_at = source.state_since = now;
     for (Service& s : services_) {
-      if (s.fetch) s.fetch->until = now + kFetchWithin;
+      if (s.fetch) s.fetch->deadline = now + kFetchTimeout;
     }
   }
-  ticked_ = now;
+  last_tick_at_ = now;
   for (std::uint32_t i = 0; i < sources_.size(); ++i) {
     const Source& source = sources_[i];
-    const bool silent = source.state == Source::State::up && now - source.heard >= kSilentSource;
-    const bool never_up = source.state == Source::State::opening && now - source.since >= kOpenWithin;
+    const bool silent =
+        source.state == Source::State::connected && now - source.last_received_at >= kSilentSource;
+    const bool never_up = source.state == Source::State::opening && now - source.state_since >= kOpenTimeout;
     if (!silent && !never_up) continue;
-    out.emplace_back(Shut{i});
-    lose(now, i, out);
+    out.emplace_back(CloseSource{i});
+    handle_source_lost(now, i, out);
   }
   for (Service& s : services_) {
-    if (!s.fetch || now < s.fetch->until) continue;
+    if (!s.fetch || now < s.fetch->deadline) continue;
     const std::uint32_t source = s.fetch->source;
-    out.emplace_back(Happened{Told::fetch_late, s.name, 0, settings_.distributors[source]});
+    out.emplace_back(
+        SubscriberLogEvent{SubscriberLogKind::fetch_timed_out, s.name, 0, settings_.distributors[source]});
     if (const auto offer = s.offers.find(source); offer != s.offers.end())
-      offer->second.not_before = now + kAskAgain;
+      offer->second.not_before = now + kOfferRetryDelay;
     // Who was asked stays known: the document may still come from there.
-    s.fetch->until = Time::max();
+    s.fetch->deadline = Time::max();
   }
 }
 
 // ---- what is told
 
-void Subscriber::on(Time now, const Noticed& e, SubscriberEffects& out) {
-  if (e.source >= sources_.size() || !is_up(e.source)) return;
-  heard(now, e.source);
-  for (const Noticed::Entry& entry : e.entries) {
+void Subscriber::on(Time now, const VersionsNotified& e, SubscriberEffects& out) {
+  if (e.source >= sources_.size() || !is_connected(e.source)) return;
+  record_source_input(now, e.source);
+  for (const VersionsNotified::Entry& entry : e.entries) {
     Service* s = find(entry.service);
     if (s == nullptr) {
-      out.emplace_back(Happened{Told::unasked, entry.service, entry.stamp.version, {}});
+      out.emplace_back(
+          SubscriberLogEvent{SubscriberLogKind::unrequested, entry.service, entry.id.version, {}});
       continue;
     }
     s->offers.erase(e.source);
-    if (s->in_force && entry.stamp.version < s->in_force->stamp.version) {
-      out.emplace_back(Happened{Told::stale, s->name, entry.stamp.version, {}});
+    if (s->active && entry.id.version < s->active->id.version) {
+      out.emplace_back(SubscriberLogEvent{SubscriberLogKind::stale, s->name, entry.id.version, {}});
       continue;
     }
-    for (const auto* held : {&s->in_force, &s->newer}) {
-      if (*held && (*held)->stamp.version == entry.stamp.version && (*held)->stamp != entry.stamp)
-        out.emplace_back(Happened{Told::conflict, s->name, entry.stamp.version, {}});
+    for (const auto* held : {&s->active, &s->candidate}) {
+      if (*held && (*held)->id.version == entry.id.version && (*held)->id != entry.id)
+        out.emplace_back(SubscriberLogEvent{SubscriberLogKind::conflict, s->name, entry.id.version, {}});
     }
-    if (!entry.stamp.none()) s->offers[e.source] = {entry.stamp, {}};
+    if (!entry.id.none()) s->offers[e.source] = {entry.id, {}};
   }
   if (!e.complete || std::exchange(sources_[e.source].complete, true)) return;
   choose_primary(std::nullopt, out);
 }
 
-void Subscriber::on(Time now, const NotThere& e, SubscriberEffects&) {
-  heard(now, e.source);
+void Subscriber::on(Time now, const ConfigMissing& e, SubscriberEffects&) {
+  record_source_input(now, e.source);
   Service* s = find(e.service);
   if (s == nullptr) return;
   if (const auto offer = s->offers.find(e.source); offer != s->offers.end())
-    offer->second.not_before = now + kAskAgain;
-  if (s->fetch && s->fetch->source == e.source) s->fetch->until = Time::max();
+    offer->second.not_before = now + kOfferRetryDelay;
+  if (s->fetch && s->fetch->source == e.source) s->fetch->deadline = Time::max();
 }
 
-void Subscriber::on(Time now, const Wanted& e, SubscriberEffects& out) {
-  heard(now, e.source);
+void Subscriber::on(Time now, const ConfigRequested& e, SubscriberEffects& out) {
+  record_source_input(now, e.source);
   const Service* s = find(e.service);
-  if (s != nullptr && s->in_force && e.source < sources_.size() && is_up(e.source))
-    out.emplace_back(Hand{e.source, *s->in_force});
+  if (s != nullptr && s->active && e.source < sources_.size() && is_connected(e.source))
+    out.emplace_back(ReturnConfig{e.source, *s->active});
 }
 
-void Subscriber::on(Time now, const Delivered& e, SubscriberEffects& out) {
-  heard(now, e.source);
-  const Document& d = e.document;
+void Subscriber::on(Time now, const ConfigDelivered& e, SubscriberEffects& out) {
+  record_source_input(now, e.source);
+  const ServiceConfig& d = e.config;
   Service* s = find(d.service);
-  const auto tell = [&](Told what) { out.emplace_back(Happened{what, d.service, d.stamp.version, {}}); };
-  if (s == nullptr) return tell(Told::unasked);
+  const auto tell = [&](SubscriberLogKind what) {
+    out.emplace_back(SubscriberLogEvent{what, d.service, d.id.version, {}});
+  };
+  if (s == nullptr) return tell(SubscriberLogKind::unrequested);
   const auto was_asked = [&] {
-    return s->fetch &&
-           std::find(s->fetch->asked.begin(), s->fetch->asked.end(), e.source) != s->fetch->asked.end();
+    return s->fetch && std::find(s->fetch->asked_sources.begin(), s->fetch->asked_sources.end(), e.source) !=
+                           s->fetch->asked_sources.end();
   };
-  for (const auto* held : {&s->in_force, &s->newer}) {
-    if (!*held || (*held)->stamp.version != d.stamp.version) continue;
+  for (const auto* held : {&s->active, &s->candidate}) {
+    if (!*held || (*held)->id.version != d.id.version) continue;
     // The same one for a second time is no news.
-    if ((*held)->stamp != d.stamp) tell(Told::conflict);
+    if ((*held)->id != d.id) tell(SubscriberLogKind::conflict);
     return;
   }
-  if (s->in_force && d.stamp.version < s->in_force->stamp.version) return tell(Told::stale);
-  if (!was_asked()) return tell(Told::unasked);
-  if (d.stamp.version < s->floor()) return tell(Told::stale);
+  if (s->active && d.id.version < s->active->id.version) return tell(SubscriberLogKind::stale);
+  if (!was_asked()) return tell(SubscriberLogKind::unrequested);
+  if (d.id.version < s->floor()) return tell(SubscriberLogKind::stale);
   const auto offer = s->offers.find(e.source);
-  const bool other = offer != s->offers.end() && offer->second.stamp.version == d.stamp.version &&
-                     offer->second.stamp != d.stamp;
+  const bool other =
+      offer != s->offers.end() && offer->second.id.version == d.id.version && offer->second.id != d.id;
   if (!is_sound(settings_.key, d) || other) {
-    if (offer != s->offers.end()) offer->second.not_before = now + kAskAgain;
-    if (s->fetch->source == e.source) s->fetch->until = Time::max();
-    return tell(other && is_sound(settings_.key, d) ? Told::conflict : Told::unsound);
+    if (offer != s->offers.end()) offer->second.not_before = now + kOfferRetryDelay;
+    if (s->fetch->source == e.source) s->fetch->deadline = Time::max();
+    return tell(other && is_sound(settings_.key, d) ? SubscriberLogKind::conflict
+                                                    : SubscriberLogKind::unsound);
   }
   s->fetch.reset();
-  s->newer = d;
-  s->tried = false;
-  if (!gathering_) gathering_ = now;
+  s->candidate = d;
+  s->candidate_rejected = false;
+  if (!gathering_since_) gathering_since_ = now;
 }
 
 bool Subscriber::has_to_fetch() const {
   return std::any_of(services_.begin(), services_.end(), [](const Service& s) {
     return std::any_of(s.offers.begin(), s.offers.end(),
-                       [&](const auto& offer) { return offer.second.stamp.version > s.floor(); });
+                       [&](const auto& offer) { return offer.second.id.version > s.floor(); });
   });
 }
 
-void Subscriber::fetch_more(Time now, SubscriberEffects& out) {
+void Subscriber::start_fetches(Time now, SubscriberEffects& out) {
   struct Candidate {
     Service* service;
     std::uint32_t source;
@@ -277,15 +288,15 @@
   std::vector<Candidate> candidates;
   std::size_t out_now = 0;
   for (Service& s : services_) {
-    if (s.fetch && s.fetch->until != Time::max()) {
+    if (s.fetch && s.fetch->deadline != Time::max()) {
       ++out_now;
       continue;
     }
     std::optional<Candidate> best;
     for (const std::uint32_t source : ranking_) {
       const auto offer = s.offers.find(source);
-      if (offer == s.offers.end() || offer->second.not_before > now || !is_up(source)) continue;
-      const Version version = offer->second.stamp.version;
+      if (offer == s.offers.end() || offer->second.not_before > now || !is_connected(source)) continue;
+      const Version version = offer->second.id.version;
       if (version <= s.floor() || (best && version <= best->version)) continue;
       best = Candidate{&s, source, version};
     }
@@ -294,52 +305,53 @@
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Candidate& a, const Candidate& b) { return a.version > b.version; });
   for (const Candidate& c : candidates) {
-    if (out_now >= kMostFetches) break;
+    if (out_now >= kMaxFetches) break;
     ++out_now;
     if (!c.service->fetch) c.service->fetch.emplace();
-    Fetching& fetch = *c.service->fetch;
+    PendingFetch& fetch = *c.service->fetch;
     fetch.source = c.source;
-    fetch.until = now + kFetchWithin;
-    if (std::find(fetch.asked.begin(), fetch.asked.end(), c.source) == fetch.asked.end())
-      fetch.asked.push_back(c.source);
-    out.emplace_back(Fetch{c.source, c.service->name, c.version});
+    fetch.deadline = now + kFetchTimeout;
+    if (std::find(fetch.asked_sources.begin(), fetch.asked_sources.end(), c.source) ==
+        fetch.asked_sources.end())
+      fetch.asked_sources.push_back(c.source);
+    out.emplace_back(FetchConfig{c.source, c.service->name, c.version});
   }
 }
 
 // ---- what is in force
 
 bool Subscriber::has_to_apply() const {
-  return is_applying_ || !alone_.empty() ||
+  return is_applying_ || !to_apply_alone_.empty() ||
          std::any_of(services_.begin(), services_.end(),
-                     [](const Service& s) { return s.newer && !s.tried; });
+                     [](const Service& s) { return s.candidate && !s.candidate_rejected; });
 }
 
-void Subscriber::apply_more(Time now, SubscriberEffects& out) {
+void Subscriber::start_apply(Time now, SubscriberEffects& out) {
   if (is_applying_) return;
-  if (alone_.empty() && progress_ && !turned_down_.empty()) {
+  if (to_apply_alone_.empty() && activated_alone_ && !rejected_alone_.empty()) {
     // Those that were refused before another one of this round came into force.
-    alone_.assign(turned_down_.rbegin(), turned_down_.rend());
-    turned_down_.clear();
-    progress_ = false;
+    to_apply_alone_.assign(rejected_alone_.rbegin(), rejected_alone_.rend());
+    rejected_alone_.clear();
+    activated_alone_ = false;
   }
-  while (!alone_.empty()) {
-    const std::size_t place = alone_.back();
-    alone_.pop_back();
-    if (!services_[place].newer) continue;
+  while (!to_apply_alone_.empty()) {
+    const std::size_t place = to_apply_alone_.back();
+    to_apply_alone_.pop_back();
+    if (!services_[place].candidate) continue;
     apply({place}, out);
     return;
   }
-  turned_down_.clear();
-  progress_ = false;
+  rejected_alone_.clear();
+  activated_alone_ = false;
   if (!has_to_apply()) {
-    gathering_.reset();
+    gathering_since_.reset();
     return;
   }
-  if (gathering_ && has_to_fetch() && now - *gathering_ < kGather) return;
-  gathering_.reset();
+  if (gathering_since_ && has_to_fetch() && now - *gathering_since_ < kGather) return;
+  gathering_since_.reset();
   std::vector<std::size_t> newer;
   for (std::size_t i = 0; i < services_.size(); ++i) {
-    if (services_[i].newer) newer.push_back(i);
+    if (services_[i].candidate) newer.push_back(i);
   }
   apply(std::move(newer), out);
 }
@@ -347,69 +359,70 @@
 void Subscriber::apply(std::vector<std::size_t> candidates, SubscriberEffects& out) {
   is_applying_ = true;
   applying_ = std::move(candidates);
-  applied_.clear();
-  Apply apply;
+  configs_applying_.clear();
+  ApplyConfigs apply;
   for (std::size_t i = 0; i < services_.size(); ++i) {
     Service& s = services_[i];
     if (std::find(applying_.begin(), applying_.end(), i) != applying_.end()) {
-      s.tried = true;
-      applied_.push_back(*s.newer);
-      apply.documents.push_back(*s.newer);
-    } else if (s.in_force) {
-      apply.documents.push_back(*s.in_force);
+      s.candidate_rejected = true;
+      configs_applying_.push_back(*s.candidate);
+      apply.configs.push_back(*s.candidate);
+    } else if (s.active) {
+      apply.configs.push_back(*s.active);
     }
   }
   out.emplace_back(std::move(apply));
 }
 
-void Subscriber::on(Time, const Applied& e, SubscriberEffects& out) {
+void Subscriber::on(Time, const ApplyFinished& e, SubscriberEffects& out) {
   if (!is_applying_) return;
   is_applying_ = false;
   const std::vector<std::size_t> places = std::exchange(applying_, {});
-  const std::vector<Document> documents = std::exchange(applied_, {});
-  if (e.taken) {
-    progress_ = true;
-    for (std::size_t i = 0; i < places.size(); ++i) put_in_force(services_[places[i]], documents[i], out);
+  const std::vector<ServiceConfig> documents = std::exchange(configs_applying_, {});
+  if (e.succeeded) {
+    activated_alone_ = true;
+    for (std::size_t i = 0; i < places.size(); ++i) activate(services_[places[i]], documents[i], out);
   } else if (places.size() == 1) {
-    refuse(services_[places[0]], documents[0], e.reason, out);
-    turned_down_.push_back(places[0]);
+    reject(services_[places[0]], documents[0], e.reason, out);
+    rejected_alone_.push_back(places[0]);
   } else {
-    alone_.assign(places.rbegin(), places.rend());
-    turned_down_.clear();
-    progress_ = false;
+    to_apply_alone_.assign(places.rbegin(), places.rend());
+    rejected_alone_.clear();
+    activated_alone_ = false;
   }
   if (!std::exchange(base_changed_, false)) return;
-  for (Service& s : services_) s.tried = false;
+  for (Service& s : services_) s.candidate_rejected = false;
 }
 
-void Subscriber::put_in_force(Service& s, Document document, SubscriberEffects& out) {
-  if (s.newer && s.newer->stamp == document.stamp) s.newer.reset();
-  if (s.refused && s.refused->version <= document.stamp.version) {
-    s.refused.reset();
+void Subscriber::activate(Service& s, ServiceConfig document, SubscriberEffects& out) {
+  if (s.candidate && s.candidate->id == document.id) s.candidate.reset();
+  if (s.rejected && s.rejected->version <= document.id.version) {
+    s.rejected.reset();
     s.reason.clear();
   }
-  out.emplace_back(Happened{Told::in_force, s.name, document.stamp.version, {}});
-  s.in_force = std::move(document);
-  report(s, std::nullopt, out);
+  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::activated, s.name, document.id.version, {}});
+  s.active = std::move(document);
+  report_status(s, std::nullopt, out);
 }
 
-void Subscriber::refuse(Service& s, const Document& document, const std::string& reason,
+void Subscriber::reject(Service& s, const ServiceConfig& document, const std::string& reason,
                         SubscriberEffects& out) {
-  const bool known = s.refused == document.stamp && s.reason == reason;
-  s.refused = document.stamp;
+  const bool known = s.rejected == document.id && s.reason == reason;
+  s.rejected = document.id;
   s.reason = reason;
   if (known) return;
-  out.emplace_back(Happened{Told::refused, s.name, document.stamp.version, reason});
-  report(s, std::nullopt, out);
+  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::rejected, s.name, document.id.version, reason});
+  report_status(s, std::nullopt, out);
 }
 
-void Subscriber::report(const Service& s, std::optional<std::uint32_t> to, SubscriberEffects& out) const {
+void Subscriber::report_status(const Service& s, std::optional<std::uint32_t> to,
+                               SubscriberEffects& out) const {
   for (std::uint32_t i = 0; i < sources_.size(); ++i) {
-    if (!is_up(i) || (to && *to != i)) continue;
-    if (s.refused) {
-      out.emplace_back(Report{i, s.name, *s.refused, false, s.reason});
-    } else if (s.in_force) {
-      out.emplace_back(Report{i, s.name, s.in_force->stamp, true, {}});
+    if (!is_connected(i) || (to && *to != i)) continue;
+    if (s.rejected) {
+      out.emplace_back(ReportStatus{i, s.name, *s.rejected, false, s.reason});
+    } else if (s.active) {
+      out.emplace_back(ReportStatus{i, s.name, s.active->id, true, {}});
     }
   }
 }
@@ -419,38 +432,39 @@
     base_changed_ = true;  // its answer may be about the old one
     return;
   }
-  for (Service& s : services_) s.tried = false;
+  for (Service& s : services_) s.candidate_rejected = false;
 }
 
 // ---- what is known of it
 
-void Subscriber::become_ready(Time now, SubscriberEffects& out) {
+void Subscriber::update_readiness(Time now, SubscriberEffects& out) {
   if (ready_) return;
   if (is_current()) {
     ready_ = true;
-    out.emplace_back(Happened{Told::current, {}, 0, {}});
-  } else if (now - began_ >= settings_.wait) {
+    out.emplace_back(SubscriberLogEvent{SubscriberLogKind::current, {}, 0, {}});
+  } else if (now - started_at_ >= settings_.wait) {
     ready_ = true;
-    out.emplace_back(Happened{Told::waited_out, {}, 0, {}});
+    out.emplace_back(SubscriberLogEvent{SubscriberLogKind::wait_expired, {}, 0, {}});
   }
 }
 
 bool Subscriber::is_current() const {
-  const bool told = std::any_of(sources_.begin(), sources_.end(),
-                                [](const Source& s) { return s.state == Source::State::up && s.complete; });
+  const bool told = std::any_of(sources_.begin(), sources_.end(), [](const Source& s) {
+    return s.state == Source::State::connected && s.complete;
+  });
   return told && !has_to_fetch() && !has_to_apply();
 }
 
-std::vector<std::pair<std::string, Subscriber::Held>> Subscriber::held() const {
-  std::vector<std::pair<std::string, Held>> all;
+std::vector<std::pair<std::string, Subscriber::ServiceState>> Subscriber::service_states() const {
+  std::vector<std::pair<std::string, ServiceState>> all;
   for (const Service& s : services_)
-    all.emplace_back(s.name, Held{s.in_force ? s.in_force->stamp : Stamp{}, s.refused, s.reason});
+    all.emplace_back(s.name, ServiceState{s.active ? s.active->id : VersionId{}, s.rejected, s.reason});
   return all;
 }
 
-std::size_t Subscriber::sources_up() const {
+std::size_t Subscriber::connected_sources() const {
   return static_cast<std::size_t>(std::count_if(
-      sources_.begin(), sources_.end(), [](const Source& s) { return s.state == Source::State::up; }));
+      sources_.begin(), sources_.end(), [](const Source& s) { return s.state == Source::State::connected; }));
 }
 
 }  // namespace graniterun::distribution
--- a/src/front/load_control.cpp
+++ b/src/front/load_control.cpp
@@ -139,13 +139,13 @@
 }
 
 void LoadControl::notify(Time now, Subscription& s, const std::string& state, Outbox& out) {
-  control::LoadDocument document;
+  control::LoadControlDocument document;
   document.version = s.version++;
   std::size_t left_out = 0;
   for (const limits::GapState& gap : source_.gaps(now)) {
     if (gap.announcement->end <= now) continue;
     const auto rule = control::rule_of(*gap.announcement);
-    if (!rule || document.rules.size() >= control::kMostRules) {
+    if (!rule || document.rules.size() >= control::kMaxRules) {
       left_out += gap.announcement->gap ? 1 : 0;
       continue;
     }
@@ -254,7 +254,7 @@
   if (!m.body.empty()) {
     if (word_at(m.header("Content-Type")) != kType) return reject(now, key, 415, out, "Accept", kType);
     try {
-      control::LoadDocument document = control::read_load_control(m.body);
+      control::LoadControlDocument document = control::read_load_control(m.body);
       control::gaps_of(document, n.address, now,
                        now + kMaxSubscription);  // understood as a whole, or refused
       const bool late = n.document && !n.version_reset && document.version <= n.document->version;
@@ -263,7 +263,7 @@
         n.version_reset = false;
         store_gaps(now, n, out);
       }
-    } catch (const control::BadDocument& trouble) {
+    } catch (const control::LoadControlError& trouble) {
       // Refused whole: what was held before goes on.
       counters_.add("load_control.documents_refused");
       malformed_warning_.line(
--- a/src/front/load_control.h
+++ b/src/front/load_control.h
@@ -71,11 +71,11 @@
     std::string address{};
     Dialog dialog{};
     std::string transaction{};
-    Time next{};                                      // to subscribe, or to refresh
-    std::optional<Time> ends{};                       // of the subscription
-    bool version_reset = false;                       // subscribed anew: versions count from the start
-    std::optional<control::LoadDocument> document{};  // the last one
-    std::set<std::string> held{};                     // gaps that it stands for
+    Time next{};                                             // to subscribe, or to refresh
+    std::optional<Time> ends{};                              // of the subscription
+    bool version_reset = false;                              // subscribed anew: versions count from the start
+    std::optional<control::LoadControlDocument> document{};  // the last one
+    std::set<std::string> held{};                            // gaps that it stands for
   };
 
   void reject(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
--- a/src/front/platform.h
+++ b/src/front/platform.h
@@ -91,8 +91,8 @@
   std::map<net::ConnId, Connection> connections_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> by_id_;
-  std::deque<std::pair<std::string, std::string>>
-      unassigned_releases_;  // releases that no connection could take
+  // releases that no connection could take
+  std::deque<std::pair<std::string, std::string>> unassigned_releases_;
   std::uint64_t last_ = 0;
   bool ready_ = false;
   bool handed_over_ = false;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,7 +21,7 @@
 
 std::string read_file(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw BadConfig("cannot read " + path);
+  if (!file) throw ConfigError("cannot read " + path);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
@@ -35,7 +35,7 @@
   if (word.empty() || word == "info") return net::Level::info;
   if (word == "warning") return net::Level::warning;
   if (word == "error") return net::Level::error;
-  throw BadConfig("GRANITERUN_LOG is not one of debug, info, warning, error");
+  throw ConfigError("GRANITERUN_LOG is not one of debug, info, warning, error");
 }
 
 // The platform may hold the callers' listening socket and hand it to each process that it starts.
@@ -44,7 +44,7 @@
   if (text.empty()) return std::nullopt;
   const auto fd = number_in<int>(text);
   if (!fd || !net::is_listening_tcp(*fd))
-    throw BadConfig("RELAY_INHERITED_FD is '" + text + "', which is no listening TCP socket");
+    throw ConfigError("RELAY_INHERITED_FD is '" + text + "', which is no listening TCP socket");
   return fd;
 }
 
@@ -54,7 +54,7 @@
   const auto draw = [&random] { return (static_cast<std::uint64_t>(random()) << 32) | random(); };
   const auto key_of = [](const char* whose, const std::string& path) {
     const auto key = fleet::key_in(read_file(path));
-    if (!key) throw BadConfig(std::string(whose) + " key file " + path + " does not hold 64 hex digits");
+    if (!key) throw ConfigError(std::string(whose) + " key file " + path + " does not hold 64 hex digits");
     return *key;
   };
   if (deploy.configuration) {
@@ -81,11 +81,11 @@
   std::string deploy_path;
   for (int i = 1; i < argc; ++i) {
     if (std::string(argv[i]) != "--deploy" || i + 1 == argc)
-      throw BadConfig("usage: graniterun [--deploy FILE]");
+      throw ConfigError("usage: graniterun [--deploy FILE]");
     deploy_path = argv[++i];
   }
   const std::string config_path = variable("RELAY_CONFIG");
-  if (config_path.empty()) throw BadConfig("RELAY_CONFIG is not set");
+  if (config_path.empty()) throw ConfigError("RELAY_CONFIG is not set");
   PlatformConfig config = read_platform_config(read_file(config_path));
   config.path = config_path;
   if (const std::string listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -18,8 +18,8 @@
   std::uint64_t token{};
   bool by_non_member = false;  // by a process that is no member yet: it is answered, and not taken in
   bool known = false;          // whether `about_receiver` holds something
-  Record
-      about_receiver{};  // what the sender knows of the receiver: told at once, so that it can be overruled
+  // what the sender knows of the receiver: told at once, so that it can be overruled
+  Record about_receiver{};
 };
 struct Ack {
   std::uint64_t token{};
--- a/src/otlp/exporter.cpp
+++ b/src/otlp/exporter.cpp
@@ -26,13 +26,13 @@
   return {{"key", key}, {"value", {{"stringValue", value}}}};
 }
 
-const char* word_of(core::RejectReason why) {
+const char* to_string(core::RejectReason why) {
   constexpr const char* kWords[] = {"gapped",     "throttled", "over_budget", "overdue", "number_busy",
                                     "no_success", "crossed",   "cut",         "ended"};
   return kWords[static_cast<std::size_t>(why)];
 }
 
-const char* word_of(Outcome outcome) {
+const char* to_string(Outcome outcome) {
   constexpr const char* kWords[] = {"ok",    "busy_or_fault", "full",    "timed_out", "no_connection",
                                     "reset", "cancelled",     "not_sent"};
   return kWords[static_cast<std::size_t>(outcome)];
@@ -69,10 +69,10 @@
                   {"startTimeUnixNano", nanos(e.received_at)},
                   {"endTimeUnixNano", nanos(now)},
                   {"status", {{"code", e.served ? kOk : kError}}}};
-  request["attributes"] = {attribute("call.id", e.request->correlation_id),
-                           attribute("call.class", e.request->class_name),
-                           attribute("call.team", e.request->team),
-                           attribute("call.answer", e.reject_reason ? word_of(*e.reject_reason) : "served")};
+  request["attributes"] = {
+      attribute("call.id", e.request->correlation_id), attribute("call.class", e.request->class_name),
+      attribute("call.team", e.request->team),
+      attribute("call.answer", e.reject_reason ? to_string(*e.reject_reason) : "served")};
   json spans = json::array({request});
   for (const core::AttemptRecord& a : e.attempts) {
     const bool good = !a.outcome || *a.outcome == Outcome::ok;
@@ -85,7 +85,7 @@
                     {"endTimeUnixNano", nanos(a.ended_at)},
                     {"status", {{"code", good ? kOk : kError}}}};
     attempt["attributes"] = {attribute("server.id", name_of(a.server)),
-                             attribute("attempt.outcome", a.outcome ? word_of(*a.outcome) : "stands")};
+                             attribute("attempt.outcome", a.outcome ? to_string(*a.outcome) : "stands")};
     spans.push_back(std::move(attempt));
   }
   // Without the brackets: batches join them.
--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-#include "control/config_ctl.h"
+#include "control/config_client.h"
 #include "distribution/subscriber.h"
 #include "tests/check.h"
 
@@ -258,8 +258,8 @@
     net.start(*program);
   }
   Version in_force(const std::string& service) const {
-    for (const auto& [name, held] : subscriber_.held()) {
-      if (name == service) return held.in_force.version;
+    for (const auto& [name, held] : subscriber_.service_states()) {
+      if (name == service) return held.active.version;
     }
     return 0;
   }
@@ -287,7 +287,7 @@
       subscriber_.step(now, Tick{}, effects);
       out.push_back(net::ArmTimer{{Concern::control, 0}, now + 50ms});
     } else if (const auto* up = std::get_if<net::Connected>(&event)) {
-      if (const auto source = source_of(up->conn)) subscriber_.step(now, SourceUp{*source}, effects);
+      if (const auto source = source_of(up->conn)) subscriber_.step(now, SourceConnected{*source}, effects);
     } else if (const auto* failed = std::get_if<net::ConnectFailed>(&event)) {
       down(now, failed->conn, effects);
     } else if (const auto* closed = std::get_if<net::Closed>(&event)) {
@@ -298,11 +298,11 @@
           [&](const json& line) {
             const auto source = source_of(received->conn);
             if (!source) return;
-            const SubscriberEvent said = subscriber_event_of(*source, line);
-            if (std::holds_alternative<Beat>(said))
-              out.push_back(net::Send{received->conn, line_of(beat_answer_line())});
-            if (std::holds_alternative<Noticed>(said))
-              out.push_back(net::Send{received->conn, line_of(heard_line())});
+            const SubscriberEvent said = parse_subscriber_line(*source, line);
+            if (std::holds_alternative<HeartbeatReceived>(said))
+              out.push_back(net::Send{received->conn, line_of(heartbeat_answer_line())});
+            if (std::holds_alternative<VersionsNotified>(said))
+              out.push_back(net::Send{received->conn, line_of(acknowledge_line())});
             subscriber_.step(now, said, effects);
           },
           [](const json&, const std::string& trouble) {
@@ -317,15 +317,15 @@
   void carry_out(Time now, SubscriberEffects effects, net::Effects& out) {
     for (std::size_t i = 0; i < effects.size(); ++i) {
       const SubscriberEffect effect = effects[i];
-      if (const auto* apply = std::get_if<Apply>(&effect)) {
+      if (const auto* apply = std::get_if<ApplyConfigs>(&effect)) {
         bool bad = false;
-        for (const Document& d : apply->documents) bad = bad || d.content.find("bad") != std::string::npos;
+        for (const ServiceConfig& d : apply->configs) bad = bad || d.content.find("bad") != std::string::npos;
         if (!bad) {
           content.clear();
-          for (const Document& d : apply->documents) content[d.service] = d.content;
+          for (const ServiceConfig& d : apply->configs) content[d.service] = d.content;
         }
         SubscriberEffects more;
-        subscriber_.step(now, Applied{!bad, bad ? "'settings' holds what is bad" : ""}, more);
+        subscriber_.step(now, ApplyFinished{!bad, bad ? "'settings' holds what is bad" : ""}, more);
         effects.insert(effects.end(), more.begin(), more.end());
         continue;
       }
@@ -336,21 +336,23 @@
     if (conns_.contains(source))
       out.push_back(net::Send{{Concern::control_client, conns_[source]}, line_of(line)});
   }
-  void carry_out(const Open& e, net::Effects& out) {
+  void carry_out(const OpenSource& e, net::Effects& out) {
     conns_[e.source] = ++last_;
     out.push_back(net::Connect{{Concern::control_client, last_}, distributors_[e.source], 1s});
   }
-  void carry_out(const Shut& e, net::Effects& out) {
+  void carry_out(const CloseSource& e, net::Effects& out) {
     if (conns_.contains(e.source)) out.push_back(net::Close{{Concern::control_client, conns_[e.source]}});
     conns_.erase(e.source);
   }
   void carry_out(const Subscribe& e, net::Effects& out) {
     send(e.source, subscribe_line(program->address, e.held, e.primary), out);
   }
-  void carry_out(const TellPrimary& e, net::Effects& out) { send(e.source, primary_line(e.primary), out); }
-  void carry_out(const Fetch& e, net::Effects& out) { send(e.source, fetch_line(e.service, e.version), out); }
-  void carry_out(const Report& e, net::Effects& out) { send(e.source, report_line(e), out); }
-  void carry_out(const Hand& e, net::Effects& out) { send(e.source, hand_line(e.document), out); }
+  void carry_out(const SendPrimary& e, net::Effects& out) { send(e.source, primary_line(e.primary), out); }
+  void carry_out(const FetchConfig& e, net::Effects& out) {
+    send(e.source, fetch_line(e.service, e.version), out);
+  }
+  void carry_out(const ReportStatus& e, net::Effects& out) { send(e.source, report_line(e), out); }
+  void carry_out(const ReturnConfig& e, net::Effects& out) { send(e.source, return_line(e.config), out); }
   void carry_out(const auto&, net::Effects&) {}
 
   std::optional<std::uint32_t> source_of(ConnId conn) const {
@@ -363,7 +365,7 @@
     const auto source = source_of(conn);
     if (!source) return;
     conns_.erase(*source);
-    subscriber_.step(now, SourceDown{*source}, effects);
+    subscriber_.step(now, SourceDisconnected{*source}, effects);
   }
 
   Net& net_;
@@ -437,10 +439,10 @@
     for (std::size_t other = 0; other < d.size(); ++other) {
       if (other != i) s.peers.push_back(address_of(other));
     }
-    s.dir = "/dir";
+    s.directory = "/dir";
     s.name = "d" + std::to_string(i + 1);
     s.key = key(first_byte);
-    s.most_connections = most;
+    s.max_connections = most;
     s.seed = ++starts;
     d[i] = std::make_shared<ConfigDistributor>(std::move(s));
     p[i] =
@@ -449,7 +451,7 @@
     net.start(*p[i]);
   }
   void kill(std::size_t i) { net.kill(*p[i]); }
-  bool voting(std::size_t i) const { return d[i]->held().standing() == Standing::voting; }
+  bool voting(std::size_t i) const { return d[i]->distributor().voter_state() == VoterState::voting; }
   void all_vote() {
     const bool done = net.run_until(
         [&] {
@@ -460,16 +462,16 @@
         30s);
     CHECK(done);
   }
-  Stamp committed(std::size_t i, const std::string& service) const {
-    const auto& records = d[i]->held().records();
+  VersionId committed(std::size_t i, const std::string& service) const {
+    const auto& records = d[i]->distributor().records();
     const auto it = records.find(service);
-    return it != records.end() && it->second.committed ? it->second.committed->stamp : Stamp{};
+    return it != records.end() && it->second.committed ? it->second.committed->id : VersionId{};
   }
   // What its files hold of a service.
-  Record saved(std::size_t i, const std::string& service) const {
+  ServiceRecord saved(std::size_t i, const std::string& service) const {
     for (const auto& [path, text] : files[i]) {
       if (path.find("bucket-") == std::string::npos) continue;
-      const auto records = records_in(text);
+      const auto records = parse_records(text);
       if (const auto it = records.find(service); it != records.end()) return it->second;
     }
     return {};
@@ -490,26 +492,26 @@
     int status;
     std::string text;
   };
-  Result ctl(ConfigCtlSettings s) {
-    const auto command = std::make_shared<ConfigCtl>(std::move(s));
+  Result ctl(ConfigClientSettings s) {
+    const auto command = std::make_shared<ConfigClient>(std::move(s));
     Program& program =
         net.add([command](Time now, const net::Event& e, net::Effects& out) { command->step(now, e, out); });
     net.start(program);
     CHECK(net.run_until([&] { return program.status.has_value(); }, 60s));
     return {*program.status, program.printed};
   }
-  ConfigCtlSettings publishing(const std::string& service, const std::string& content) {
-    ConfigCtlSettings s;
-    s.what = ConfigCtlSettings::What::publish;
-    s.to = all();
+  ConfigClientSettings publishing(const std::string& service, const std::string& content) {
+    ConfigClientSettings s;
+    s.command = ConfigClientSettings::Command::publish;
+    s.addresses = all();
     s.service = service;
     s.content = content;
     return s;
   }
-  ConfigCtlSettings asking(const std::string& service) {
-    ConfigCtlSettings s;
-    s.what = ConfigCtlSettings::What::status;
-    s.to = all();
+  ConfigClientSettings asking(const std::string& service) {
+    ConfigClientSettings s;
+    s.command = ConfigClientSettings::Command::status;
+    s.addresses = all();
     s.service = service;
     return s;
   }
@@ -539,7 +541,7 @@
   lab.net.run(3s);
   const Time began = lab.net.now;
   const Lab::Result first = lab.ctl(lab.publishing("trail", patch("1")));
-  CHECK_EQ(first.status, ConfigCtl::kDone);
+  CHECK_EQ(first.status, ConfigClient::kSuccess);
   check_has(first.text, "in force at 20 of 20, refused at 0, not heard of 0");
   CHECK(lab.net.now - began < 6s);
   for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
@@ -547,22 +549,22 @@
   for (std::size_t i = 0; i < 3; ++i) CHECK(lab.committed(i, "trail") == lab.committed(0, "trail"));
 
   // The old content again is a new number, and goes back.
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("2"))).status, ConfigCtl::kDone);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("2"))).status, ConfigClient::kSuccess);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
   CHECK(lab.committed(0, "trail").version > version + 1);
   for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
 
   const Lab::Result one = lab.ctl(lab.asking("trail"));
-  CHECK_EQ(one.status, ConfigCtl::kDone);
+  CHECK_EQ(one.status, ConfigClient::kSuccess);
   check_has(one.text, "in force at 20 of 20, refused at 0, not heard of 0");
-  CHECK_EQ(lab.ctl(lab.publishing("map", patch("m"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("map", patch("m"))).status, ConfigClient::kSuccess);
   const Lab::Result all = lab.ctl(lab.asking(""));
-  CHECK_EQ(all.status, ConfigCtl::kDone);
+  CHECK_EQ(all.status, ConfigClient::kSuccess);
   check_has(all.text, "map: version");
   check_has(all.text, "trail: version");
   // A service that has no document is not in force.
-  CHECK_EQ(lab.ctl(lab.asking("nothing")).status, ConfigCtl::kNotAll);
-  ConfigCtlSettings as_json = lab.asking("trail");
+  CHECK_EQ(lab.ctl(lab.asking("nothing")).status, ConfigClient::kIncomplete);
+  ConfigClientSettings as_json = lab.asking("trail");
   as_json.json = true;
   const json object = json::parse(lab.ctl(as_json).text);
   CHECK(object["all"] == true && object["services"][0]["in_force"] == 20);
@@ -574,18 +576,18 @@
   lab.all_vote();
   lab.add_gatekeepers(5, {"trail"});
   lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigCtl::kDone);
-  ConfigCtlSettings s = lab.publishing("trail", patch("bad"));
-  s.within = 3s;
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigClient::kSuccess);
+  ConfigClientSettings s = lab.publishing("trail", patch("bad"));
+  s.timeout = 3s;
   const Lab::Result bad = lab.ctl(s);
-  CHECK_EQ(bad.status, ConfigCtl::kNotAll);
+  CHECK_EQ(bad.status, ConfigClient::kIncomplete);
   check_has(bad.text, "in force at 0 of 5, refused at 5, not heard of 0");
   check_has(bad.text, "gk1: 'settings' holds what is bad");
   for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("good"));
   const Lab::Result status = lab.ctl(lab.asking("trail"));
-  CHECK_EQ(status.status, ConfigCtl::kNotAll);
+  CHECK_EQ(status.status, ConfigClient::kIncomplete);
   check_has(status.text, "refused at 5");
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigClient::kSuccess);
 }
 
 void all_go_on_from_their_files() {
@@ -594,10 +596,10 @@
   // Looking for what is not there makes one line of the log, not one for each bucket.
   for (const Program* program : lab.p) CHECK_EQ(program->missing_reads, 1U);
   for (int i = 0; i < 30; ++i) {
-    ConfigCtlSettings s = lab.publishing("s" + std::to_string(i), patch(std::to_string(i)));
-    CHECK_EQ(lab.ctl(s).status, ConfigCtl::kDone);
+    ConfigClientSettings s = lab.publishing("s" + std::to_string(i), patch(std::to_string(i)));
+    CHECK_EQ(lab.ctl(s).status, ConfigClient::kSuccess);
   }
-  std::map<std::string, Stamp> before;
+  std::map<std::string, VersionId> before;
   for (int i = 0; i < 30; ++i) before["s" + std::to_string(i)] = lab.committed(0, "s" + std::to_string(i));
   for (std::size_t i = 0; i < 3; ++i) lab.kill(i);
   for (std::size_t i = 0; i < 3; ++i) lab.start(i);
@@ -607,7 +609,7 @@
     for (const auto& [service, stamp] : before) CHECK(lab.committed(i, service) == stamp);
   }
   lab.net.run(1s);
-  CHECK_EQ(lab.ctl(lab.publishing("s3", patch("again"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("s3", patch("again"))).status, ConfigClient::kSuccess);
   CHECK(lab.committed(1, "s3").version > before["s3"].version);
 }
 
@@ -615,7 +617,7 @@
 void a_restart_while_it_recovers_gives_no_vote() {
   Lab lab;
   lab.all_vote();
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
   lab.kill(2);
   lab.files[2].clear();
   lab.start(2);
@@ -625,14 +627,14 @@
   CHECK_EQ(lab.d[2]->counters().of("distributor.peers_lost"), 0U);
   CHECK(!lab.voting(2) && !lab.files[2].empty());
   // Nothing is published through it; the command goes on to the next one.
-  ConfigCtlSettings s = lab.publishing("trail", patch("2"));
-  s.to = {address_of(2)};
+  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+  s.addresses = {address_of(2)};
   const Lab::Result alone = lab.ctl(s);
-  CHECK_EQ(alone.status, ConfigCtl::kNotAll);
+  CHECK_EQ(alone.status, ConfigClient::kIncomplete);
   check_has(alone.text, "not published: not voting yet");
-  s.to = {address_of(2), address_of(1), address_of(0)};
+  s.addresses = {address_of(2), address_of(1), address_of(0)};
   const Lab::Result next = lab.ctl(s);
-  CHECK_EQ(next.status, ConfigCtl::kDone);
+  CHECK_EQ(next.status, ConfigClient::kSuccess);
   check_has(next.text, "committed by d2");
   check_has(next.text, "d3 " + address_of(2) + " has no vote: recovering");
   CHECK(lab.net.run_until([&] { return lab.committed(2, "trail") == lab.committed(0, "trail"); }, 1s));
@@ -651,7 +653,7 @@
 void a_file_that_is_no_use_is_told_and_ends_the_program() {
   Lab lab;
   lab.all_vote();
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
   lab.kill(0);
   const Files good = lab.files[0];
   std::string bucket;
@@ -711,21 +713,21 @@
   for (std::size_t at = 0; at < 60; ++at) {
     Lab lab;
     lab.all_vote();
-    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
     const Version first = lab.committed(1, "trail").version;
     lab.p[0]->killed_after = lab.p[0]->effects + at;
-    ConfigCtlSettings s = lab.publishing("trail", patch("2"));
-    s.to = {address_of(0)};
-    s.wait = false;
+    ConfigClientSettings s = lab.publishing("trail", patch("2"));
+    s.addresses = {address_of(0)};
+    s.wait_until_active = false;
     const Lab::Result result = lab.ctl(s);
-    if (result.status == ConfigCtl::kDone) {
+    if (result.status == ConfigClient::kSuccess) {
       ++answered;
     } else {
-      CHECK_EQ(result.status, ConfigCtl::kNotAll);
+      CHECK_EQ(result.status, ConfigClient::kIncomplete);
       check_has(result.text, "not known whether it is in force: look at the status");
       ++unanswered;
     }
-    if (!lab.p[0]->running && result.status == ConfigCtl::kDone)
+    if (!lab.p[0]->running && result.status == ConfigClient::kSuccess)
       CHECK(lab.saved(0, "trail").committed->content == patch("2"));
     lab.net.run(5s);
     if (!lab.p[0]->running) {
@@ -735,15 +737,15 @@
     }
     CHECK(lab.voting(0));
     lab.net.run(12s);
-    const Stamp now = lab.committed(0, "trail");
+    const VersionId now = lab.committed(0, "trail");
     CHECK(now.version >= first);
     CHECK(lab.committed(1, "trail") == now && lab.committed(2, "trail") == now);
-    if (result.status == ConfigCtl::kDone) {
+    if (result.status == ConfigClient::kSuccess) {
       CHECK(now.version > first);
-      CHECK_EQ(lab.d[1]->held().records().at("trail").committed->content, patch("2"));
+      CHECK_EQ(lab.d[1]->distributor().records().at("trail").committed->content, patch("2"));
     }
     const Lab::Result next = lab.ctl(lab.publishing("trail", patch("3")));
-    CHECK_EQ(next.status, ConfigCtl::kDone);
+    CHECK_EQ(next.status, ConfigClient::kSuccess);
     CHECK(lab.committed(2, "trail").version > now.version);
     for (const auto& one : lab.d) CHECK_EQ(one->counters().of("distributor.conflict"), 0U);
   }
@@ -757,18 +759,18 @@
   for (std::size_t at = 0; at < 40; ++at) {
     Lab lab;
     lab.all_vote();
-    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
     lab.net.cut(address_of(2));
     lab.p[1]->killed_after = lab.p[1]->effects + at;
-    ConfigCtlSettings s = lab.publishing("trail", patch("2"));
-    s.to = {address_of(0)};
-    s.wait = false;
-    const bool committed = lab.ctl(s).status == ConfigCtl::kDone;
+    ConfigClientSettings s = lab.publishing("trail", patch("2"));
+    s.addresses = {address_of(0)};
+    s.wait_until_active = false;
+    const bool committed = lab.ctl(s).status == ConfigClient::kSuccess;
     if (lab.p[1]->running) continue;
     ++killed;
     if (!committed) continue;
     ++counted;
-    const Record kept = lab.saved(1, "trail");
+    const ServiceRecord kept = lab.saved(1, "trail");
     CHECK((kept.accepted ? *kept.accepted : *kept.committed).content == patch("2"));
   }
   CHECK(counted > 0 && killed > counted);
@@ -806,7 +808,7 @@
   const json second = one.ask(publish_line("trail", patch("y")));
   CHECK(second["ok"] == false && second["trouble"].is_string());
   // Alone it has no majority, says so, and nothing is in force.
-  const Stamp before = lab.committed(0, "trail");
+  const VersionId before = lab.committed(0, "trail");
   CHECK(lab.net.run_until([&] { return one.lines.size() >= 2; }, 20s));
   CHECK(one.lines.back()["ok"] == false);
   CHECK(lab.committed(0, "trail") == before);
@@ -817,19 +819,19 @@
   lab.all_vote();
   lab.add_gatekeepers(6, {"trail"});
   lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
   lab.net.cut(address_of(0));
-  ConfigCtlSettings s = lab.publishing("trail", patch("2"));
-  s.to = {address_of(1), address_of(2)};
+  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+  s.addresses = {address_of(1), address_of(2)};
   const Lab::Result large = lab.ctl(s);
-  CHECK_EQ(large.status, ConfigCtl::kDone);
+  CHECK_EQ(large.status, ConfigClient::kSuccess);
   check_has(large.text, "in force at 6 of 6");
   // The address that can't be reached is passed over, and named.
-  s.to = lab.all();
+  s.addresses = lab.all();
   s.content = patch("3");
-  s.within = 3s;
+  s.timeout = 3s;
   const Lab::Result named = lab.ctl(s);
-  CHECK_EQ(named.status, ConfigCtl::kNotAll);
+  CHECK_EQ(named.status, ConfigClient::kIncomplete);
   check_has(named.text, address_of(0) + ": nobody listens there");
   check_has(named.text, "committed by d2");
   lab.net.heal();
@@ -839,12 +841,12 @@
 
 void nobody_to_be_reached() {
   Lab lab(1);
-  ConfigCtlSettings s = lab.publishing("trail", patch("1"));
-  s.to = {"10.0.0.9:1", "10.0.0.9:2"};
+  ConfigClientSettings s = lab.publishing("trail", patch("1"));
+  s.addresses = {"10.0.0.9:1", "10.0.0.9:2"};
   const Lab::Result result = lab.ctl(s);
-  CHECK_EQ(result.status, ConfigCtl::kNobody);
-  s.what = ConfigCtlSettings::What::status;
-  CHECK_EQ(lab.ctl(s).status, ConfigCtl::kNobody);
+  CHECK_EQ(result.status, ConfigClient::kUnreachable);
+  s.command = ConfigClientSettings::Command::status;
+  CHECK_EQ(lab.ctl(s).status, ConfigClient::kUnreachable);
 }
 
 // One that takes connections and is silent holds up neither the command nor the others.
@@ -853,33 +855,33 @@
   lab.all_vote();
   lab.add_gatekeepers(6, {"trail"});
   lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigCtl::kDone);
+  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
   lab.p[2]->running = false;  // stopped; its connections stand
-  ConfigCtlSettings s = lab.publishing("trail", patch("2"));
-  s.within = 3s;
+  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+  s.timeout = 3s;
   const Lab::Result published = lab.ctl(s);
-  CHECK_EQ(published.status, ConfigCtl::kNotAll);
+  CHECK_EQ(published.status, ConfigClient::kIncomplete);
   check_has(published.text, address_of(2) + ": no answer in time");
   check_has(published.text, "committed by d1");
   check_has(published.text, "in force at ");
-  s.to = {address_of(2)};
+  s.addresses = {address_of(2)};
   const Lab::Result unknown = lab.ctl(s);
-  CHECK_EQ(unknown.status, ConfigCtl::kNotAll);
+  CHECK_EQ(unknown.status, ConfigClient::kIncomplete);
   check_has(unknown.text, "not known whether it is in force: look at the status");
-  CHECK_EQ(lab.ctl(lab.asking("trail")).status, ConfigCtl::kNotAll);
+  CHECK_EQ(lab.ctl(lab.asking("trail")).status, ConfigClient::kIncomplete);
   // Silent for three beats it is given up; gatekeepers count themselves elsewhere.
   lab.net.run(25s);
   CHECK(lab.d[0]->counters().of("distributor.peers_lost") > 0);
   s = lab.publishing("trail", patch("3"));
-  s.to = {address_of(0), address_of(1)};
+  s.addresses = {address_of(0), address_of(1)};
   const Lab::Result without = lab.ctl(s);
-  CHECK_EQ(without.status, ConfigCtl::kDone);
+  CHECK_EQ(without.status, ConfigClient::kSuccess);
   check_has(without.text, "in force at 6 of 6");
   lab.p[2]->running = true;
   CHECK(lab.net.run_until([&] { return lab.committed(2, "trail") == lab.committed(0, "trail"); }, 60s));
   lab.net.run(30s);
   const Lab::Result all = lab.ctl(lab.asking("trail"));
-  CHECK_EQ(all.status, ConfigCtl::kDone);
+  CHECK_EQ(all.status, ConfigClient::kSuccess);
   check_has(all.text, "in force at 6 of 6");
 }
 
@@ -909,11 +911,12 @@
       }
     });
     lab.net.start(other);
-    for (ConfigCtlSettings s : {lab.publishing("trail", patch("1")), lab.asking("trail"), lab.asking("")}) {
-      s.to = {"10.0.0.9:7800"};
-      s.within = 2s;
+    for (ConfigClientSettings s :
+         {lab.publishing("trail", patch("1")), lab.asking("trail"), lab.asking("")}) {
+      s.addresses = {"10.0.0.9:7800"};
+      s.timeout = 2s;
       const Lab::Result result = lab.ctl(s);
-      CHECK(result.status != ConfigCtl::kDone);
+      CHECK(result.status != ConfigClient::kSuccess);
       CHECK(!result.text.empty());
       unread += has(result.text, "can't be read") ? 1 : 0;
     }
@@ -927,19 +930,19 @@
   lab.add_gatekeepers(6, {"trail"});
   lab.net.run(3s);
   lab.net.kill(*lab.gatekeepers[2]->program);
-  ConfigCtlSettings s = lab.publishing("trail", patch("1"));
-  s.within = 2s;
+  ConfigClientSettings s = lab.publishing("trail", patch("1"));
+  s.timeout = 2s;
   const Lab::Result gone = lab.ctl(s);
-  CHECK_EQ(gone.status, ConfigCtl::kNotAll);
+  CHECK_EQ(gone.status, ConfigClient::kIncomplete);
   check_has(gone.text, "in force at 5 of 5, refused at 0, not heard of 1");
   const Lab::Result status = lab.ctl(lab.asking("trail"));
-  CHECK_EQ(status.status, ConfigCtl::kNotAll);
+  CHECK_EQ(status.status, ConfigClient::kIncomplete);
   check_has(status.text, "not heard of:\n  gk3, for ");
   // One whose distributor ends is attached elsewhere: it is heard of.
-  const auto counts = [&](std::size_t i) { return !lab.d[i]->held().lost().empty(); };
+  const auto counts = [&](std::size_t i) { return !lab.d[i]->distributor().lost_gatekeepers().empty(); };
   CHECK(counts(0) + counts(1) + counts(2) == 1);
-  const std::size_t other =
-      counts(0) ? 1 : 0;  // one that did not count it: what it had counted is gone with it
+  // one that did not count it: what it had counted is gone with it
+  const std::size_t other = counts(0) ? 1 : 0;
   lab.add_gatekeepers(1, {"trail"});
   lab.kill(other);
   lab.net.run(3s);
@@ -949,7 +952,7 @@
   lab.net.run(11min);
   const Lab::Result later = lab.ctl(lab.asking("trail"));
   check_has(later.text, "in force at 6 of 6, refused at 0, not heard of 0");
-  CHECK_EQ(later.status, ConfigCtl::kDone);
+  CHECK_EQ(later.status, ConfigClient::kSuccess);
 }
 
 void many_that_are_gone_are_told_in_several_lines() {
@@ -1005,7 +1008,7 @@
   Terminal half(lab.net, address_of(0));
   Terminal once(lab.net, address_of(0));
   half.say(std::string("{\"op\":"));
-  once.say(beat_answer_line());
+  once.say(heartbeat_answer_line());
   lab.net.run(4s);
   CHECK(silent.closed && half.closed && !once.closed);
   lab.net.run(20s);
@@ -1042,7 +1045,7 @@
   refused(publish_line("trail", R"({"listen":"x"})"), "'listen'");
   refused(publish_line("a b", "{}"), "letters");
   refused(publish_line("", "{}"), "letters");
-  refused(publish_line("trail", patch(std::string(kLargestDocument, 'x'))), "bytes");
+  refused(publish_line("trail", patch(std::string(kMaxConfigBytes, 'x'))), "bytes");
   refused({{"op", "config"}, {"what", "publish"}, {"service", "trail"}}, "'content'");
   refused({{"op", "config"}, {"what", "publish"}, {"service", 1}, {"content", "{}"}}, "'service'");
   refused({{"op", "config"}, {"what", "status"}, {"service", "a/b"}}, "'service'");
@@ -1073,7 +1076,7 @@
   hand.say(publish_line("trail", " { \"settings\" : { \"a\" : 1 } } "));
   CHECK(lab.net.run_until([&] { return !hand.lines.empty(); }, 5s));
   CHECK(hand.lines[0]["ok"] == true);
-  CHECK_EQ(lab.d[1]->held().records().at("trail").committed->content, R"({"settings":{"a":1}})");
+  CHECK_EQ(lab.d[1]->distributor().records().at("trail").committed->content, R"({"settings":{"a":1}})");
 
   // A line without an end, and a client that says what no client says.
   hand.say(std::string(kMaxLineBytes + 1, 'x'));
@@ -1085,7 +1088,7 @@
   CHECK_EQ(lab.d[0]->counters().of("distributor.clients_closed"), 1U);
   // Without an answer to its proposal it can't be told from a distributor; without the key it can do nothing.
   Terminal forger(lab.net, address_of(0));
-  Document forged{"trail", {lab.committed(0, "trail").version + 1, {}}, "{}"};
+  ServiceConfig forged{"trail", {lab.committed(0, "trail").version + 1, {}}, "{}"};
   const json answer = forger.ask(propose_line(1, forged));
   CHECK(answer["accepted"] == false);
   CHECK_EQ(lab.d[0]->counters().of("distributor.unsound"), 1U);
@@ -1102,7 +1105,7 @@
   CHECK(line_of(first).size() <= kMaxLineBytes);
   const Lab::Result all = lab.ctl(lab.asking(""));
   CHECK_EQ(std::ranges::count(all.text, '\n'), 250);
-  CHECK_EQ(all.status, ConfigCtl::kDone);
+  CHECK_EQ(all.status, ConfigClient::kSuccess);
 }
 
 void the_end_and_the_counters() {
--- a/tests/config_lines_test.cpp
+++ b/tests/config_lines_test.cpp
@@ -21,8 +21,8 @@
   for (std::size_t i = 0; i < k.size(); ++i) k[i] = static_cast<unsigned char>(i * 7);
   return k;
 }
-Document document(std::string service = "trail", Version version = 1'700'000'000'123,
-                  std::string content = R"({"settings":{"pause":"\"ü\"\n"}})") {
+ServiceConfig document(std::string service = "trail", Version version = 1'700'000'000'123,
+                       std::string content = R"({"settings":{"pause":"\"ü\"\n"}})") {
   return {service, {version, digest_of(key(), service, version, content)}, content};
 }
 
@@ -68,87 +68,91 @@
 // ---- there and back
 
 void lines_of_a_gatekeeper_come_back() {
-  const Document d = document();
-  const std::vector<Noticed::Entry> held = {{"trail", d.stamp}, {"map-tiles_2.x", {}}};
-  const std::optional<DistributorEvent> event = client_event_of(7, read(subscribe_line("gk 1", held, true)));
-  const auto& s = as<Subscribed>(event);
+  const ServiceConfig d = document();
+  const std::vector<VersionsNotified::Entry> held = {{"trail", d.id}, {"map-tiles_2.x", {}}};
+  const std::optional<DistributorEvent> event =
+      parse_client_line(7, read(subscribe_line("gk 1", held, true)));
+  const auto& s = as<SubscriptionReceived>(event);
   CHECK(s.client == 7 && s.name == "gk 1" && s.primary && !s.all && s.held.size() == 2);
-  CHECK(s.held[0].service == "trail" && s.held[0].stamp == d.stamp);
-  CHECK(s.held[1].service == "map-tiles_2.x" && s.held[1].stamp.none());
+  CHECK(s.held[0].service == "trail" && s.held[0].id == d.id);
+  CHECK(s.held[1].service == "map-tiles_2.x" && s.held[1].id.none());
 
-  const auto all = client_event_of(7, read(subscribe_all_line("d3")));
-  CHECK(as<Subscribed>(all).all && as<Subscribed>(all).name == "d3" && as<Subscribed>(all).held.empty());
+  const auto all = parse_client_line(7, read(subscribe_all_line("d3")));
+  CHECK(as<SubscriptionReceived>(all).all && as<SubscriptionReceived>(all).name == "d3" &&
+        as<SubscriptionReceived>(all).held.empty());
 
   for (const bool primary : {true, false}) {
-    const auto told = client_event_of(7, read(primary_line(primary)));
-    CHECK(as<PrimaryTold>(told).primary == primary && as<PrimaryTold>(told).client == 7);
+    const auto told = parse_client_line(7, read(primary_line(primary)));
+    CHECK(as<PrimaryChanged>(told).primary == primary && as<PrimaryChanged>(told).client == 7);
   }
-  CHECK(as<Heard>(client_event_of(9, read(heard_line()))).client == 9);
+  CHECK(as<NotificationAcknowledged>(parse_client_line(9, read(acknowledge_line()))).client == 9);
   for (const Version version : {Version{1}, kMost}) {
-    const auto fetched = client_event_of(7, read(fetch_line("trail", version)));
-    CHECK(as<Fetched>(fetched).service == "trail" && as<Fetched>(fetched).version == version);
+    const auto fetched = parse_client_line(7, read(fetch_line("trail", version)));
+    CHECK(as<FetchRequested>(fetched).service == "trail" && as<FetchRequested>(fetched).version == version);
   }
   for (const bool in_force : {true, false}) {
-    Report r{3, "trail", d.stamp, in_force, in_force ? "" : "'settings.pause' is \"0\", not above 0"};
-    const auto event_ = client_event_of(7, read(report_line(r)));
-    const auto& reported = as<Reported>(event_);
-    CHECK(reported.client == 7 && reported.service == r.service && reported.stamp == r.stamp &&
-          reported.in_force == in_force && reported.reason == r.reason);
+    ReportStatus r{3, "trail", d.id, in_force, in_force ? "" : "'settings.pause' is \"0\", not above 0"};
+    const auto event_ = parse_client_line(7, read(report_line(r)));
+    const auto& reported = as<StatusReported>(event_);
+    CHECK(reported.client == 7 && reported.service == r.service && reported.id == r.id &&
+          reported.active == in_force && reported.reason == r.reason);
   }
-  const auto handed = client_event_of(7, read(hand_line(d)));
-  CHECK(as<Handed>(handed).document == d && is_sound(key(), as<Handed>(handed).document));
+  const auto handed = parse_client_line(7, read(return_line(d)));
+  CHECK(as<ConfigReturned>(handed).config == d && is_sound(key(), as<ConfigReturned>(handed).config));
   for (const std::uint64_t proposal : {std::uint64_t{0}, ~std::uint64_t{}}) {
-    const auto proposed = client_event_of(7, read(propose_line(proposal, d)));
-    CHECK(as<Proposed>(proposed).document == d && as<Proposed>(proposed).proposal == proposal);
+    const auto proposed = parse_client_line(7, read(propose_line(proposal, d)));
+    CHECK(as<ProposalReceived>(proposed).config == d && as<ProposalReceived>(proposed).proposal == proposal);
   }
-  CHECK(!client_event_of(7, read(beat_answer_line())));
+  CHECK(!parse_client_line(7, read(heartbeat_answer_line())));
 }
 
 void lines_of_a_distributor_come_back() {
-  const Document d = document();
-  Notice notice{1, {{"trail", d.stamp, 5}, {"map", {}, kMost}}, true, true, Standing::recovering};
-  const auto event = peer_event_of(2, read(notices_line(notice)));
-  const auto& told = as<PeerNoticed>(event);
-  CHECK(told.peer == 2 && told.complete && told.standing == Standing::recovering && told.entries.size() == 2);
-  CHECK(told.entries[0].stamp == d.stamp && told.entries[0].seen == 5);
-  CHECK(told.entries[1].stamp.none() && told.entries[1].seen == kMost);
-  for (const Standing standing : {Standing::is_new, Standing::recovering, Standing::voting}) {
-    notice.standing = standing;
-    CHECK(as<PeerNoticed>(peer_event_of(2, read(notices_line(notice)))).standing == standing);
+  const ServiceConfig d = document();
+  NotifyVersions notice{1, {{"trail", d.id, 5}, {"map", {}, kMost}}, true, true, VoterState::recovering};
+  const auto event = parse_peer_line(2, read(versions_line(notice)));
+  const auto& told = as<PeerVersionsNotified>(event);
+  CHECK(told.peer == 2 && told.complete && told.voter_state == VoterState::recovering &&
+        told.entries.size() == 2);
+  CHECK(told.entries[0].id == d.id && told.entries[0].highest_seen == 5);
+  CHECK(told.entries[1].id.none() && told.entries[1].highest_seen == kMost);
+  for (const VoterState standing : {VoterState::uninitialized, VoterState::recovering, VoterState::voting}) {
+    notice.voter_state = standing;
+    CHECK(as<PeerVersionsNotified>(parse_peer_line(2, read(versions_line(notice)))).voter_state == standing);
   }
-  notice.with_seen = false;
-  const json plain = read(notices_line(notice));
+  notice.with_highest_seen = false;
+  const json plain = read(versions_line(notice));
   CHECK(!plain["entries"][0].contains("seen"));
-  const auto noticed = as<Noticed>(subscriber_event_of(4, plain));
+  const auto noticed = as<VersionsNotified>(parse_subscriber_line(4, plain));
   CHECK(noticed.source == 4 && noticed.complete && noticed.entries.size() == 2);
-  CHECK(noticed.entries[0].stamp == d.stamp && noticed.entries[1].stamp.none());
-  CHECK(is_bad([&] { peer_event_of(2, plain); }));
-
-  const json line = read(document_line(d));
-  CHECK(as<Delivered>(subscriber_event_of(4, line)).document == d);
-  CHECK(as<PeerDelivered>(peer_event_of(2, line)).document == d);
-  CHECK_EQ(as<NotThere>(subscriber_event_of(4, read(missing_line("trail")))).service, "trail");
-  CHECK_EQ(as<PeerNotThere>(peer_event_of(2, read(missing_line("trail")))).service, "trail");
-  CHECK_EQ(as<Wanted>(subscriber_event_of(4, read(ask_line("trail")))).service, "trail");
-  CHECK_EQ(as<Beat>(subscriber_event_of(4, read(beat_line()))).source, 4U);
-  CHECK(!peer_event_of(2, read(beat_line())));
+  CHECK(noticed.entries[0].id == d.id && noticed.entries[1].id.none());
+  CHECK(is_bad([&] { parse_peer_line(2, plain); }));
+
+  const json line = read(config_line(d));
+  CHECK(as<ConfigDelivered>(parse_subscriber_line(4, line)).config == d);
+  CHECK(as<PeerConfigDelivered>(parse_peer_line(2, line)).config == d);
+  CHECK_EQ(as<ConfigMissing>(parse_subscriber_line(4, read(missing_line("trail")))).service, "trail");
+  CHECK_EQ(as<PeerConfigMissing>(parse_peer_line(2, read(missing_line("trail")))).service, "trail");
+  CHECK_EQ(as<ConfigRequested>(parse_subscriber_line(4, read(request_config_line("trail")))).service,
+           "trail");
+  CHECK_EQ(as<HeartbeatReceived>(parse_subscriber_line(4, read(heartbeat_line()))).source, 4U);
+  CHECK(!parse_peer_line(2, read(heartbeat_line())));
   for (const bool accepted : {true, false}) {
-    const auto got = peer_event_of(2, read(proposal_answer_line({9, ~std::uint64_t{}, accepted, 12})));
-    const auto& answered = as<PeerAnswered>(got);
+    const auto got = parse_peer_line(2, read(proposal_answer_line({9, ~std::uint64_t{}, accepted, 12})));
+    const auto& answered = as<ProposalAnswered>(got);
     CHECK(answered.peer == 2 && answered.proposal == ~std::uint64_t{} && answered.accepted == accepted &&
-          answered.seen == 12);
+          answered.highest_seen == 12);
   }
 }
 
 void lines_for_somebody_else_are_refused() {
-  CHECK(is_bad([] { subscriber_event_of(1, read(proposal_answer_line({}))); }));
-  CHECK(is_bad([] { peer_event_of(1, read(ask_line("trail"))); }));
-  CHECK(is_bad([] { client_event_of(1, read(beat_line())); }));
-  CHECK(is_bad([] { client_event_of(1, json{{"op", "config"}, {"what", "status"}}); }));
+  CHECK(is_bad([] { parse_subscriber_line(1, read(proposal_answer_line({}))); }));
+  CHECK(is_bad([] { parse_peer_line(1, read(request_config_line("trail"))); }));
+  CHECK(is_bad([] { parse_client_line(1, read(heartbeat_line())); }));
+  CHECK(is_bad([] { parse_client_line(1, json{{"op", "config"}, {"what", "status"}}); }));
   for (const json& none : {json(), json::array(), json("heard"), json(1), json::object()}) {
-    CHECK(is_bad([&] { client_event_of(1, none); }));
-    CHECK(is_bad([&] { subscriber_event_of(1, none); }));
-    CHECK(is_bad([&] { peer_event_of(1, none); }));
+    CHECK(is_bad([&] { parse_client_line(1, none); }));
+    CHECK(is_bad([&] { parse_subscriber_line(1, none); }));
+    CHECK(is_bad([&] { parse_peer_line(1, none); }));
   }
 }
 
@@ -161,24 +165,24 @@
 
 // Read and written again: the same meaning has the same text.
 struct WriteEvent {
-  json operator()(const Subscribed& e) const {
+  json operator()(const SubscriptionReceived& e) const {
     return e.all ? subscribe_all_line(e.name) : subscribe_line(e.name, e.held, e.primary);
   }
-  json operator()(const PrimaryTold& e) const { return primary_line(e.primary); }
-  json operator()(const Heard&) const { return heard_line(); }
-  json operator()(const Fetched& e) const { return fetch_line(e.service, e.version); }
-  json operator()(const Reported& e) const {
-    return report_line({0, e.service, e.stamp, e.in_force, e.reason});
+  json operator()(const PrimaryChanged& e) const { return primary_line(e.primary); }
+  json operator()(const NotificationAcknowledged&) const { return acknowledge_line(); }
+  json operator()(const FetchRequested& e) const { return fetch_line(e.service, e.version); }
+  json operator()(const StatusReported& e) const {
+    return report_line({0, e.service, e.id, e.active, e.reason});
   }
-  json operator()(const Handed& e) const { return hand_line(e.document); }
-  json operator()(const Proposed& e) const { return propose_line(e.proposal, e.document); }
-  json operator()(const PeerNoticed& e) const {
-    return notices_line({0, e.entries, e.complete, true, e.standing});
+  json operator()(const ConfigReturned& e) const { return return_line(e.config); }
+  json operator()(const ProposalReceived& e) const { return propose_line(e.proposal, e.config); }
+  json operator()(const PeerVersionsNotified& e) const {
+    return versions_line({0, e.entries, e.complete, true, e.voter_state});
   }
-  json operator()(const PeerDelivered& e) const { return document_line(e.document); }
-  json operator()(const PeerNotThere& e) const { return missing_line(e.service); }
-  json operator()(const PeerAnswered& e) const {
-    return proposal_answer_line({0, e.proposal, e.accepted, e.seen});
+  json operator()(const PeerConfigDelivered& e) const { return config_line(e.config); }
+  json operator()(const PeerConfigMissing& e) const { return missing_line(e.service); }
+  json operator()(const ProposalAnswered& e) const {
+    return proposal_answer_line({0, e.proposal, e.accepted, e.highest_seen});
   }
   json operator()(const auto&) const {
     CHECK(false);
@@ -186,15 +190,15 @@
   }
 };
 struct WriteSubscriberEvent {
-  json operator()(const Noticed& e) const {
-    Notice notice{0, {}, e.complete, false, Standing::voting};
-    for (const auto& entry : e.entries) notice.entries.push_back({entry.service, entry.stamp, 0});
-    return notices_line(notice);
+  json operator()(const VersionsNotified& e) const {
+    NotifyVersions notice{0, {}, e.complete, false, VoterState::voting};
+    for (const auto& entry : e.entries) notice.entries.push_back({entry.service, entry.id, 0});
+    return versions_line(notice);
   }
-  json operator()(const Delivered& e) const { return document_line(e.document); }
-  json operator()(const NotThere& e) const { return missing_line(e.service); }
-  json operator()(const Wanted& e) const { return ask_line(e.service); }
-  json operator()(const Beat&) const { return beat_line(); }
+  json operator()(const ConfigDelivered& e) const { return config_line(e.config); }
+  json operator()(const ConfigMissing& e) const { return missing_line(e.service); }
+  json operator()(const ConfigRequested& e) const { return request_config_line(e.service); }
+  json operator()(const HeartbeatReceived&) const { return heartbeat_line(); }
   json operator()(const auto&) const {
     CHECK(false);
     return {};
@@ -205,36 +209,36 @@
 
 std::vector<Kind> all_kinds() {
   const auto client = [](const json& line) {
-    const auto event = client_event_of(1, line);
-    return event ? again(*event) : beat_answer_line();
+    const auto event = parse_client_line(1, line);
+    return event ? again(*event) : heartbeat_answer_line();
   };
   const auto peer = [](const json& line) {
-    const auto event = peer_event_of(1, line);
-    return event ? again(*event) : beat_line();
+    const auto event = parse_peer_line(1, line);
+    return event ? again(*event) : heartbeat_line();
   };
-  const auto source = [](const json& line) { return again(subscriber_event_of(1, line)); };
-  const Document d = document();
-  const Notice with_seen{1, {{"trail", d.stamp, 5}, {"map", {}, 0}}, true, true, Standing::voting};
-  Notice without = with_seen;
-  without.with_seen = false;
-  return {{subscribe_line("gk", {{"trail", d.stamp}, {"map", {}}}, true), client},
+  const auto source = [](const json& line) { return again(parse_subscriber_line(1, line)); };
+  const ServiceConfig d = document();
+  const NotifyVersions with_seen{1, {{"trail", d.id, 5}, {"map", {}, 0}}, true, true, VoterState::voting};
+  NotifyVersions without = with_seen;
+  without.with_highest_seen = false;
+  return {{subscribe_line("gk", {{"trail", d.id}, {"map", {}}}, true), client},
           {subscribe_all_line("d1"), client},
           {primary_line(true), client},
-          {heard_line(), client},
+          {acknowledge_line(), client},
           {fetch_line("trail", 4), client},
-          {report_line({0, "trail", d.stamp, false, "no \"use\""}), client},
-          {hand_line(d), client},
+          {report_line({0, "trail", d.id, false, "no \"use\""}), client},
+          {return_line(d), client},
           {propose_line(4, d), client},
-          {beat_answer_line(), client},
-          {notices_line(with_seen), peer},
-          {notices_line(without), source},
-          {document_line(d), source},
-          {document_line(d), peer},
+          {heartbeat_answer_line(), client},
+          {versions_line(with_seen), peer},
+          {versions_line(without), source},
+          {config_line(d), source},
+          {config_line(d), peer},
           {missing_line("trail"), source},
           {missing_line("trail"), peer},
-          {ask_line("trail"), source},
-          {beat_line(), source},
-          {beat_line(), peer},
+          {request_config_line("trail"), source},
+          {heartbeat_line(), source},
+          {heartbeat_line(), peer},
           {proposal_answer_line({1, 2, true, 3}), peer}};
 }
 
@@ -369,136 +373,143 @@
 // ---- bounds
 
 void lists_names_and_contents_have_their_bounds() {
-  const Document d = document();
+  const ServiceConfig d = document();
   const auto subscribe = [&](std::size_t services) {
-    std::vector<Noticed::Entry> held;
-    for (std::size_t i = 0; i < services; ++i) held.push_back({"s" + std::to_string(i), d.stamp});
+    std::vector<VersionsNotified::Entry> held;
+    for (std::size_t i = 0; i < services; ++i) held.push_back({"s" + std::to_string(i), d.id});
     return read(subscribe_line("gk", held, false));
   };
-  CHECK_EQ(as<Subscribed>(client_event_of(1, subscribe(kMostSubscribed))).held.size(), kMostSubscribed);
-  CHECK(is_bad([&] { client_event_of(1, subscribe(kMostSubscribed + 1)); }));
-
-  Notice notice{1, {}, false, true, Standing::voting};
-  for (std::size_t i = 0; i < kMostNoticed; ++i)
-    notice.entries.push_back({std::string(60, 's') + std::to_string(i), {kMost, d.stamp.digest}, kMost});
-  CHECK(line_of(notices_line(notice)).size() <= kMaxLineBytes);
-  CHECK_EQ(as<PeerNoticed>(peer_event_of(1, read(notices_line(notice)))).entries.size(), kMostNoticed);
-  CHECK_EQ(as<Noticed>(subscriber_event_of(1, read(notices_line(notice)))).entries.size(), kMostNoticed);
+  CHECK_EQ(as<SubscriptionReceived>(parse_client_line(1, subscribe(kMaxSubscribedServices))).held.size(),
+           kMaxSubscribedServices);
+  CHECK(is_bad([&] { parse_client_line(1, subscribe(kMaxSubscribedServices + 1)); }));
+
+  NotifyVersions notice{1, {}, false, true, VoterState::voting};
+  for (std::size_t i = 0; i < kMaxNotifiedVersions; ++i)
+    notice.entries.push_back({std::string(60, 's') + std::to_string(i), {kMost, d.id.digest}, kMost});
+  CHECK(line_of(versions_line(notice)).size() <= kMaxLineBytes);
+  CHECK_EQ(as<PeerVersionsNotified>(parse_peer_line(1, read(versions_line(notice)))).entries.size(),
+           kMaxNotifiedVersions);
+  CHECK_EQ(as<VersionsNotified>(parse_subscriber_line(1, read(versions_line(notice)))).entries.size(),
+           kMaxNotifiedVersions);
   notice.entries.push_back(notice.entries[0]);
-  CHECK(is_bad([&] { peer_event_of(1, notices_line(notice)); }));
-  CHECK(is_bad([&] { subscriber_event_of(1, notices_line(notice)); }));
-
-  std::vector<Noticed::Entry> longest(kMostSubscribed, {std::string(kLongestService, 's'), {kMost, {}}});
-  CHECK(line_of(subscribe_line(std::string(kLongestGatekeeper, 'n'), longest, true)).size() <= kMaxLineBytes);
-
-  const auto name = [&](std::string text) { return client_event_of(1, read(subscribe_all_line(text))); };
-  CHECK_EQ(as<Subscribed>(name(std::string(kLongestGatekeeper, 'n'))).name.size(), kLongestGatekeeper);
-  for (const std::string& bad :
-       {std::string(), std::string(kLongestGatekeeper + 1, 'n'), std::string("a\nb"), std::string("\x7f")})
+  CHECK(is_bad([&] { parse_peer_line(1, versions_line(notice)); }));
+  CHECK(is_bad([&] { parse_subscriber_line(1, versions_line(notice)); }));
+
+  std::vector<VersionsNotified::Entry> longest(kMaxSubscribedServices,
+                                               {std::string(kMaxServiceNameLength, 's'), {kMost, {}}});
+  CHECK(line_of(subscribe_line(std::string(kMaxGatekeeperNameLength, 'n'), longest, true)).size() <=
+        kMaxLineBytes);
+
+  const auto name = [&](std::string text) { return parse_client_line(1, read(subscribe_all_line(text))); };
+  CHECK_EQ(as<SubscriptionReceived>(name(std::string(kMaxGatekeeperNameLength, 'n'))).name.size(),
+           kMaxGatekeeperNameLength);
+  for (const std::string& bad : {std::string(), std::string(kMaxGatekeeperNameLength + 1, 'n'),
+                                 std::string("a\nb"), std::string("\x7f")})
     CHECK(is_bad([&] { name(bad); }));
 
-  CHECK_EQ(as<NotThere>(subscriber_event_of(1, read(missing_line(std::string(kLongestService, 'a')))))
-               .service.size(),
-           kLongestService);
-  for (const std::string& bad : {std::string(), std::string(kLongestService + 1, 'a'), std::string("a/b"),
-                                 std::string("ü"), std::string("a b")})
-    CHECK(is_bad([&] { subscriber_event_of(1, missing_line(bad)); }));
+  CHECK_EQ(
+      as<ConfigMissing>(parse_subscriber_line(1, read(missing_line(std::string(kMaxServiceNameLength, 'a')))))
+          .service.size(),
+      kMaxServiceNameLength);
+  for (const std::string& bad : {std::string(), std::string(kMaxServiceNameLength + 1, 'a'),
+                                 std::string("a/b"), std::string("ü"), std::string("a b")})
+    CHECK(is_bad([&] { parse_subscriber_line(1, missing_line(bad)); }));
 
-  CHECK(is_bad([] { client_event_of(1, fetch_line("s", 0)); }));
-  CHECK(is_bad([] { client_event_of(1, fetch_line("s", kMost + 1)); }));
-  CHECK(is_bad([] { client_event_of(1, json{{"op", "fetch"}, {"service", "s"}, {"version", -1}}); }));
-  CHECK(is_bad([] { client_event_of(1, json{{"op", "fetch"}, {"service", "s"}, {"version", 1.0}}); }));
+  CHECK(is_bad([] { parse_client_line(1, fetch_line("s", 0)); }));
+  CHECK(is_bad([] { parse_client_line(1, fetch_line("s", kMost + 1)); }));
+  CHECK(is_bad([] { parse_client_line(1, json{{"op", "fetch"}, {"service", "s"}, {"version", -1}}); }));
+  CHECK(is_bad([] { parse_client_line(1, json{{"op", "fetch"}, {"service", "s"}, {"version", 1.0}}); }));
 
-  Document large = document("s", kMost, std::string(kLargestDocument, '"'));
+  ServiceConfig large = document("s", kMost, std::string(kMaxConfigBytes, '"'));
   CHECK(line_of(propose_line(~std::uint64_t{}, large)).size() <= kMaxLineBytes);
-  CHECK(as<Proposed>(client_event_of(1, read(propose_line(1, large)))).document == large);
+  CHECK(as<ProposalReceived>(parse_client_line(1, read(propose_line(1, large)))).config == large);
   large.content += "x";
-  CHECK(is_bad([&] { client_event_of(1, propose_line(1, large)); }));
-  CHECK(is_bad([&] { subscriber_event_of(1, document_line(large)); }));
+  CHECK(is_bad([&] { parse_client_line(1, propose_line(1, large)); }));
+  CHECK(is_bad([&] { parse_subscriber_line(1, config_line(large)); }));
   large.content.clear();
-  CHECK(is_bad([&] { peer_event_of(1, document_line(large)); }));
+  CHECK(is_bad([&] { parse_peer_line(1, config_line(large)); }));
 
   for (const std::string& digest :
        {std::string(), std::string(63, 'a'), std::string(65, 'a'), std::string(64, 'g')}) {
-    json line = read(document_line(d));
+    json line = read(config_line(d));
     line["digest"] = digest;
-    CHECK(is_bad([&] { subscriber_event_of(1, line); }));
+    CHECK(is_bad([&] { parse_subscriber_line(1, line); }));
   }
 }
 
 void a_reason_is_cut_and_bounded() {
   std::string reason;
-  while (reason.size() < 3 * kToldReason) reason += "ü€";
-  const json line = read(report_line({0, "s", document("s").stamp, false, reason}));
-  const auto event = client_event_of(1, line);
-  const std::string& told = as<Reported>(event).reason;
-  CHECK(told.size() <= kToldReason && told.size() > kToldReason - 4);
+  while (reason.size() < 3 * kMaxSentReasonLength) reason += "ü€";
+  const json line = read(report_line({0, "s", document("s").id, false, reason}));
+  const auto event = parse_client_line(1, line);
+  const std::string& told = as<StatusReported>(event).reason;
+  CHECK(told.size() <= kMaxSentReasonLength && told.size() > kMaxSentReasonLength - 4);
   CHECK_EQ(told, reason.substr(0, told.size()));  // no half character, so nothing was replaced
   // What is no UTF-8 is told in more bytes, and still taken.
   const json rough =
-      read(report_line({0, "s", document("s").stamp, false, std::string(kToldReason, '\xff')}));
-  CHECK(!is_bad([&] { client_event_of(1, rough); }));
+      read(report_line({0, "s", document("s").id, false, std::string(kMaxSentReasonLength, '\xff')}));
+  CHECK(!is_bad([&] { parse_client_line(1, rough); }));
   json longest = line;
-  longest["reason"] = std::string(kLongestReason, 'r');
-  CHECK(!is_bad([&] { client_event_of(1, longest); }));
-  longest["reason"] = std::string(kLongestReason + 1, 'r');
-  CHECK(is_bad([&] { client_event_of(1, longest); }));
+  longest["reason"] = std::string(kMaxReasonLength, 'r');
+  CHECK(!is_bad([&] { parse_client_line(1, longest); }));
+  longest["reason"] = std::string(kMaxReasonLength + 1, 'r');
+  CHECK(is_bad([&] { parse_client_line(1, longest); }));
 }
 
 // ---- what is saved
 
-bool same(const Record& a, const Record& b) {
-  return a.committed == b.committed && a.accepted == b.accepted && a.seen == b.seen;
+bool same(const ServiceRecord& a, const ServiceRecord& b) {
+  return a.committed == b.committed && a.accepted == b.accepted && a.highest_seen == b.highest_seen;
 }
 
 void records_come_back_from_their_text() {
-  std::map<std::string, Record> records;
-  CHECK(text_of(records).empty() && records_in("").empty());
+  std::map<std::string, ServiceRecord> records;
+  CHECK(serialize_records(records).empty() && parse_records("").empty());
   records["none"] = {{}, {}, 12};
   records["trail"] = {document("trail", 5), {}, 5};
   records["both"] = {document("both", 5), document("both", 6, R"({"journal":{"x":"\\\n"}})"), 7};
-  records["accepted"] = {{}, document("accepted", kMost, std::string(kLargestDocument, '"')), kMost};
-  const std::string text = text_of(records);
+  records["accepted"] = {{}, document("accepted", kMost, std::string(kMaxConfigBytes, '"')), kMost};
+  const std::string text = serialize_records(records);
   CHECK_EQ(std::ranges::count(text, '\n'), 4);
-  const auto got = records_in(text);
+  const auto got = parse_records(text);
   CHECK_EQ(got.size(), records.size());
   for (const auto& [service, record] : records) CHECK(got.contains(service) && same(got.at(service), record));
-  CHECK_EQ(text_of(got), text);
+  CHECK_EQ(serialize_records(got), text);
 
   // Cut anywhere but at a line's end it can't be read; replaced whole, it is never cut there.
   for (std::size_t length = 0; length < text.size(); length += length < 2000 ? 1 : 97) {
     const std::string_view cut = std::string_view(text).substr(0, length);
     if (length == 0 || cut.back() == '\n') continue;
-    CHECK(is_bad([&] { records_in(cut); }));
+    CHECK(is_bad([&] { parse_records(cut); }));
   }
-  CHECK(is_bad([&] { records_in(text + text); }));  // each twice
-  CHECK(is_bad([] { records_in("\n"); }));
-  CHECK(is_bad([] { records_in("[]\n"); }));
-  CHECK(is_bad([] { records_in("{}\n"); }));
+  CHECK(is_bad([&] { parse_records(text + text); }));  // each twice
+  CHECK(is_bad([] { parse_records("\n"); }));
+  CHECK(is_bad([] { parse_records("[]\n"); }));
+  CHECK(is_bad([] { parse_records("{}\n"); }));
   CHECK(is_bad([] {
-    records_in(R"({"service":"s"})"
-               "\n");
+    parse_records(R"({"service":"s"})"
+                  "\n");
   }));
   CHECK(is_bad([] {
-    records_in(R"({"service":"s","seen":1,"committed":3})"
-               "\n");
+    parse_records(R"({"service":"s","seen":1,"committed":3})"
+                  "\n");
   }));
   CHECK(is_bad([] {
-    records_in(R"({"service":"s","seen":1,"accepted":{"version":1}})"
-               "\n");
+    parse_records(R"({"service":"s","seen":1,"accepted":{"version":1}})"
+                  "\n");
   }));
   CHECK(is_bad([] {
-    records_in(R"({"service":"a/b","seen":1})"
-               "\n");
+    parse_records(R"({"service":"a/b","seen":1})"
+                  "\n");
   }));
   CHECK(is_bad([] {
-    records_in(R"({"service":"s","seen":1.5})"
-               "\n");
+    parse_records(R"({"service":"s","seen":1.5})"
+                  "\n");
   }));
   std::string many;
-  for (std::size_t i = 0; i <= kMostServices; ++i)
+  for (std::size_t i = 0; i <= kMaxServices; ++i)
     many += R"({"seen":1,"service":"s)" + std::to_string(i) + "\"}\n";
-  CHECK(is_bad([&] { records_in(many); }));
+  CHECK(is_bad([&] { parse_records(many); }));
 }
 
 // ---- the one form of a patch
@@ -519,21 +530,23 @@
     const auto count = static_cast<std::size_t>(depth);
     return R"({"settings":)" + std::string(count, '[') + std::string(count, ']') + "}";
   };
-  CHECK(!is_bad([&] { canonical_patch(nested(kDeepestPatch - 2)); }));
-  CHECK(is_bad([&] { canonical_patch(nested(kDeepestPatch + 2)); }));
+  CHECK(!is_bad([&] { canonical_patch(nested(kMaxPatchDepth - 2)); }));
+  CHECK(is_bad([&] { canonical_patch(nested(kMaxPatchDepth + 2)); }));
   CHECK(is_bad([&] { canonical_patch(nested(100'000)); }));
 }
 
 void what_can_not_be_published_is_told_why() {
-  CHECK(trouble_with("trail", "{}").empty());
-  CHECK(!trouble_with("", "{}").empty());
-  CHECK(!trouble_with("a b", "{}").empty());
-  CHECK(!trouble_with("trail", "").empty());
-  CHECK(trouble_with("trail", std::string(kLargestDocument, 'x')).empty());
-  CHECK(!trouble_with("trail", std::string(kLargestDocument + 1, 'x')).empty());
-  CHECK(trouble_with(std::string(kLongestService, 's'), std::string(kLargestDocument, '"')).empty());
+  CHECK(find_config_error("trail", "{}").empty());
+  CHECK(!find_config_error("", "{}").empty());
+  CHECK(!find_config_error("a b", "{}").empty());
+  CHECK(!find_config_error("trail", "").empty());
+  CHECK(find_config_error("trail", std::string(kMaxConfigBytes, 'x')).empty());
+  CHECK(!find_config_error("trail", std::string(kMaxConfigBytes + 1, 'x')).empty());
+  CHECK(
+      find_config_error(std::string(kMaxServiceNameLength, 's'), std::string(kMaxConfigBytes, '"')).empty());
   // No patch in its one form holds such bytes; whoever publishes past the command may.
-  CHECK(trouble_with("trail", std::string(kLargestDocument, '\x01')).find("escaped") != std::string::npos);
+  CHECK(find_config_error("trail", std::string(kMaxConfigBytes, '\x01')).find("escaped") !=
+        std::string::npos);
 }
 
 }  // namespace
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,6 +1,6 @@
 // Configuration that is distributed, at a gatekeeper: what it waits for, takes, refuses and tells, beside
 // SIGHUP, upgrades and open calls; and what lays documents over a file.
-#include "config/documents.h"
+#include "config/overlay.h"
 #include "control/config_lines.h"
 #include "control/subscription.h"
 #include "lab.h"
@@ -38,9 +38,9 @@
   return d;
 }
 
-Document document(const std::string& service, Version version, const json& patch) {
-  Document d{service, {version, {}}, patch.dump()};
-  d.stamp.digest = digest_of(key_for_tests(), service, version, d.content);
+ServiceConfig document(const std::string& service, Version version, const json& patch) {
+  ServiceConfig d{service, {version, {}}, patch.dump()};
+  d.id.digest = digest_of(key_for_tests(), service, version, d.content);
   return d;
 }
 
@@ -91,14 +91,14 @@
   void say(ConnId conn, const json& line) {
     if (is_open(conn)) receive(conn, line_of(line));
   }
-  json notice(const std::vector<Noticed::Entry>& held) const {
+  json notice(const std::vector<VersionsNotified::Entry>& held) const {
     json entries = json::array();
-    for (const Noticed::Entry& have : held) {
+    for (const VersionsNotified::Entry& have : held) {
       const auto it = documents.find(have.service);
-      if (it == documents.end() || it->second.stamp == have.stamp) continue;
+      if (it == documents.end() || it->second.id == have.id) continue;
       entries.push_back({{"service", have.service},
-                         {"version", it->second.stamp.version},
-                         {"digest", hex_of(it->second.stamp.digest)}});
+                         {"version", it->second.id.version},
+                         {"digest", to_hex(it->second.id.digest)}});
     }
     return {{"event", "notices"}, {"entries", entries}, {"complete", true}, {"standing", "voting"}};
   }
@@ -117,17 +117,17 @@
   void hear(ConnId conn, const json& line) {
     said.push_back(line);
     if (line["op"] == "heard") ++heard[conn];
-    const auto event = client_event_of(1, line);
+    const auto event = parse_client_line(1, line);
     if (!event || mute) return;
-    if (const auto* s = std::get_if<Subscribed>(&*event)) {
+    if (const auto* s = std::get_if<SubscriptionReceived>(&*event)) {
       subscribed[conn] = s->held;
       say(conn, notice(s->held));
-    } else if (const auto* f = std::get_if<Fetched>(&*event)) {
+    } else if (const auto* f = std::get_if<FetchRequested>(&*event)) {
       const auto it = documents.find(f->service);
-      if (it == documents.end() || it->second.stamp.version != f->version)
+      if (it == documents.end() || it->second.id.version != f->version)
         return say(conn, missing_line(f->service));
-      say(conn, document_line(it->second));
-    } else if (const auto* r = std::get_if<Reported>(&*event)) {
+      say(conn, config_line(it->second));
+    } else if (const auto* r = std::get_if<StatusReported>(&*event)) {
       reports.push_back(*r);
     }
   }
@@ -141,11 +141,11 @@
     serve();
   }
   // A new document, of which all distributors tell.
-  void publish(const Document& d) {
+  void publish(const ServiceConfig& d) {
     documents[d.service] = d;
     for (const ConnId conn : sources) say(conn, notice({{d.service, {}}}));
   }
-  void published(const Document& d) {
+  void published(const ServiceConfig& d) {
     publish(d);
     run(500ms);
   }
@@ -186,27 +186,27 @@
     return std::count(asked.begin(), asked.end(), "127.0.0.1:" + std::to_string(port)) > 0;
   }
   // Its last report of a service's version.
-  const Reported* reported(const std::string& service, Version version) const {
+  const StatusReported* reported(const std::string& service, Version version) const {
     for (auto it = reports.rbegin(); it != reports.rend(); ++it) {
-      if (it->service == service && it->stamp.version == version) return &*it;
+      if (it->service == service && it->id.version == version) return &*it;
     }
     return nullptr;
   }
 
-  std::map<std::string, Document> documents;  // what all distributors hold
-  bool cut = false;                           // no distributor can be reached
-  bool mute = false;                          // they hear, and answer nothing
-  std::vector<ConnId> sources;                // connections that came up, those that are over too
-  std::vector<std::string> asked;             // addresses that a connection was asked to
-  std::vector<json> said;                     // by the gatekeeper
+  std::map<std::string, ServiceConfig> documents;  // what all distributors hold
+  bool cut = false;                                // no distributor can be reached
+  bool mute = false;                               // they hear, and answer nothing
+  std::vector<ConnId> sources;                     // connections that came up, those that are over too
+  std::vector<std::string> asked;                  // addresses that a connection was asked to
+  std::vector<json> said;                          // by the gatekeeper
   std::map<ConnId, int> heard;
-  std::map<ConnId, std::vector<Noticed::Entry>> subscribed;
-  std::vector<Reported> reports;
+  std::map<ConnId, std::vector<VersionsNotified::Entry>> subscribed;
+  std::vector<StatusReported> reports;
 };
 
 // One that is up and has what was published before.
 struct Served : Fleet {
-  explicit Served(const std::map<std::string, Document>& all = {}) {
+  explicit Served(const std::map<std::string, ServiceConfig>& all = {}) {
     documents = all;
     run(500ms);
     CHECK_EQ(readyz(), "OK ready\n");
@@ -324,10 +324,10 @@
   CHECK(!lab.takes("extra"));
   lab.published(document("calls", 7, classes_with({"extra"})));
   CHECK(lab.takes("extra"));
-  const Reported* told = lab.reported("calls", 7);
-  CHECK(told != nullptr && told->in_force && told->reason.empty());
+  const StatusReported* told = lab.reported("calls", 7);
+  CHECK(told != nullptr && told->active && told->reason.empty());
   CHECK_EQ(std::count_if(lab.reports.begin(), lab.reports.end(),
-                         [](const Reported& r) { return r.service == "calls" && r.in_force; }),
+                         [](const StatusReported& r) { return r.service == "calls" && r.active; }),
            2);  // both sources hear of it
   lab.published(document("limits", 3, {{"journal", "127.0.0.1:8600"}}));
   CHECK(lab.has_asked(8600));
@@ -341,7 +341,7 @@
   CHECK_EQ(held["current"], true);
   CHECK_EQ(held["services"].size(), 2U);
   CHECK_EQ(held["services"][0]["version"], 8);
-  CHECK_EQ(held["services"][0]["digest"], hex_of(lab.documents["calls"].stamp.digest));
+  CHECK_EQ(held["services"][0]["digest"], to_hex(lab.documents["calls"].id.digest));
   CHECK_EQ(held["services"][1]["service"], "limits");
   CHECK_EQ(held["services"][1]["version"], 3);
   // Files are counted apart.
@@ -364,8 +364,8 @@
   CHECK(lab.takes("extra"));
   CHECK(!lab.takes("other"));
   CHECK(lab.has_asked(8600));
-  const Reported* told = lab.reported("calls", 8);
-  CHECK(told != nullptr && !told->in_force);
+  const StatusReported* told = lab.reported("calls", 8);
+  CHECK(told != nullptr && !told->active);
   CHECK(told->reason.find("hardLimitNs' is 0, not a number above 0") != std::string::npos);
   CHECK(lab.log.find("calls, version 8, is refused, and what was in force stays: ") != std::string::npos);
   CHECK_EQ(lab.in_force("calls"), 7U);
@@ -398,8 +398,8 @@
   for (const json& patch : broken) {
     lab.published(document("calls", ++version, patch));
     CHECK_EQ(lab.in_force("calls"), 0U);
-    const Reported* told = lab.reported("calls", version);
-    CHECK(told != nullptr && !told->in_force && !told->reason.empty());
+    const StatusReported* told = lab.reported("calls", version);
+    CHECK(told != nullptr && !told->active && !told->reason.empty());
   }
   // What a document has added goes with it.
   lab.published(document("calls", ++version, {{"settings", {{"more", {{"still", 1}}}}}}));
@@ -407,7 +407,7 @@
   lab.published(document("calls", ++version, journal_at(8600)));
   CHECK_EQ(lab.in_force("calls"), version);
   // A content that is not its digest's is passed over.
-  Document forged = document("calls", ++version, journal_at(8700));
+  ServiceConfig forged = document("calls", ++version, journal_at(8700));
   forged.content = journal_at(8701).dump();
   lab.published(forged);
   CHECK_EQ(lab.in_force("calls"), version - 1);
@@ -476,14 +476,14 @@
   patch["settings"]["familyInfo"].erase("poolsByClass");
   lab.published(document("calls", 1, patch));
   CHECK_EQ(lab.in_force("calls"), 0U);
-  CHECK(!lab.reported("calls", 1)->in_force);
+  CHECK(!lab.reported("calls", 1)->active);
   json other = file_with_two_servers();
   other["settings"].merge_patch(classes_with({"third"})["settings"]);
   lab.load(other);
   lab.run(300ms);
   CHECK_EQ(lab.value("config_applied"), "1");
   CHECK_EQ(lab.in_force("calls"), 1U);
-  CHECK(lab.reported("calls", 1)->in_force);
+  CHECK(lab.reported("calls", 1)->active);
   CHECK(lab.takes("extra"));
   CHECK(!lab.takes("third"));
   CHECK_EQ(lab.value("config_refused"), "0");
@@ -537,12 +537,12 @@
   fresh.run(500ms);
   CHECK_EQ(fresh.readyz(), "OK ready\n");
   old.tell(net::StopRequested{});
-  const Document change = document("calls", 2, classes_with({"other"}));
+  const ServiceConfig change = document("calls", 2, classes_with({"other"}));
   old.published(change);
   fresh.published(change);
   CHECK_EQ(old.in_force("calls"), 2U);
   CHECK_EQ(fresh.in_force("calls"), 2U);
-  CHECK(old.reported("calls", 2)->in_force && fresh.reported("calls", 2)->in_force);
+  CHECK(old.reported("calls", 2)->active && fresh.reported("calls", 2)->active);
   CHECK(!old.exit_status);  // its call stands: of a class that is gone
   fresh.tell(net::Accepted{kCaller});
   CHECK(fresh.takes("other"));
@@ -647,9 +647,9 @@
 void a_line_before_garbage_is_heard() {
   Served lab;
   const ConnId bad = lab.sources.at(0);
-  const Document change = document("calls", 1, classes_with({"extra"}));
+  const ServiceConfig change = document("calls", 1, classes_with({"extra"}));
   lab.documents["calls"] = change;
-  lab.receive(bad, line_of(lab.notice({{"calls", {}}})) + "what?\nwhat?\n" + line_of(beat_line()));
+  lab.receive(bad, line_of(lab.notice({{"calls", {}}})) + "what?\nwhat?\n" + line_of(heartbeat_line()));
   CHECK_EQ(lab.value("config_distribution_malformed"), "1");
   CHECK_EQ(lab.value("config_distribution_lines_in"), "3");  // a notice of each at the start, and this one
   lab.run(10s);
@@ -658,7 +658,7 @@
 
 void half_a_line_is_waited_for_and_not_for_ever() {
   Served lab;
-  const Document change = document("calls", 1, classes_with({"extra"}));
+  const ServiceConfig change = document("calls", 1, classes_with({"extra"}));
   lab.documents["calls"] = change;
   const std::string line = line_of(lab.notice({{"calls", {}}}));
   const ConnId slow = lab.sources.at(0);
@@ -674,7 +674,7 @@
   lab.receive(other, R"({"event":")");
   for (int i = 0; i < 200 && lab.is_open(other); ++i) {
     lab.receive(other, "x");
-    lab.say(slow, beat_line());
+    lab.say(slow, heartbeat_line());
     lab.run(100ms);
   }
   CHECK(!lab.is_open(other));
@@ -688,7 +688,7 @@
   const ConnId stopped = lab.sources.at(1);
   lab.said.clear();
   for (int i = 0; i < 4; ++i) {
-    lab.say(alive, beat_line());
+    lab.say(alive, heartbeat_line());
     lab.run(5s);
   }
   CHECK(lab.is_open(alive));
@@ -754,12 +754,12 @@
 
 void it_stands_alone_and_beside_others() {
   Counters counters;
-  std::vector<std::vector<Document>> sets;
+  std::vector<std::vector<ServiceConfig>> sets;
   SubscriberSettings settings = *distributed().configuration;
   std::string trouble;
   Subscription subscription(
       settings, counters,
-      [&](Time, const std::vector<Document>& all, Outbox&) -> std::optional<std::string> {
+      [&](Time, const std::vector<ServiceConfig>& all, Outbox&) -> std::optional<std::string> {
         if (!trouble.empty()) return trouble;
         sets.push_back(all);
         return std::nullopt;
@@ -778,7 +778,7 @@
   for (std::size_t i = 0; i < conns.size(); ++i) CHECK_EQ(conns[i].number, 6 + 100 * i);
   CHECK(timer && timer->number == 5);
   subscription.on(now, net::Connected{conns[0]}, out);
-  const Document change = document("calls", 1, journal_at(8600));
+  const ServiceConfig change = document("calls", 1, journal_at(8600));
   Fleet speaker;
   speaker.documents["calls"] = change;
   const auto tell = [&](const json& line) {
@@ -786,23 +786,23 @@
     subscription.on(now, net::Received{conns[0], bytes}, out);
   };
   tell(speaker.notice({{"calls", {}}}));
-  tell(document_line(change));
+  tell(config_line(change));
   for (int i = 0; i < 10; ++i) {
     now += 50ms;
     subscription.on(now, net::TimerFired{*timer}, out);
   }
   CHECK_EQ(sets.size(), 1U);
-  CHECK(sets[0] == std::vector<Document>{change});
+  CHECK(sets[0] == std::vector<ServiceConfig>{change});
   CHECK(subscription.ready());
   CHECK_EQ(counters.of("config.distribution.sets_taken"), 1U);
 
   // A reason of somebody's settings goes on as one plain line of a bounded length.
   trouble = "bad\nline " + std::string(10'000, 'x');
-  const Document next = document("calls", 2, journal_at(8700));
+  const ServiceConfig next = document("calls", 2, journal_at(8700));
   speaker.documents["calls"] = next;
   tell(speaker.notice({{"calls", {}}}));
   out.net.clear();
-  tell(document_line(next));
+  tell(config_line(next));
   for (int i = 0; i < 10; ++i) {
     now += 50ms;
     subscription.on(now, net::TimerFired{*timer}, out);
@@ -822,8 +822,10 @@
 
 void documents_lie_over_each_other_in_their_order() {
   const std::string base = file_with_two_servers().dump();
-  CHECK_EQ(json::parse(laid_over(base, {})), file_with_two_servers());
-  const auto laid = [&base](const std::vector<Document>& all) { return json::parse(laid_over(base, all)); };
+  CHECK_EQ(json::parse(with_overlay(base, {})), file_with_two_servers());
+  const auto laid = [&base](const std::vector<ServiceConfig>& all) {
+    return json::parse(with_overlay(base, all));
+  };
   const json both = laid({document("a", 1, {{"journal", "127.0.0.1:1"}, {"settings", {{"me", 2}}}}),
                           document("b", 1, {{"journal", "127.0.0.1:2"}})});
   json expected = file_with_two_servers();
@@ -842,7 +844,7 @@
 std::string trouble_of(Act act) {
   try {
     act();
-  } catch (const BadConfig& e) {
+  } catch (const ConfigError& e) {
     return e.what();
   }
   return {};
@@ -851,7 +853,7 @@
 void documents_have_bounds() {
   const std::string base = file_with_two_servers().dump();
   const auto trouble = [&base](const std::string& content) {
-    return trouble_of([&] { laid_over(base, {Document{"a", {4, {}}, content}}); });
+    return trouble_of([&] { with_overlay(base, {ServiceConfig{"a", {4, {}}, content}}); });
   };
   CHECK_EQ(trouble(R"({"name":"x"})"),
            "the document of 'a', version 4, sets 'name': only 'settings' and 'journal' may be set");
@@ -859,7 +861,7 @@
   CHECK_EQ(trouble(""), "the document of 'a', version 4, is no JSON object");
   CHECK_EQ(trouble("null"), "the document of 'a', version 4, is no JSON object");
   CHECK_EQ(trouble("[]"), "the document of 'a', version 4, is no JSON object");
-  CHECK(trouble(R"({"settings":")" + std::string(distribution::kLargestDocument, 'x') + "\"}")
+  CHECK(trouble(R"({"settings":")" + std::string(distribution::kMaxConfigBytes, 'x') + "\"}")
             .find("longer than 12288") != std::string::npos);
   const auto nested = [](int depth) {
     return R"({"settings":)" + std::string(static_cast<std::size_t>(depth), '[') +
@@ -879,12 +881,12 @@
     }
     CHECK_EQ(trouble(nested(depth)).empty(), publishable);
   }
-  std::vector<Document> many(kMostSubscribed, Document{"a", {1, {}}, "{}"});
-  CHECK_EQ(trouble_of([&] { laid_over(base, many); }), "");
+  std::vector<ServiceConfig> many(kMaxSubscribedServices, ServiceConfig{"a", {1, {}}, "{}"});
+  CHECK_EQ(trouble_of([&] { with_overlay(base, many); }), "");
   many.push_back(many.back());
-  CHECK_EQ(trouble_of([&] { laid_over(base, many); }), "there are more than 64 documents");
-  CHECK(!trouble_of([&] { laid_over("", {}); }).empty());
-  CHECK(!trouble_of([&] { laid_over("[]", {}); }).empty());
+  CHECK_EQ(trouble_of([&] { with_overlay(base, many); }), "there are more than 64 documents");
+  CHECK(!trouble_of([&] { with_overlay("", {}); }).empty());
+  CHECK(!trouble_of([&] { with_overlay("[]", {}); }).empty());
 }
 
 // ---- the deploy file
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -304,7 +304,7 @@
   lab.pass(300ms);
   all = lab.peer();
   CHECK_EQ(all.size(), 1U);
-  const LoadDocument told = read_load_control(all[0].body);
+  const LoadControlDocument told = read_load_control(all[0].body);
   CHECK(told.version == 1 && told.rules.size() == 1 && told.rules[0].figure == 2.0);
   CHECK(told.rules[0].numbers == std::vector<std::string>{"4711"});
   lab.answer(all[0], 200);
@@ -380,7 +380,7 @@
   near.call(near.id(2));
   CHECK_EQ(near.messages(near.s0).at(0).method, "INVITE");
   // A NOTIFY that answers to no subscription of ours, however well formed, changes nothing.
-  LoadDocument bad;
+  LoadControlDocument bad;
   bad.version = 99;
   bad.rules.push_back({"x", {"4712"}, {}, {}, {}, LoadRule::How::rate, 0.0});
   sip::Message m;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -614,7 +614,7 @@
   EXPECT_LT(small, 16);
 }
 
-TEST(ColdGuard, KeepsASenderToItsPartOfTheBudget) {
+TEST(SlowStartLimiter, KeepsASenderToItsPartOfTheBudget) {
   // 80 lines at 8 s a call: 10 set-ups a second; 2 x 0.4 x 10 x 2 s = 16 for 5 senders in a window.
   Script script(settings_with());
   script.list(0s, {entry(0, ServerState::in_service, at(0s))});
@@ -709,19 +709,19 @@
   }
 };
 
-TEST(ColdGuard,
+TEST(SlowStartLimiter,
      KeepsHundredsOfSendersTogetherWithinTheBudget) {  // one at least from each was twice the budget
   EXPECT_LE((ColdStart{250, 20, 100ms}.most_of_budget()), 1.0);  // with a burst right after the start
   EXPECT_LE((ColdStart{1000, 20, 500ms}.most_of_budget()), 1.0);
   EXPECT_GE((ColdStart{250, 0, 500ms}.most_of_budget()), 0.375);  // and is not starved
 }
 
-TEST(ColdGuard, DoesNotStarveAServerOfASmallFleet) {
+TEST(SlowStartLimiter, DoesNotStarveAServerOfASmallFleet) {
   EXPECT_LE((ColdStart{5, 20, 50ms}.most_of_budget()), 1.0);
   EXPECT_GE((ColdStart{5, 0, 50ms}.most_of_budget()), 0.375);
 }
 
-TEST(ColdGuard, KeepsToTheBudgetHoweverTheServerWarms) {
+TEST(SlowStartLimiter, KeepsToTheBudgetHoweverTheServerWarms) {
   for (const Duration warm_after : {Duration(1s), Duration(4s), Duration(14s), Duration(1h)}) {
     for (const std::uint32_t senders : {2U, 7U, 60U}) {
       const ColdStart start{senders, 20, 8ms * senders, 11900ms, warm_after};  // 125 calls a second
@@ -731,7 +731,7 @@
 }
 
 // A server that was warm after 4 s was once sent a flat third of what it could do until its 15 s were over.
-TEST(ColdGuard, FollowsAServerThatAnswers) {
+TEST(SlowStartLimiter, FollowsAServerThatAnswers) {
   const auto late = [](Duration warm_after) {
     return ColdStart{6, 0, 75ms, 12s, warm_after}.sent_within(8s, 12s);  // 80 calls a second
   };
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -23,19 +23,19 @@
   return key;
 }
 
-Document document_of(const std::string& service, Version version, const std::string& content) {
+ServiceConfig document_of(const std::string& service, Version version, const std::string& content) {
   return {service, {version, digest_of(test_key(), service, version, content)}, content};
 }
 
 void a_digest_is_of_all_its_parts() {
-  const Document d = document_of("a.b", 7, "{}");
+  const ServiceConfig d = document_of("a.b", 7, "{}");
   CHECK(is_sound(test_key(), d));
   for (int i = 0; i < 4; ++i) {
-    Document other = d;
+    ServiceConfig other = d;
     if (i == 0) other.service = "a.c";
-    if (i == 1) other.stamp.version = 8;
+    if (i == 1) other.id.version = 8;
     if (i == 2) other.content = "{ }";
-    if (i == 3) other.stamp.digest[31] ^= 1;
+    if (i == 3) other.id.digest[31] ^= 1;
     CHECK(!is_sound(test_key(), other));
   }
   // What ends one part does not begin the next.
@@ -44,14 +44,14 @@
   CHECK(!is_sound(test_key(), document_of("a b", 1, "{}")));
   CHECK(!is_sound(test_key(), document_of("", 1, "{}")));
   CHECK(!is_sound(test_key(), document_of(std::string(65, 'a'), 1, "{}")));
-  CHECK(is_sound(test_key(), document_of(std::string(64, 'a'), 1, std::string(kLargestDocument, 'x'))));
-  CHECK(!is_sound(test_key(), document_of("a", 1, std::string(kLargestDocument + 1, 'x'))));
+  CHECK(is_sound(test_key(), document_of(std::string(64, 'a'), 1, std::string(kMaxConfigBytes, 'x'))));
+  CHECK(!is_sound(test_key(), document_of("a", 1, std::string(kMaxConfigBytes + 1, 'x'))));
   Digest back{};
-  CHECK(digest_in(hex_of(d.stamp.digest), back));
-  CHECK(back == d.stamp.digest);
-  CHECK(!digest_in("0g", back));
-  CHECK(!digest_in(std::string(64, 'g'), back));
-  CHECK(back == d.stamp.digest);
+  CHECK(parse_digest(to_hex(d.id.digest), back));
+  CHECK(back == d.id.digest);
+  CHECK(!parse_digest("0g", back));
+  CHECK(!parse_digest(std::string(64, 'g'), back));
+  CHECK(back == d.id.digest);
 }
 
 // The first effect of a kind.
@@ -84,20 +84,20 @@
   const Time now = Time{} + 1h;
   DistributorEffects out;
   d.step(now, Restored{{}, false}, out);
-  d.step(now, PeerUp{0}, out);
-  d.step(now, Publish{1, "a", "{}", 1000}, out);
-  CHECK(first<Published>(out) == nullptr);
-  const Propose proposed = *first<Propose>(out);
-  CHECK_EQ(proposed.document.stamp.version, 1000U);
+  d.step(now, PeerConnected{0}, out);
+  d.step(now, PublishRequested{1, "a", "{}", 1000}, out);
+  CHECK(first<PublishFinished>(out) == nullptr);
+  const SendProposal proposed = *first<SendProposal>(out);
+  CHECK_EQ(proposed.config.id.version, 1000U);
   out.clear();
-  d.step(now + 1s, PeerAnswered{0, proposed.proposal, true, 1000}, out);
-  CHECK(std::holds_alternative<Save>(out.at(0)));
-  CHECK(first<Published>(out)->committed);
-  d.step(now + 2s, Publish{2, "a", "{}", 1000}, out);
+  d.step(now + 1s, ProposalAnswered{0, proposed.proposal, true, 1000}, out);
+  CHECK(std::holds_alternative<SaveBucket>(out.at(0)));
+  CHECK(first<PublishFinished>(out)->committed);
+  d.step(now + 2s, PublishRequested{2, "a", "{}", 1000}, out);
   out.clear();
   d.step(now + 5s, Tick{}, out);
-  CHECK(!first<Published>(out)->committed);
-  CHECK_EQ(first<Published>(out)->why, "no majority");
+  CHECK(!first<PublishFinished>(out)->committed);
+  CHECK_EQ(first<PublishFinished>(out)->reason, "no majority");
 }
 
 void a_gatekeeper_is_told_and_fetches_and_applies() {
@@ -111,22 +111,22 @@
   SubscriberEffects out;
   s.start(now, out);
   CHECK_EQ(out.size(), kSources);
-  const std::uint32_t source = first<Open>(out)->source;
+  const std::uint32_t source = first<OpenSource>(out)->source;
   out.clear();
-  s.step(now, SourceUp{source}, out);
+  s.step(now, SourceConnected{source}, out);
   CHECK(first<Subscribe>(out)->primary);
   CHECK_EQ(first<Subscribe>(out)->held.size(), 2U);
-  const Document d = document_of("a", 5, "{}");
+  const ServiceConfig d = document_of("a", 5, "{}");
   out.clear();
-  s.step(now, Noticed{source, {{"a", d.stamp}}, true}, out);
-  CHECK_EQ(first<Fetch>(out)->version, 5U);
+  s.step(now, VersionsNotified{source, {{"a", d.id}}, true}, out);
+  CHECK_EQ(first<FetchConfig>(out)->version, 5U);
   CHECK(!s.ready());
   out.clear();
-  s.step(now, Delivered{source, d}, out);
-  CHECK(first<Apply>(out)->documents == std::vector<Document>{d});
+  s.step(now, ConfigDelivered{source, d}, out);
+  CHECK(first<ApplyConfigs>(out)->configs == std::vector<ServiceConfig>{d});
   out.clear();
-  s.step(now, Applied{true, {}}, out);
-  CHECK(first<Report>(out)->in_force);
+  s.step(now, ApplyFinished{true, {}}, out);
+  CHECK(first<ReportStatus>(out)->active);
   CHECK(s.ready());
   CHECK(s.is_current());
 }
@@ -147,7 +147,7 @@
     note(out);
   }
   void up_all() {
-    for (std::uint32_t i = 0; i < 2; ++i) step(SourceUp{i});
+    for (std::uint32_t i = 0; i < 2; ++i) step(SourceConnected{i});
   }
   // All that follows from it; an Apply is answered at once unless `hold`.
   void step(const SubscriberEvent& event) {
@@ -156,10 +156,10 @@
     note(out);
   }
   void note(const SubscriberEffects& out) {
-    std::optional<Apply> apply;
+    std::optional<ApplyConfigs> apply;
     for (const auto& effect : out) {
       seen.push_back(effect);
-      if (const auto* a = std::get_if<Apply>(&effect)) {
+      if (const auto* a = std::get_if<ApplyConfigs>(&effect)) {
         CHECK(!apply);
         apply = *a;
       }
@@ -172,28 +172,28 @@
       answer(*apply);
     }
   }
-  void answer(const Apply& apply) {
-    const std::string why = refuses ? refuses(apply.documents) : "";
+  void answer(const ApplyConfigs& apply) {
+    const std::string why = refuses ? refuses(apply.configs) : "";
     if (why.empty()) {
-      std::map<std::string, Document> next;
-      for (const Document& d : apply.documents) next[d.service] = d;
+      std::map<std::string, ServiceConfig> next;
+      for (const ServiceConfig& d : apply.configs) next[d.service] = d;
       for (const auto& [service, d] : running) {
         CHECK(next.contains(service));
-        CHECK(next[service].stamp.version >= d.stamp.version);
-        CHECK(next[service].stamp.version > d.stamp.version || next[service] == d);
+        CHECK(next[service].id.version >= d.id.version);
+        CHECK(next[service].id.version > d.id.version || next[service] == d);
       }
       for (const auto& [service, d] : next) CHECK(is_sound(test_key(), d));
       running = next;
     }
-    step(Applied{why.empty(), why});
+    step(ApplyFinished{why.empty(), why});
   }
   void answer_held() {
-    const Apply apply = *held;
+    const ApplyConfigs apply = *held;
     held.reset();
     answer(apply);
   }
-  void tell(std::uint32_t source, const Document& d, bool complete = true) {
-    step(Noticed{source, {{d.service, d.stamp}}, complete});
+  void tell(std::uint32_t source, const ServiceConfig& d, bool complete = true) {
+    step(VersionsNotified{source, {{d.service, d.id}}, complete});
   }
   void run(Duration span) {
     for (const Time end = now + span; now < end;) {
@@ -201,10 +201,10 @@
       step(Tick{});
     }
   }
-  std::size_t told(Told what) const {
+  std::size_t told(SubscriberLogKind what) const {
     return static_cast<std::size_t>(std::count_if(seen.begin(), seen.end(), [&](const auto& effect) {
-      const auto* h = std::get_if<Happened>(&effect);
-      return h != nullptr && h->what == what;
+      const auto* h = std::get_if<SubscriberLogEvent>(&effect);
+      return h != nullptr && h->kind == what;
     }));
   }
   template <class Effect>
@@ -216,14 +216,14 @@
     return found;
   }
   Version in_force(const std::string& service) const {
-    for (const auto& [name, held] : subscriber->held()) {
-      if (name == service) return held.in_force.version;
+    for (const auto& [name, held] : subscriber->service_states()) {
+      if (name == service) return held.active.version;
     }
     return 0;
   }
-  std::optional<Stamp> refused(const std::string& service) const {
-    for (const auto& [name, held] : subscriber->held()) {
-      if (name == service) return held.refused;
+  std::optional<VersionId> refused(const std::string& service) const {
+    for (const auto& [name, held] : subscriber->service_states()) {
+      if (name == service) return held.rejected;
     }
     return std::nullopt;
   }
@@ -231,16 +231,16 @@
   Time now = Time{} + 1h;
   std::unique_ptr<Subscriber> subscriber;
   SubscriberEffects seen{};
-  std::map<std::string, Document> running{};
-  std::function<std::string(const std::vector<Document>&)> refuses{};
+  std::map<std::string, ServiceConfig> running{};
+  std::function<std::string(const std::vector<ServiceConfig>&)> refuses{};
   bool hold = false;
-  std::optional<Apply> held{};
+  std::optional<ApplyConfigs> held{};
   std::size_t applies = 0;
 };
 
-bool has(const std::vector<Document>& documents, const std::string& content) {
+bool has(const std::vector<ServiceConfig>& documents, const std::string& content) {
   return std::any_of(documents.begin(), documents.end(),
-                     [&](const Document& d) { return d.content == content; });
+                     [&](const ServiceConfig& d) { return d.content == content; });
 }
 
 void doubled_late_and_reordered_lines() {
@@ -253,11 +253,11 @@
     std::vector<SubscriberEvent> lines;
     for (Version v = 1; v <= 5; ++v) {
       for (const char* service : {"a", "b"}) {
-        const Document d = document_of(service, v, service + std::to_string(v));
+        const ServiceConfig d = document_of(service, v, service + std::to_string(v));
         for (std::uint32_t source = 0; source < 2; ++source) {
           for (int twice = 0; twice < 2; ++twice) {
-            lines.emplace_back(Noticed{source, {{service, d.stamp}}, true});
-            lines.emplace_back(Delivered{source, d});
+            lines.emplace_back(VersionsNotified{source, {{service, d.id}}, true});
+            lines.emplace_back(ConfigDelivered{source, d});
           }
         }
       }
@@ -269,15 +269,15 @@
     }
     // In the end each source has told the newest, and gives it.
     for (const char* service : {"a", "b"}) {
-      const Document d = document_of(service, 5, service + std::to_string(5));
+      const ServiceConfig d = document_of(service, 5, service + std::to_string(5));
       b.tell(0, d);
       b.run(2s);
-      b.step(Delivered{0, d});
+      b.step(ConfigDelivered{0, d});
       CHECK_EQ(b.in_force(service), 5U);
     }
-    CHECK_EQ(b.told(Told::conflict), 0U);
-    stale += b.told(Told::stale);
-    unasked += b.told(Told::unasked);
+    CHECK_EQ(b.told(SubscriberLogKind::conflict), 0U);
+    stale += b.told(SubscriberLogKind::stale);
+    unasked += b.told(SubscriberLogKind::unrequested);
   }
   std::cout << "shuffled lines: " << stale << " stale, " << unasked << " unasked\n";
   CHECK(stale > 0 && unasked > 0);
@@ -286,78 +286,78 @@
 void two_documents_under_one_number() {
   Bench b;
   b.up_all();
-  const Document one = document_of("a", 5, "one");
-  const Document other = document_of("a", 5, "other");
+  const ServiceConfig one = document_of("a", 5, "one");
+  const ServiceConfig other = document_of("a", 5, "other");
   b.tell(0, one);
-  b.step(Delivered{0, one});
+  b.step(ConfigDelivered{0, one});
   b.tell(1, other);
-  b.step(Delivered{1, other});
+  b.step(ConfigDelivered{1, other});
   CHECK(b.running["a"] == one);
-  CHECK_EQ(b.told(Told::conflict), 2U);
-  CHECK_EQ(b.all<Fetch>().size(), 1U);
+  CHECK_EQ(b.told(SubscriberLogKind::conflict), 2U);
+  CHECK_EQ(b.all<FetchConfig>().size(), 1U);
   CHECK(b.subscriber->is_current());
 }
 
 void unsound_documents_are_passed_over() {
   Bench b;
   b.up_all();
-  const Document d = document_of("a", 5, "content");
+  const ServiceConfig d = document_of("a", 5, "content");
   b.tell(0, d);
   b.tell(1, d);
-  Document changed = d;
+  ServiceConfig changed = d;
   changed.content = "another";
-  b.step(Delivered{0, changed});
-  CHECK_EQ(b.told(Told::unsound), 1U);
+  b.step(ConfigDelivered{0, changed});
+  CHECK_EQ(b.told(SubscriberLogKind::unsound), 1U);
   CHECK_EQ(b.applies, 0U);
   // The other source is asked at once.
-  CHECK_EQ(b.all<Fetch>().size(), 2U);
-  Document renumbered = d;
-  renumbered.stamp.version = 6;
-  b.step(Delivered{1, renumbered});
-  Document elsewhere = d;
+  CHECK_EQ(b.all<FetchConfig>().size(), 2U);
+  ServiceConfig renumbered = d;
+  renumbered.id.version = 6;
+  b.step(ConfigDelivered{1, renumbered});
+  ServiceConfig elsewhere = d;
   elsewhere.service = "b";
-  b.step(Delivered{1, elsewhere});
+  b.step(ConfigDelivered{1, elsewhere});
   elsewhere.service = "nowhere";
-  b.step(Delivered{1, elsewhere});
+  b.step(ConfigDelivered{1, elsewhere});
   CHECK_EQ(b.applies, 0U);
-  CHECK_EQ(b.told(Told::unsound), 2U);
-  CHECK_EQ(b.told(Told::unasked), 2U);
+  CHECK_EQ(b.told(SubscriberLogKind::unsound), 2U);
+  CHECK_EQ(b.told(SubscriberLogKind::unrequested), 2U);
   b.run(1s);
-  b.step(Delivered{0, d});
+  b.step(ConfigDelivered{0, d});
   CHECK_EQ(b.in_force("a"), 5U);
   // Nobody asked for a later one.
-  b.step(Delivered{0, document_of("a", 9, "later")});
+  b.step(ConfigDelivered{0, document_of("a", 9, "later")});
   CHECK_EQ(b.in_force("a"), 5U);
-  CHECK_EQ(b.told(Told::unasked), 3U);
+  CHECK_EQ(b.told(SubscriberLogKind::unrequested), 3U);
 }
 
 void the_whole_set_or_each_alone() {
   Bench b;
   b.up_all();
-  b.refuses = [](const std::vector<Document>& all) { return has(all, "bad") ? "b is bad" : ""; };
-  const Document first_a = document_of("a", 1, "first");
+  b.refuses = [](const std::vector<ServiceConfig>& all) { return has(all, "bad") ? "b is bad" : ""; };
+  const ServiceConfig first_a = document_of("a", 1, "first");
   b.tell(0, first_a);
-  b.step(Delivered{0, first_a});
-  const std::vector<Document> set = {document_of("a", 2, "good"), document_of("b", 2, "bad"),
-                                     document_of("c", 2, "good")};
-  b.step(Noticed{0, {{"a", set[0].stamp}, {"b", set[1].stamp}, {"c", set[2].stamp}}, true});
+  b.step(ConfigDelivered{0, first_a});
+  const std::vector<ServiceConfig> set = {document_of("a", 2, "good"), document_of("b", 2, "bad"),
+                                          document_of("c", 2, "good")};
+  b.step(VersionsNotified{0, {{"a", set[0].id}, {"b", set[1].id}, {"c", set[2].id}}, true});
   b.applies = 0;
-  for (const Document& d : set) b.step(Delivered{0, d});
+  for (const ServiceConfig& d : set) b.step(ConfigDelivered{0, d});
   // The whole, then a, b and c alone, then b once more, since c came into force after it.
   CHECK_EQ(b.applies, 5U);
   CHECK_EQ(b.in_force("a"), 2U);
   CHECK_EQ(b.in_force("b"), 0U);
   CHECK_EQ(b.in_force("c"), 2U);
   CHECK_EQ(b.refused("b")->version, 2U);
-  CHECK_EQ(b.told(Told::refused), 1U);
-  const auto reports = b.all<Report>();
-  CHECK_EQ(std::count_if(reports.begin(), reports.end(), [](const Report& r) { return !r.in_force; }), 2);
+  CHECK_EQ(b.told(SubscriberLogKind::rejected), 1U);
+  const auto reports = b.all<ReportStatus>();
+  CHECK_EQ(std::count_if(reports.begin(), reports.end(), [](const ReportStatus& r) { return !r.active; }), 2);
   CHECK(b.subscriber->is_current());
   // Tried again when another one changes, and then taken.
   b.refuses = {};
-  const Document next = document_of("a", 3, "next");
+  const ServiceConfig next = document_of("a", 3, "next");
   b.tell(1, next);
-  b.step(Delivered{1, next});
+  b.step(ConfigDelivered{1, next});
   CHECK_EQ(b.in_force("b"), 2U);
   CHECK(!b.refused("b"));
 }
@@ -365,50 +365,50 @@
 void a_refused_one_is_tried_again_with_a_new_base() {
   Bench b;
   b.up_all();
-  b.refuses = [](const std::vector<Document>&) { return "the file says no"; };
-  const Document d = document_of("a", 4, "x");
+  b.refuses = [](const std::vector<ServiceConfig>&) { return "the file says no"; };
+  const ServiceConfig d = document_of("a", 4, "x");
   b.tell(0, d);
-  b.step(Delivered{0, d});
+  b.step(ConfigDelivered{0, d});
   CHECK_EQ(b.refused("a")->version, 4U);
   b.run(5s);
   CHECK_EQ(b.applies, 1U);
   // Refused again: nobody is told twice.
   b.step(BaseChanged{});
   CHECK_EQ(b.applies, 2U);
-  CHECK_EQ(b.told(Told::refused), 1U);
+  CHECK_EQ(b.told(SubscriberLogKind::rejected), 1U);
   b.refuses = {};
   b.step(BaseChanged{});
   CHECK_EQ(b.in_force("a"), 4U);
   // One that comes up later is told what is refused.
-  const Document bad = document_of("b", 4, "x");
-  b.refuses = [](const std::vector<Document>& all) { return all.size() > 1 ? "two" : ""; };
+  const ServiceConfig bad = document_of("b", 4, "x");
+  b.refuses = [](const std::vector<ServiceConfig>& all) { return all.size() > 1 ? "two" : ""; };
   b.tell(0, bad);
-  b.step(Delivered{0, bad});
+  b.step(ConfigDelivered{0, bad});
   b.seen.clear();
-  b.step(SourceDown{1});
+  b.step(SourceDisconnected{1});
   b.run(1s);
-  b.step(SourceUp{1});
-  CHECK_EQ(b.all<Report>().size(), 1U);
-  CHECK_EQ(b.all<Report>()[0].reason, "two");
+  b.step(SourceConnected{1});
+  CHECK_EQ(b.all<ReportStatus>().size(), 1U);
+  CHECK_EQ(b.all<ReportStatus>()[0].reason, "two");
 }
 
 void a_change_crosses_a_new_base() {
   Bench b;
   b.up_all();
   b.hold = true;
-  const Document d = document_of("a", 4, "x");
+  const ServiceConfig d = document_of("a", 4, "x");
   b.tell(0, d);
-  b.step(Delivered{0, d});
+  b.step(ConfigDelivered{0, d});
   CHECK(b.held);
   b.step(BaseChanged{});
   CHECK_EQ(b.applies, 1U);  // one at a time
-  b.refuses = [](const std::vector<Document>&) { return "by the old file"; };
+  b.refuses = [](const std::vector<ServiceConfig>&) { return "by the old file"; };
   b.answer_held();
   CHECK(b.held);  // tried again under the new one
   // A newer one that comes meanwhile is next.
-  const Document newer = document_of("a", 5, "y");
+  const ServiceConfig newer = document_of("a", 5, "y");
   b.tell(0, newer);
-  b.step(Delivered{0, newer});
+  b.step(ConfigDelivered{0, newer});
   b.refuses = {};
   b.answer_held();
   CHECK_EQ(b.in_force("a"), 4U);
@@ -421,20 +421,20 @@
 void a_fetch_without_answer_goes_to_another() {
   Bench b;
   b.up_all();
-  const Document d = document_of("a", 4, "x");
+  const ServiceConfig d = document_of("a", 4, "x");
   b.tell(0, d);
   b.tell(1, d);
-  CHECK_EQ(b.all<Fetch>().size(), 1U);
-  const std::uint32_t asked = b.all<Fetch>()[0].source;
+  CHECK_EQ(b.all<FetchConfig>().size(), 1U);
+  const std::uint32_t asked = b.all<FetchConfig>()[0].source;
   b.run(1100ms);
-  CHECK_EQ(b.told(Told::fetch_late), 1U);
-  CHECK_EQ(b.all<Fetch>().size(), 2U);
-  CHECK(b.all<Fetch>()[1].source != asked);
+  CHECK_EQ(b.told(SubscriberLogKind::fetch_timed_out), 1U);
+  CHECK_EQ(b.all<FetchConfig>().size(), 2U);
+  CHECK(b.all<FetchConfig>()[1].source != asked);
   // The first one's answer is as good, late as it is.
-  b.step(Delivered{asked, d});
+  b.step(ConfigDelivered{asked, d});
   CHECK_EQ(b.in_force("a"), 4U);
-  b.step(Delivered{1 - asked, d});
-  CHECK_EQ(b.told(Told::unasked), 0U);
+  b.step(ConfigDelivered{1 - asked, d});
+  CHECK_EQ(b.told(SubscriberLogKind::unrequested), 0U);
   CHECK_EQ(b.applies, 1U);
 }
 
@@ -443,21 +443,21 @@
   for (int i = 0; i < 20; ++i) services.push_back("s" + std::to_string(i));
   Bench b(services);
   b.up_all();
-  std::map<std::string, Document> all;
-  Noticed noticed{0, {}, true};
+  std::map<std::string, ServiceConfig> all;
+  VersionsNotified noticed{0, {}, true};
   for (int i = 0; i < 20; ++i) {
-    const Document d = document_of(services[i], static_cast<Version>(100 + i), "x");
+    const ServiceConfig d = document_of(services[i], static_cast<Version>(100 + i), "x");
     all[d.service] = d;
-    noticed.entries.push_back({d.service, d.stamp});
+    noticed.entries.push_back({d.service, d.id});
   }
   b.step(noticed);
-  CHECK_EQ(b.all<Fetch>().size(), kMostFetches);
-  CHECK_EQ(b.all<Fetch>()[0].service, "s19");
+  CHECK_EQ(b.all<FetchConfig>().size(), kMaxFetches);
+  CHECK_EQ(b.all<FetchConfig>()[0].service, "s19");
   CHECK(!b.subscriber->ready());
   for (std::size_t i = 0; i < 20; ++i) {
-    const auto fetches = b.all<Fetch>();
-    CHECK(fetches.size() <= i + kMostFetches);
-    b.step(Delivered{0, all[fetches[i].service]});
+    const auto fetches = b.all<FetchConfig>();
+    CHECK(fetches.size() <= i + kMaxFetches);
+    b.step(ConfigDelivered{0, all[fetches[i].service]});
     b.now += 10ms;
   }
   b.run(200ms);
@@ -476,56 +476,57 @@
   std::vector<std::uint32_t> opened;
   const auto opens = [&] {
     opened.clear();
-    for (const Open& o : b.all<Open>()) opened.push_back(o.source);
+    for (const OpenSource& o : b.all<OpenSource>()) opened.push_back(o.source);
     return opened;
   };
   CHECK((opens() == std::vector<std::uint32_t>{order[0], order[1]}));
   // Where none can be reached, all are tried at once, two at a time.
-  b.step(SourceDown{order[0]});
-  b.step(SourceDown{order[1]});
+  b.step(SourceDisconnected{order[0]});
+  b.step(SourceDisconnected{order[1]});
   CHECK((opens() == std::vector<std::uint32_t>{order[0], order[1], order[2], order[3]}));
-  b.step(SourceUp{order[3]});
+  b.step(SourceConnected{order[3]});
   CHECK(b.all<Subscribe>().back().primary);
-  b.step(SourceUp{order[2]});
+  b.step(SourceConnected{order[2]});
   CHECK(b.all<Subscribe>().back().primary);
-  CHECK(b.all<TellPrimary>().back().source == order[3] && !b.all<TellPrimary>().back().primary);
-  b.step(Noticed{order[2], {}, true});
-  b.step(Noticed{order[3], {}, true});
+  CHECK(b.all<SendPrimary>().back().source == order[3] && !b.all<SendPrimary>().back().primary);
+  b.step(VersionsNotified{order[2], {}, true});
+  b.step(VersionsNotified{order[3], {}, true});
   CHECK(b.subscriber->ready());
   // The better one is tried beside both, and replaces the worst only when it has told all.
   b.run(1s);
   CHECK_EQ(opens().back(), order[0]);
-  b.step(SourceUp{order[0]});
-  CHECK(b.all<Shut>().empty());
-  b.step(Noticed{order[0], {}, true});
-  CHECK_EQ(b.all<Shut>().size(), 1U);
-  CHECK_EQ(b.all<Shut>()[0].source, order[3]);
-  CHECK_EQ(b.subscriber->sources_up(), 2U);
+  b.step(SourceConnected{order[0]});
+  CHECK(b.all<CloseSource>().empty());
+  b.step(VersionsNotified{order[0], {}, true});
+  CHECK_EQ(b.all<CloseSource>().size(), 1U);
+  CHECK_EQ(b.all<CloseSource>()[0].source, order[3]);
+  CHECK_EQ(b.subscriber->connected_sources(), 2U);
   // One that comes and goes is tried less and less often.
   b.seen.clear();
   for (int i = 0; i < 600; ++i) {  // a minute
     b.now += 100ms;
     b.step(Tick{});
-    for (const std::uint32_t source : {order[0], order[2]}) b.step(Beat{source});
-    if (b.all<Open>().size() > 0 && b.all<Open>().back().source == order[1]) b.step(SourceDown{order[1]});
+    for (const std::uint32_t source : {order[0], order[2]}) b.step(HeartbeatReceived{source});
+    if (b.all<OpenSource>().size() > 0 && b.all<OpenSource>().back().source == order[1])
+      b.step(SourceDisconnected{order[1]});
   }
-  CHECK(b.all<Open>().size() > 8 && b.all<Open>().size() < 30);
-  CHECK_EQ(b.subscriber->sources_up(), 2U);
+  CHECK(b.all<OpenSource>().size() > 8 && b.all<OpenSource>().size() < 30);
+  CHECK_EQ(b.subscriber->connected_sources(), 2U);
 }
 
 void a_silent_source_is_given_up() {
   Bench b({"a"}, 3);
-  b.step(SourceUp{ranked("g0", {"d0", "d1", "d2"})[0]});
+  b.step(SourceConnected{ranked("g0", {"d0", "d1", "d2"})[0]});
   b.run(kSilentSource - 1s);
-  CHECK_EQ(b.subscriber->sources_up(), 1U);
+  CHECK_EQ(b.subscriber->connected_sources(), 1U);
   b.run(2s);
-  CHECK_EQ(b.subscriber->sources_up(), 0U);
+  CHECK_EQ(b.subscriber->connected_sources(), 0U);
   // After a stop of its own it listens first.
   Bench c({"a"}, 3);
-  c.step(SourceUp{ranked("g0", {"d0", "d1", "d2"})[0]});
+  c.step(SourceConnected{ranked("g0", {"d0", "d1", "d2"})[0]});
   c.now += 1min;
   c.step(Tick{});
-  CHECK_EQ(c.subscriber->sources_up(), 1U);
+  CHECK_EQ(c.subscriber->connected_sources(), 1U);
 }
 
 void the_wait_at_the_start_is_bounded() {
@@ -535,26 +536,27 @@
   CHECK(!b.subscriber->ready());
   b.run(200ms);
   CHECK(b.subscriber->ready());
-  CHECK_EQ(b.told(Told::waited_out), 1U);
-  CHECK_EQ(b.told(Told::current), 0U);
+  CHECK_EQ(b.told(SubscriberLogKind::wait_expired), 1U);
+  CHECK_EQ(b.told(SubscriberLogKind::current), 0U);
 }
 
 void what_is_wanted_is_handed() {
   Bench b;
   b.up_all();
-  b.step(Wanted{0, "a"});
-  CHECK(b.all<Hand>().empty());
-  const Document d = document_of("a", 4, "x");
+  b.step(ConfigRequested{0, "a"});
+  CHECK(b.all<ReturnConfig>().empty());
+  const ServiceConfig d = document_of("a", 4, "x");
   b.tell(0, d);
-  b.step(Delivered{0, d});
-  b.step(Wanted{1, "a"});
-  CHECK(b.all<Hand>().at(0).document == d);
+  b.step(ConfigDelivered{0, d});
+  b.step(ConfigRequested{1, "a"});
+  CHECK(b.all<ReturnConfig>().at(0).config == d);
 }
 
 // ---- a distributor alone
 
 struct Desk {
-  explicit Desk(std::size_t peers = 2, bool nothing = false, std::map<std::string, Record> records = {}) {
+  explicit Desk(std::size_t peers = 2, bool nothing = false,
+                std::map<std::string, ServiceRecord> records = {}) {
     DistributorSettings settings;
     settings.name = "d0";
     settings.peers = peers;
@@ -582,25 +584,24 @@
     }
     return found;
   }
-  std::size_t told(DistributorTold what) const {
+  std::size_t told(DistributorLogKind what) const {
     std::size_t n = 0;
-    for (const DistributorHappened& h : all<DistributorHappened>()) n += h.what == what ? 1 : 0;
+    for (const DistributorLogEvent& h : all<DistributorLogEvent>()) n += h.kind == what ? 1 : 0;
     return n;
   }
   Version committed(const std::string& service) const {
     const auto it = distributor->records().find(service);
-    return it == distributor->records().end() || !it->second.committed ? 0
-                                                                       : it->second.committed->stamp.version;
+    return it == distributor->records().end() || !it->second.committed ? 0 : it->second.committed->id.version;
   }
   // As peers would: all vote for it.
   void publish(const std::string& service, Version guess, const std::string& content) {
-    step(Publish{1, service, content, guess});
-    const Propose p = all<Propose>().back();
-    step(PeerAnswered{0, p.proposal, true, 0});
+    step(PublishRequested{1, service, content, guess});
+    const SendProposal p = all<SendProposal>().back();
+    step(ProposalAnswered{0, p.proposal, true, 0});
   }
-  void client(ClientId id, const std::vector<Noticed::Entry>& held, bool primary = true) {
-    step(ClientUp{id});
-    step(Subscribed{id, "g" + std::to_string(id), false, held, primary});
+  void client(ClientId id, const std::vector<VersionsNotified::Entry>& held, bool primary = true) {
+    step(ClientConnected{id});
+    step(SubscriptionReceived{id, "g" + std::to_string(id), false, held, primary});
   }
 
   Time now = Time{} + 1h;
@@ -610,51 +611,51 @@
 
 void a_number_is_accepted_once() {
   Desk d;
-  d.step(ClientUp{1});
-  const Document one = document_of("a", 10, "one");
-  const Document other = document_of("a", 10, "other");
-  d.step(Proposed{1, 5, one});
-  CHECK(std::holds_alternative<Save>(d.seen.at(d.seen.size() - 3)));
+  d.step(ClientConnected{1});
+  const ServiceConfig one = document_of("a", 10, "one");
+  const ServiceConfig other = document_of("a", 10, "other");
+  d.step(ProposalReceived{1, 5, one});
+  CHECK(std::holds_alternative<SaveBucket>(d.seen.at(d.seen.size() - 3)));
   CHECK(d.all<AnswerProposal>().back().accepted);
-  d.step(Proposed{1, 6, other});
+  d.step(ProposalReceived{1, 6, other});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  CHECK_EQ(d.all<AnswerProposal>().back().seen, 10U);
-  d.step(Proposed{1, 7, document_of("a", 9, "older")});
+  CHECK_EQ(d.all<AnswerProposal>().back().highest_seen, 10U);
+  d.step(ProposalReceived{1, 7, document_of("a", 9, "older")});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  CHECK_EQ(d.told(DistributorTold::turned_down), 2U);
+  CHECK_EQ(d.told(DistributorLogKind::rejected), 2U);
   // The same one again, since its answer was lost.
-  d.step(Proposed{1, 5, one});
+  d.step(ProposalReceived{1, 5, one});
   CHECK(d.all<AnswerProposal>().back().accepted);
-  Document unsound = document_of("a", 11, "x");
+  ServiceConfig unsound = document_of("a", 11, "x");
   unsound.content = "y";
-  d.step(Proposed{1, 8, unsound});
+  d.step(ProposalReceived{1, 8, unsound});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  CHECK_EQ(d.told(DistributorTold::unsound), 1U);
+  CHECK_EQ(d.told(DistributorLogKind::unsound), 1U);
   // After a restart with its files it knows, committed or not.
-  std::map<std::string, Record> saved;
+  std::map<std::string, ServiceRecord> saved;
   for (std::size_t i = 0; i < kBuckets; ++i) {
     for (const auto& [service, record] : d.distributor->records_in(i)) saved[service] = record;
   }
   Desk again(2, false, saved);
-  again.step(ClientUp{1});
-  again.step(Proposed{1, 6, other});
+  again.step(ClientConnected{1});
+  again.step(ProposalReceived{1, 6, other});
   CHECK(!again.all<AnswerProposal>().back().accepted);
   CHECK_EQ(again.committed("a"), 0U);
 }
 
 void what_was_given_up_is_never_committed() {
   Desk d;
-  d.step(PeerUp{0});
-  d.step(Publish{1, "a", "x", 100});
-  const Propose p = d.all<Propose>().back();
-  d.now += kProposalLives;  // no tick has been: its answer is late all the same
-  d.step(PeerAnswered{0, p.proposal, true, 100});
+  d.step(PeerConnected{0});
+  d.step(PublishRequested{1, "a", "x", 100});
+  const SendProposal p = d.all<SendProposal>().back();
+  d.now += kProposalTtl;  // no tick has been: its answer is late all the same
+  d.step(ProposalAnswered{0, p.proposal, true, 100});
   CHECK_EQ(d.committed("a"), 0U);
-  CHECK(!d.all<Published>().at(0).committed);
-  d.step(PeerAnswered{1, p.proposal, true, 100});
+  CHECK(!d.all<PublishFinished>().at(0).committed);
+  d.step(ProposalAnswered{1, p.proposal, true, 100});
   d.run(1s);
   CHECK_EQ(d.committed("a"), 0U);
-  CHECK_EQ(d.told(DistributorTold::given_up), 1U);
+  CHECK_EQ(d.told(DistributorLogKind::abandoned), 1U);
   // The next one is above it.
   d.publish("a", 50, "y");
   CHECK_EQ(d.committed("a"), 101U);
@@ -662,231 +663,231 @@
 
 void tries_are_bounded() {
   Desk d;
-  for (std::uint32_t peer = 0; peer < 2; ++peer) d.step(PeerUp{peer});
-  d.step(Publish{1, "a", "x", 100});
+  for (std::uint32_t peer = 0; peer < 2; ++peer) d.step(PeerConnected{peer});
+  d.step(PublishRequested{1, "a", "x", 100});
   std::set<Version> numbers;
-  for (int i = 0; i < 100 && d.all<Published>().empty(); ++i) {
-    const Propose p = d.all<Propose>().back();
-    if (numbers.insert(p.document.stamp.version).second) {
+  for (int i = 0; i < 100 && d.all<PublishFinished>().empty(); ++i) {
+    const SendProposal p = d.all<SendProposal>().back();
+    if (numbers.insert(p.config.id.version).second) {
       for (std::uint32_t peer = 0; peer < 2; ++peer)
-        d.step(PeerAnswered{peer, p.proposal, false, p.document.stamp.version + 10});
+        d.step(ProposalAnswered{peer, p.proposal, false, p.config.id.version + 10});
     }
     d.run(50ms);
   }
-  CHECK_EQ(numbers.size(), static_cast<std::size_t>(kMostTries));
-  CHECK(!d.all<Published>().at(0).committed);
-  CHECK_EQ(d.all<Published>().at(0).why, "others publish it");
+  CHECK_EQ(numbers.size(), static_cast<std::size_t>(kMaxPublishAttempts));
+  CHECK(!d.all<PublishFinished>().at(0).committed);
+  CHECK_EQ(d.all<PublishFinished>().at(0).reason, "others publish it");
 }
 
 void a_distributor_from_nothing_is_silent() {
   Desk d(4, true);
-  CHECK(d.distributor->standing() == Standing::is_new);
-  d.step(ClientUp{9});
-  const Document asked = document_of("a", 50, "x");
-  d.step(Proposed{9, 1, asked});
+  CHECK(d.distributor->voter_state() == VoterState::uninitialized);
+  d.step(ClientConnected{9});
+  const ServiceConfig asked = document_of("a", 50, "x");
+  d.step(ProposalReceived{9, 1, asked});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  d.step(Publish{1, "a", "x", 100});
-  CHECK_EQ(d.all<Published>().back().why, "not voting yet");
-  for (std::uint32_t peer = 0; peer < 3; ++peer) d.step(PeerUp{peer});
+  d.step(PublishRequested{1, "a", "x", 100});
+  CHECK_EQ(d.all<PublishFinished>().back().reason, "not voting yet");
+  for (std::uint32_t peer = 0; peer < 3; ++peer) d.step(PeerConnected{peer});
   // What others tell before no proposal of its former life lives any more is not asked for.
-  d.run(2 * kProposalLives - 100ms);
-  CHECK(d.all<SubscribeAll>().empty());
+  d.run(2 * kProposalTtl - 100ms);
+  CHECK(d.all<SubscribeToPeer>().empty());
   d.run(200ms);
-  CHECK_EQ(d.all<SubscribeAll>().size(), 3U);
-  d.step(PeerNoticed{0, {{"a", {}, 60}}, true, Standing::voting});
-  CHECK(d.distributor->standing() == Standing::recovering);
-  d.step(PeerNoticed{1, {}, false, Standing::voting});
-  d.step(PeerNoticed{2, {}, true, Standing::recovering});
+  CHECK_EQ(d.all<SubscribeToPeer>().size(), 3U);
+  d.step(PeerVersionsNotified{0, {{"a", {}, 60}}, true, VoterState::voting});
+  CHECK(d.distributor->voter_state() == VoterState::recovering);
+  d.step(PeerVersionsNotified{1, {}, false, VoterState::voting});
+  d.step(PeerVersionsNotified{2, {}, true, VoterState::recovering});
   d.run(5s);
   // Three of four must have told it all; one did, one does not vote, one has more to tell.
-  CHECK(d.distributor->standing() == Standing::recovering);
-  d.step(Proposed{9, 2, asked});
+  CHECK(d.distributor->voter_state() == VoterState::recovering);
+  d.step(ProposalReceived{9, 2, asked});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  d.step(PeerNoticed{1, {}, true, Standing::voting});
-  CHECK(d.distributor->standing() == Standing::recovering);
-  d.step(PeerNoticed{2, {}, true, Standing::voting});
-  CHECK(d.distributor->standing() == Standing::voting);
+  d.step(PeerVersionsNotified{1, {}, true, VoterState::voting});
+  CHECK(d.distributor->voter_state() == VoterState::recovering);
+  d.step(PeerVersionsNotified{2, {}, true, VoterState::voting});
+  CHECK(d.distributor->voter_state() == VoterState::voting);
   // A number that others have seen is not accepted again.
-  d.step(Proposed{9, 3, asked});
+  d.step(ProposalReceived{9, 3, asked});
   CHECK(!d.all<AnswerProposal>().back().accepted);
-  CHECK_EQ(d.all<AnswerProposal>().back().seen, 60U);
-  d.step(Proposed{9, 4, document_of("a", 61, "x")});
+  CHECK_EQ(d.all<AnswerProposal>().back().highest_seen, 60U);
+  d.step(ProposalReceived{9, 4, document_of("a", 61, "x")});
   CHECK(d.all<AnswerProposal>().back().accepted);
-  // However early they told it, it is silent for kSilence.
+  // However early they told it, it is silent for kRecoveryWait.
   Desk early(2, true);
-  for (std::uint32_t peer = 0; peer < 2; ++peer) early.step(PeerUp{peer});
-  early.run(2 * kProposalLives);
-  for (std::uint32_t peer = 0; peer < 2; ++peer) early.step(PeerNoticed{peer, {}, true, Standing::voting});
-  early.run(kSilence - 2 * kProposalLives - 100ms);
-  CHECK(early.distributor->standing() != Standing::voting);
+  for (std::uint32_t peer = 0; peer < 2; ++peer) early.step(PeerConnected{peer});
+  early.run(2 * kProposalTtl);
+  for (std::uint32_t peer = 0; peer < 2; ++peer)
+    early.step(PeerVersionsNotified{peer, {}, true, VoterState::voting});
+  early.run(kRecoveryWait - 2 * kProposalTtl - 100ms);
+  CHECK(early.distributor->voter_state() != VoterState::voting);
   early.run(200ms);
-  CHECK(early.distributor->standing() == Standing::voting);
+  CHECK(early.distributor->voter_state() == VoterState::voting);
 }
 
 void a_client_that_never_reads_is_owed_a_bounded_amount() {
   Desk d(2);
-  d.step(PeerUp{0});
-  std::vector<Noticed::Entry> held;
+  d.step(PeerConnected{0});
+  std::vector<VersionsNotified::Entry> held;
   for (int i = 0; i < 64; ++i) held.push_back({"s" + std::to_string(i), {}});
   d.client(1, held);
-  const std::size_t before = d.all<Notice>().size();
+  const std::size_t before = d.all<NotifyVersions>().size();
   for (int i = 0; i < 300; ++i) d.publish("s" + std::to_string(i % 64), 1000, "x" + std::to_string(i));
-  CHECK(d.all<Notice>().size() <= before + 1);
-  for (int i = 0; i < 64; ++i) d.step(Fetched{1, "s" + std::to_string(i), 1000});
-  d.step(Fetched{1, "s0", 1000});
-  CHECK(d.all<Notice>().size() <= before + 1);
+  CHECK(d.all<NotifyVersions>().size() <= before + 1);
+  for (int i = 0; i < 64; ++i) d.step(FetchRequested{1, "s" + std::to_string(i), 1000});
+  d.step(FetchRequested{1, "s0", 1000});
+  CHECK(d.all<NotifyVersions>().size() <= before + 1);
   // When it reads at last it is told the newest of each, once.
   d.seen.clear();
-  d.step(Heard{1});
-  if (d.all<Notice>().empty()) d.step(Heard{1});
-  CHECK_EQ(d.all<Notice>().size(), 1U);
-  const auto entries = d.all<Notice>()[0].entries;
+  d.step(NotificationAcknowledged{1});
+  if (d.all<NotifyVersions>().empty()) d.step(NotificationAcknowledged{1});
+  CHECK_EQ(d.all<NotifyVersions>().size(), 1U);
+  const auto entries = d.all<NotifyVersions>()[0].entries;
   CHECK(entries.size() >= 63);
-  CHECK_EQ(entries[0].stamp.version, d.committed(entries[0].service));
-  for (std::size_t i = 1; i < entries.size(); ++i)
-    CHECK(entries[i].stamp.version <= entries[i - 1].stamp.version);
+  CHECK_EQ(entries[0].id.version, d.committed(entries[0].service));
+  for (std::size_t i = 1; i < entries.size(); ++i) CHECK(entries[i].id.version <= entries[i - 1].id.version);
   // At last it is closed.
-  d.run(kUnread + kBeatEvery + 1s);
+  d.run(kNotificationTimeout + kHeartbeatInterval + 1s);
   CHECK_EQ(d.all<CloseClient>().size(), 1U);
   CHECK_EQ(d.distributor->clients(), 0U);
 }
 
 void documents_are_delivered_at_a_rate_newest_first() {
   Desk d(2);  // 100,000 bytes a second, a burst of 10,000
-  d.step(PeerUp{0});
+  d.step(PeerConnected{0});
   for (int i = 0; i < 100; ++i)
     d.publish("s" + std::to_string(i), static_cast<Version>(1000 + i), std::string(2000, 'x'));
   for (ClientId id = 1; id <= 25; ++id) {
-    std::vector<Noticed::Entry> held;
+    std::vector<VersionsNotified::Entry> held;
     for (std::size_t i = 0; i < 4; ++i) held.push_back({"s" + std::to_string(4 * (id - 1) + i), {}});
     d.client(id, held);
   }
   for (ClientId id = 1; id <= 25; ++id) {
     for (std::size_t i = 0; i < 4; ++i) {
       const std::string service = "s" + std::to_string(4 * (id - 1) + i);
-      d.step(Fetched{id, service, 1});
-      d.step(Fetched{id, service, 1});  // doubled: delivered once
+      d.step(FetchRequested{id, service, 1});
+      d.step(FetchRequested{id, service, 1});  // doubled: delivered once
     }
   }
-  CHECK(d.all<Deliver>().size() <= 6);
+  CHECK(d.all<DeliverConfig>().size() <= 6);
   d.seen.clear();
   d.run(1s);
-  const auto delivered = d.all<Deliver>();
+  const auto delivered = d.all<DeliverConfig>();
   CHECK(delivered.size() > 40 && delivered.size() < 52);
   for (std::size_t i = 1; i < delivered.size(); ++i)
-    CHECK(delivered[i].document.stamp.version < delivered[i - 1].document.stamp.version);
+    CHECK(delivered[i].config.id.version < delivered[i - 1].config.id.version);
   d.run(2s);
-  CHECK(d.all<Deliver>().size() >= 94);
+  CHECK(d.all<DeliverConfig>().size() >= 94);
   // More than its share at one time is not queued.
   d.seen.clear();
-  for (std::size_t i = 0; i < 20; ++i) d.step(Fetched{1, "s" + std::to_string(i), 1});
-  CHECK(d.all<Missing>().size() + d.all<Deliver>().size() + kMostFetches >= 20);
-  CHECK(d.all<Missing>().size() > 0);
-  d.step(Fetched{1, "nowhere", 1});
-  CHECK_EQ(d.all<Missing>().back().service, "nowhere");
+  for (std::size_t i = 0; i < 20; ++i) d.step(FetchRequested{1, "s" + std::to_string(i), 1});
+  CHECK(d.all<SendMissing>().size() + d.all<DeliverConfig>().size() + kMaxFetches >= 20);
+  CHECK(d.all<SendMissing>().size() > 0);
+  d.step(FetchRequested{1, "nowhere", 1});
+  CHECK_EQ(d.all<SendMissing>().back().service, "nowhere");
 }
 
 void what_a_gatekeeper_has_is_learned_back() {
   Desk d(2);
-  const Document had = document_of("a", 500, "had");
-  d.client(1, {{"a", had.stamp}});
+  const ServiceConfig had = document_of("a", 500, "had");
+  d.client(1, {{"a", had.id}});
   d.run(1s);
-  CHECK_EQ(d.all<Ask>().size(), 1U);
-  Document forged = had;
+  CHECK_EQ(d.all<RequestConfig>().size(), 1U);
+  ServiceConfig forged = had;
   forged.content = "forged";
-  d.step(Handed{1, forged});
+  d.step(ConfigReturned{1, forged});
   CHECK_EQ(d.committed("a"), 0U);
-  CHECK_EQ(d.told(DistributorTold::unsound), 1U);
-  d.client(2, {{"a", had.stamp}});
+  CHECK_EQ(d.told(DistributorLogKind::unsound), 1U);
+  d.client(2, {{"a", had.id}});
   d.run(2s);
-  CHECK(d.all<Ask>().size() >= 2);  // another one
-  CHECK_EQ(d.all<Ask>()[1].client, 2U);
-  d.step(Handed{d.all<Ask>().back().client, had});
+  CHECK(d.all<RequestConfig>().size() >= 2);  // another one
+  CHECK_EQ(d.all<RequestConfig>()[1].client, 2U);
+  d.step(ConfigReturned{d.all<RequestConfig>().back().client, had});
   CHECK_EQ(d.committed("a"), 500U);
-  CHECK_EQ(d.told(DistributorTold::learned_back), 1U);
+  CHECK_EQ(d.told(DistributorLogKind::recovered), 1U);
   // A report of a newer one does the same; when peers bring it first, nobody is asked.
-  const Document next = document_of("a", 600, "next");
+  const ServiceConfig next = document_of("a", 600, "next");
   d.seen.clear();
-  d.step(Reported{1, "a", next.stamp, true, {}});
-  d.step(PeerUp{0});
-  d.step(PeerNoticed{0, {{"a", next.stamp, 600}}, true, Standing::voting});
-  d.step(PeerDelivered{0, next});
+  d.step(StatusReported{1, "a", next.id, true, {}});
+  d.step(PeerConnected{0});
+  d.step(PeerVersionsNotified{0, {{"a", next.id, 600}}, true, VoterState::voting});
+  d.step(PeerConfigDelivered{0, next});
   d.run(2s);
   CHECK_EQ(d.committed("a"), 600U);
-  CHECK(d.all<Ask>().empty());
+  CHECK(d.all<RequestConfig>().empty());
 }
 
 void a_status_counts_whose_primary_it_is() {
   Desk d(2);
-  d.step(PeerUp{0});
+  d.step(PeerConnected{0});
   d.publish("a", 1000, "x");
-  const Stamp stamp = d.distributor->status("a").committed;
+  const VersionId stamp = d.distributor->status("a").committed;
   CHECK_EQ(stamp.version, 1000U);
   d.client(1, {{"a", stamp}});
   d.client(2, {{"a", {}}});
   d.client(3, {{"a", {}}});
   d.client(4, {{"a", stamp}}, false);
-  d.step(Heard{3});
-  d.step(Heard{4});
-  d.step(Reported{3, "a", stamp, false, "no such class"});
+  d.step(NotificationAcknowledged{3});
+  d.step(NotificationAcknowledged{4});
+  d.step(StatusReported{3, "a", stamp, false, "no such class"});
   auto status = d.distributor->status("a");
   CHECK_EQ(status.subscribed, 3U);
-  CHECK_EQ(status.in_force, 1U);
-  CHECK_EQ(status.refused_all, 1U);
-  CHECK_EQ(status.refused[0].reason, "no such class");
-  CHECK_EQ(status.behind_all, 1U);
+  CHECK_EQ(status.active, 1U);
+  CHECK_EQ(status.rejected_count, 1U);
+  CHECK_EQ(status.rejections[0].reason, "no such class");
+  CHECK_EQ(status.behind_count, 1U);
   CHECK_EQ(status.behind[0], "g2");
-  d.step(PrimaryTold{4, true});
-  d.step(PrimaryTold{1, false});
-  CHECK_EQ(d.distributor->status("a").in_force, 1U);
-  d.step(ClientDown{1});  // counted elsewhere
-  CHECK(d.distributor->lost().empty());
-  d.step(ClientDown{2});
-  CHECK_EQ(d.distributor->lost().size(), 1U);
-  CHECK_EQ(d.distributor->lost()[0].name, "g2");
-  CHECK(!d.distributor->attached("g2"));
+  d.step(PrimaryChanged{4, true});
+  d.step(PrimaryChanged{1, false});
+  CHECK_EQ(d.distributor->status("a").active, 1U);
+  d.step(ClientDisconnected{1});  // counted elsewhere
+  CHECK(d.distributor->lost_gatekeepers().empty());
+  d.step(ClientDisconnected{2});
+  CHECK_EQ(d.distributor->lost_gatekeepers().size(), 1U);
+  CHECK_EQ(d.distributor->lost_gatekeepers()[0].name, "g2");
+  CHECK(!d.distributor->is_attached("g2"));
   d.client(2, {{"a", stamp}});
-  CHECK(d.distributor->lost().empty());
-  CHECK(d.distributor->attached("g2"));
-  d.step(ClientDown{2});
-  d.run(kLostKept + 1s);
-  CHECK(d.distributor->lost().empty());
-  for (ClientId id = 10'000; id < 10'000 + kMostLost + 10; ++id) {
+  CHECK(d.distributor->lost_gatekeepers().empty());
+  CHECK(d.distributor->is_attached("g2"));
+  d.step(ClientDisconnected{2});
+  d.run(kLostRetention + 1s);
+  CHECK(d.distributor->lost_gatekeepers().empty());
+  for (ClientId id = 10'000; id < 10'000 + kMaxLostGatekeepers + 10; ++id) {
     d.client(id, {{"a", {}}});
-    d.step(ClientDown{id});
+    d.step(ClientDisconnected{id});
     d.now += 1ms;
   }
-  CHECK_EQ(d.distributor->lost().size(), kMostLost);
+  CHECK_EQ(d.distributor->lost_gatekeepers().size(), kMaxLostGatekeepers);
 }
 
 void what_no_client_says_is_refused() {
   Desk d(2);
-  d.step(ClientUp{1});
-  d.step(Subscribed{1, "g1", false, {{"not a name", {}}}, true});
+  d.step(ClientConnected{1});
+  d.step(SubscriptionReceived{1, "g1", false, {{"not a name", {}}}, true});
   CHECK_EQ(d.all<CloseClient>().size(), 1U);
-  d.step(ClientUp{2});
-  std::vector<Noticed::Entry> many;
-  for (std::size_t i = 0; i <= kMostSubscribed; ++i) many.push_back({"s" + std::to_string(i), {}});
-  d.step(Subscribed{2, "g2", false, many, true});
+  d.step(ClientConnected{2});
+  std::vector<VersionsNotified::Entry> many;
+  for (std::size_t i = 0; i <= kMaxSubscribedServices; ++i) many.push_back({"s" + std::to_string(i), {}});
+  d.step(SubscriptionReceived{2, "g2", false, many, true});
   CHECK_EQ(d.all<CloseClient>().size(), 2U);
   CHECK_EQ(d.distributor->clients(), 0U);
   // Of clients and peers that are not there, and for what is not there.
-  d.step(Heard{77});
-  d.step(Fetched{77, "a", 1});
-  d.step(Reported{77, "a", {}, true, {}});
-  d.step(Handed{77, document_of("a", 1, "x")});
-  d.step(PeerNoticed{9, {}, true, Standing::voting});
-  d.step(PeerAnswered{9, 1, true, 0});
-  d.step(PeerDelivered{9, document_of("a", 1, "x")});
-  d.step(PeerNotThere{0, "a"});
+  d.step(NotificationAcknowledged{77});
+  d.step(FetchRequested{77, "a", 1});
+  d.step(StatusReported{77, "a", {}, true, {}});
+  d.step(ConfigReturned{77, document_of("a", 1, "x")});
+  d.step(PeerVersionsNotified{9, {}, true, VoterState::voting});
+  d.step(ProposalAnswered{9, 1, true, 0});
+  d.step(PeerConfigDelivered{9, document_of("a", 1, "x")});
+  d.step(PeerConfigMissing{0, "a"});
   CHECK_EQ(d.committed("a"), 0U);
-  d.step(Publish{1, "a", std::string(kLargestDocument + 1, 'x'), 1});
-  CHECK_EQ(d.all<Published>().back().why, "too large");
-  d.step(Publish{2, "a b", "x", 1});
-  CHECK_EQ(d.all<Published>().back().why, "not a service's name");
-  for (std::size_t i = 0; i < kMostProposals + 1; ++i)
-    d.step(Publish{3 + i, "s" + std::to_string(i), "x", 1});
-  CHECK_EQ(d.all<Published>().back().why, "too many at once");
+  d.step(PublishRequested{1, "a", std::string(kMaxConfigBytes + 1, 'x'), 1});
+  CHECK_EQ(d.all<PublishFinished>().back().reason, "too large");
+  d.step(PublishRequested{2, "a b", "x", 1});
+  CHECK_EQ(d.all<PublishFinished>().back().reason, "not a service's name");
+  for (std::size_t i = 0; i < kMaxProposals + 1; ++i)
+    d.step(PublishRequested{3 + i, "s" + std::to_string(i), "x", 1});
+  CHECK_EQ(d.all<PublishFinished>().back().reason, "too many at once");
 }
 
 // ---- all together
@@ -909,7 +910,7 @@
 void publish_and_see(ConfigSim& sim, std::size_t at, const std::string& service, const std::string& content) {
   const std::uint64_t request = sim.publish(at, service, content);
   CHECK(sim.until(10s, [&] { return sim.result(request).has_value(); }));
-  CHECK_EQ(sim.result(request)->why, "");
+  CHECK_EQ(sim.result(request)->reason, "");
   CHECK(sim.result(request)->committed);
 }
 
@@ -935,10 +936,10 @@
     both += committed > 1 ? 1 : 0;
     CHECK(settle(sim, 5s));
   }
-  std::cout << "publishers at once: " << sim.found(DistributorTold::turned_down)
+  std::cout << "publishers at once: " << sim.found(DistributorLogKind::rejected)
             << " numbers turned down, more than one of three committed in " << both << " of 30 rounds\n";
-  CHECK(sim.found(DistributorTold::turned_down) > 0);
-  CHECK_EQ(sim.told(Told::conflict), 0U);
+  CHECK(sim.found(DistributorLogKind::rejected) > 0);
+  CHECK_EQ(sim.told(SubscriberLogKind::conflict), 0U);
 }
 
 void a_publisher_dies_after_half_were_told() {
@@ -953,9 +954,9 @@
     begin(sim);
     publish_and_see(sim, 0, "s0", "old");
     // Before its majority: some have accepted.
-    const std::uint64_t accepted = sim.found(DistributorTold::accepted);
+    const std::uint64_t accepted = sim.found(DistributorLogKind::accepted);
     const std::uint64_t request = sim.publish(0, "s0", "half accepted");
-    CHECK(sim.until(1s, [&] { return sim.found(DistributorTold::accepted) > accepted; }));
+    CHECK(sim.until(1s, [&] { return sim.found(DistributorLogKind::accepted) > accepted; }));
     before += sim.result(request).has_value() ? 0 : 1;
     sim.kill(0);
     sim.run(5s);
@@ -998,12 +999,12 @@
     sim.run(40s);
     // It is still connected to, as a third one, and found silent each time.
     for (std::size_t g = 0; g < 12; ++g) {
-      const std::size_t up = sim.gatekeeper(g).sources_up();
+      const std::size_t up = sim.gatekeeper(g).connected_sources();
       CHECK(up == kSources || up == kSources + 1);
     }
     sim.wake(2);
     CHECK(settle(sim, 30s));
-    stale += sim.told(Told::stale);
+    stale += sim.told(SubscriberLogKind::stale);
   }
   std::cout << "woken distributors: " << stale << " old numbers refused by gatekeepers\n";
   CHECK(stale > 0);
@@ -1026,7 +1027,7 @@
     const auto large = sim.publish(3, "s0", "large " + std::to_string(i));
     sim.run(5s);
     CHECK(sim.result(small) && !sim.result(small)->committed);
-    CHECK_EQ(sim.result(small)->why, "no majority");
+    CHECK_EQ(sim.result(small)->reason, "no majority");
     CHECK(sim.result(large)->committed);
   }
   // Who is cut off serves on with what it has.
@@ -1039,7 +1040,7 @@
   CHECK(settle(sim, 40s));
   CHECK(sim.counts().held_by_cut > 0);
   std::cout << "a cut: " << sim.counts().held_by_cut << " lines held, "
-            << sim.found(DistributorTold::given_up) << " proposals given up\n";
+            << sim.found(DistributorLogKind::abandoned) << " proposals given up\n";
 }
 
 void a_distributor_from_nothing_among_others() {
@@ -1054,7 +1055,7 @@
     sim.run(200ms);
     const auto early = sim.publish(0, "s0", "early");
     sim.run(100ms);
-    CHECK(sim.result(early) && sim.result(early)->why == "not voting yet");
+    CHECK(sim.result(early) && sim.result(early)->reason == "not voting yet");
     publish_and_see(sim, 1, "s0", "by the others meanwhile");
     CHECK(settle(sim, 20s));
     publish_and_see(sim, 0, "s0", "by it again");
@@ -1072,7 +1073,7 @@
     begin(sim);
     for (std::size_t i = 0; i < 8; ++i) publish_and_see(sim, i % 3, ConfigSim::service_of(i), "kept");
     CHECK(settle(sim, 10s));
-    const Stamp kept = sim.committed(0, "s3");
+    const VersionId kept = sim.committed(0, "s3");
     for (std::size_t i = 0; i < 3; ++i) sim.kill(i);
     sim.run(1s);
     for (std::size_t i = 0; i < 3; ++i) sim.start_distributor(i, false);
@@ -1081,7 +1082,7 @@
     publish_and_see(sim, 1, "s3", "after it");
     CHECK(sim.committed(1, "s3").version > kept.version);
     CHECK(settle(sim, 10s));
-    learned += sim.found(DistributorTold::learned_back);
+    learned += sim.found(DistributorLogKind::recovered);
   }
   std::cout << "all from nothing: " << learned << " documents learned back\n";
   CHECK(learned >= 80);
@@ -1094,7 +1095,7 @@
   begin(sim);
   publish_and_see(sim, 0, "s0", "kept by one");
   CHECK(settle(sim, 10s));
-  const Stamp kept = sim.committed(0, "s0");
+  const VersionId kept = sim.committed(0, "s0");
   for (std::size_t i = 0; i < 2; ++i) {
     sim.kill(i);
     sim.start_distributor(i, false);
@@ -1119,7 +1120,7 @@
                     ConfigSim::service_of(static_cast<std::size_t>(i) % 2), "change " + std::to_string(i));
     sim.run(7s);
   }
-  const Stamp before = sim.running(1, "s2");
+  const VersionId before = sim.running(1, "s2");
   sim.kill(sim.node_of_gatekeeper(0));  // so that fetches are the other's
   const std::uint64_t fetches = sim.counts().fetches;
   sim.heal();
@@ -1133,8 +1134,8 @@
   ConfigSimSettings s;
   s.seed = 6;
   s.services = 4;
-  s.refuses = [](std::size_t g, const std::vector<Document>& all) -> std::string {
-    for (const Document& d : all) {
+  s.refuses = [](std::size_t g, const std::vector<ServiceConfig>& all) -> std::string {
+    for (const ServiceConfig& d : all) {
       if (d.content == "bad") return "bad for all";
       if (d.content == "odd" && g % 2 == 1) return "bad for odd ones";
     }
@@ -1144,15 +1145,15 @@
   begin(sim);
   publish_and_see(sim, 0, "s0", "good");
   CHECK(settle(sim, 10s));
-  const Stamp good = sim.committed(0, "s0");
+  const VersionId good = sim.committed(0, "s0");
   publish_and_see(sim, 1, "s0", "bad");
   CHECK(settle(sim, 10s));
   std::size_t refused = 0;
   for (std::size_t g = 0; g < 6; ++g) {
-    for (const auto& [service, held] : sim.gatekeeper(g).held()) {
+    for (const auto& [service, held] : sim.gatekeeper(g).service_states()) {
       if (service != "s0") continue;
-      CHECK(held.in_force == good);
-      CHECK(held.refused && *held.refused == sim.committed(0, "s0"));
+      CHECK(held.active == good);
+      CHECK(held.rejected && *held.rejected == sim.committed(0, "s0"));
       CHECK_EQ(held.reason, "bad for all");
       ++refused;
     }
@@ -1160,7 +1161,7 @@
   // Each is counted once, by its primary.
   sim.run(100ms);
   std::size_t counted = 0;
-  for (std::size_t i = 0; i < 3; ++i) counted += sim.distributor(i).status("s0").refused_all;
+  for (std::size_t i = 0; i < 3; ++i) counted += sim.distributor(i).status("s0").rejected_count;
   CHECK_EQ(counted, refused);
   // Another service goes on.
   publish_and_see(sim, 2, "s1", "good");
@@ -1173,8 +1174,8 @@
   std::size_t in_force = 0;
   std::size_t odd = 0;
   for (std::size_t i = 0; i < 3; ++i) {
-    in_force += sim.distributor(i).status("s0").in_force;
-    odd += sim.distributor(i).status("s0").refused_all;
+    in_force += sim.distributor(i).status("s0").active;
+    odd += sim.distributor(i).status("s0").rejected_count;
   }
   CHECK(in_force > 0 && odd > 0);
   CHECK_EQ(in_force + odd, refused);
@@ -1182,9 +1183,9 @@
   publish_and_see(sim, 0, "s0", "good");
   CHECK(settle(sim, 10s));
   for (std::size_t g = 0; g < 6; ++g) {
-    for (const auto& [service, held] : sim.gatekeeper(g).held()) CHECK(!held.refused);
+    for (const auto& [service, held] : sim.gatekeeper(g).service_states()) CHECK(!held.rejected);
   }
-  std::cout << "refused: " << sim.told(Told::refused) << " times\n";
+  std::cout << "refused: " << sim.told(SubscriberLogKind::rejected) << " times\n";
 }
 
 void all_distributors_restart_at_once() {
@@ -1205,8 +1206,8 @@
     CHECK_EQ(sim.counts().fetches, fetches);  // what is held is not fetched again
     publish_and_see(sim, 1, "s0", "second");
     CHECK(settle(sim, 10s));
-    sim.run(kRetryMost + 1s);
-    for (std::size_t g = 0; g < 30; ++g) CHECK_EQ(sim.gatekeeper(g).sources_up(), 2U);
+    sim.run(kMaxReconnectBackoff + 1s);
+    for (std::size_t g = 0; g < 30; ++g) CHECK_EQ(sim.gatekeeper(g).connected_sources(), 2U);
   }
 }
 
@@ -1224,7 +1225,7 @@
     CHECK(sim.until(10s, [&] { return !sim.take_in_force().empty(); }));
     // It runs with it, and has told nobody.
     std::size_t told = 0;
-    for (std::size_t d = 0; d < 3; ++d) told += sim.distributor(d).status("s0").in_force;
+    for (std::size_t d = 0; d < 3; ++d) told += sim.distributor(d).status("s0").active;
     between += told == 0 ? 1 : 0;
     sim.kill(sim.node_of_gatekeeper(0));
     sim.run(100ms);
@@ -1232,7 +1233,7 @@
     CHECK(settle(sim, 20s));
     told = 0;
     sim.run(1s);
-    for (std::size_t d = 0; d < 3; ++d) told += sim.distributor(d).status("s0").in_force;
+    for (std::size_t d = 0; d < 3; ++d) told += sim.distributor(d).status("s0").active;
     CHECK_EQ(told, 1U);
   }
   std::cout << "killed between taking and telling: " << between << " of 20\n";
@@ -1251,7 +1252,7 @@
   CHECK(before > 8);
   sim.kill(1);
   sim.run(20s);
-  for (std::size_t g = 0; g < 40; ++g) CHECK_EQ(sim.gatekeeper(g).sources_up(), 2U);
+  for (std::size_t g = 0; g < 40; ++g) CHECK_EQ(sim.gatekeeper(g).connected_sources(), 2U);
   sim.start_distributor(1);
   sim.run(30s);
   CHECK_EQ(share(1), before);
@@ -1300,8 +1301,8 @@
   s.late = below(2) == 0 ? 0 : 0.02;
   s.doubled = below(2) == 0 ? 0 : 0.05;
   s.bytes_per_second = below(3) == 0 ? 2000 : 16 * 1024 * 1024;
-  s.refuses = [](std::size_t g, const std::vector<Document>& documents) -> std::string {
-    for (const Document& d : documents) {
+  s.refuses = [](std::size_t g, const std::vector<ServiceConfig>& documents) -> std::string {
+    for (const ServiceConfig& d : documents) {
       if (d.content.starts_with("bad")) return "bad";
       if (d.content.starts_with("odd") && g % 2 == 1) return "odd";
     }
@@ -1329,7 +1330,8 @@
         // So that a majority keeps its files: no more than a minority is on its way back from nothing.
         std::size_t from_nothing = 1;
         for (std::size_t i = 0; i < s.distributors; ++i) {
-          if (i != d && (!sim.up(i) || sim.distributor(i).standing() != Standing::voting)) ++from_nothing;
+          if (i != d && (!sim.up(i) || sim.distributor(i).voter_state() != VoterState::voting))
+            ++from_nothing;
         }
         if (from_nothing > minority) break;
         sim.kill(d);
@@ -1402,7 +1404,7 @@
   for (std::size_t i = 0; i < s.services; ++i)
     publish_and_see(sim, below(s.distributors), ConfigSim::service_of(i), "last " + std::to_string(i));
   CHECK(settle(sim, 20s));
-  CHECK_EQ(sim.told(Told::conflict), 0U);
+  CHECK_EQ(sim.told(SubscriberLogKind::conflict), 0U);
   for (const std::uint64_t r : requests) {
     if (sim.result(r)) ++(sim.result(r)->committed ? all.committed : all.not_committed);
   }
@@ -1412,8 +1414,8 @@
 void random_steps(std::uint64_t seeds) {
   Faults all;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) random_faults(seed, all);
-  const auto told = [&](Told what) { return all.counts.told[what]; };
-  const auto found = [&](DistributorTold what) { return all.counts.found[what]; };
+  const auto told = [&](SubscriberLogKind what) { return all.counts.told[what]; };
+  const auto found = [&](DistributorLogKind what) { return all.counts.found[what]; };
   std::cout << seeds << " seeds, " << all.counts.steps << " steps, " << all.counts.lines << " lines: killed "
             << all.kills << " distributors and " << all.gatekeeper_kills << " gatekeepers, " << all.empties
             << " distributors began from nothing and all of them " << all.all_empty << " times, " << all.stops
@@ -1421,11 +1423,14 @@
             << all.counts.held_by_cut << ", " << all.resets << " resets, " << all.counts.lost_by_reset
             << " lines lost, " << all.counts.late << " late, " << all.counts.doubled << " doubled; "
             << all.committed << " publications committed and " << all.not_committed
-            << " not, numbers turned down " << found(DistributorTold::turned_down) << ", given up "
-            << found(DistributorTold::given_up) << ", learned back " << found(DistributorTold::learned_back)
-            << "; at gatekeepers in force " << told(Told::in_force) << ", refused " << told(Told::refused)
-            << ", stale " << told(Told::stale) << ", unasked " << told(Told::unasked) << ", late fetches "
-            << told(Told::fetch_late) << ", waited out " << told(Told::waited_out) << '\n';
+            << " not, numbers turned down " << found(DistributorLogKind::rejected) << ", given up "
+            << found(DistributorLogKind::abandoned) << ", learned back "
+            << found(DistributorLogKind::recovered) << "; at gatekeepers in force "
+            << told(SubscriberLogKind::activated) << ", refused " << told(SubscriberLogKind::rejected)
+            << ", stale " << told(SubscriberLogKind::stale) << ", unasked "
+            << told(SubscriberLogKind::unrequested) << ", late fetches "
+            << told(SubscriberLogKind::fetch_timed_out) << ", waited out "
+            << told(SubscriberLogKind::wait_expired) << '\n';
   if (seeds < 40) return;  // too few for each fault
   for (const std::uint64_t n : {all.kills,
                                 all.gatekeeper_kills,
@@ -1441,12 +1446,12 @@
                                 all.counts.doubled,
                                 all.committed,
                                 all.not_committed,
-                                found(DistributorTold::turned_down),
-                                found(DistributorTold::given_up),
-                                found(DistributorTold::learned_back),
-                                told(Told::refused),
-                                told(Told::stale),
-                                told(Told::fetch_late)})
+                                found(DistributorLogKind::rejected),
+                                found(DistributorLogKind::abandoned),
+                                found(DistributorLogKind::recovered),
+                                told(SubscriberLogKind::rejected),
+                                told(SubscriberLogKind::stale),
+                                told(SubscriberLogKind::fetch_timed_out)})
     CHECK(n > 0);
 }
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "app/gatekeeper.h"
-#include "control/config_ctl.h"
+#include "control/config_client.h"
 #include "control/config_distributor.h"
 #include "control/config_lines.h"
 #include "control/gap_client.h"
@@ -35,7 +35,7 @@
   return key;
 }
 
-distribution::Document trail_document() {
+distribution::ServiceConfig trail_document() {
   const distribution::Version version = 1'700'000'000'123;
   const std::string content = R"({"settings":{"pause":"\"ü\"\n"}})";
   return {
@@ -44,42 +44,42 @@
 
 void configuration_lines() {
   using namespace distribution;
-  const Document document = trail_document();
-  const std::vector<Noticed::Entry> held = {{"trail", document.stamp}, {"map-tiles_2.x", {}}};
+  const ServiceConfig document = trail_document();
+  const std::vector<VersionsNotified::Entry> held = {{"trail", document.id}, {"map-tiles_2.x", {}}};
   std::string text;
   const auto add = [&text](const json& line) { text += line_of(line); };
   add(subscribe_line("gk 1", held, true));
   add(subscribe_all_line("d3"));
   add(primary_line(true));
-  add(heard_line());
+  add(acknowledge_line());
   add(fetch_line("trail", 5));
-  add(report_line({0, "trail", document.stamp, true, {}}));
-  add(report_line({0, "trail", document.stamp, false, "it \"can't\" be read\n"}));
-  add(report_line({0, "trail", document.stamp, false, std::string(600, 'r')}));
-  add(hand_line(document));
+  add(report_line({0, "trail", document.id, true, {}}));
+  add(report_line({0, "trail", document.id, false, "it \"can't\" be read\n"}));
+  add(report_line({0, "trail", document.id, false, std::string(600, 'r')}));
+  add(return_line(document));
   add(propose_line(~std::uint64_t{}, document));
-  add(beat_answer_line());
-  Notice notice;
+  add(heartbeat_answer_line());
+  NotifyVersions notice;
   notice.client = 4;
-  notice.entries = {{"trail", document.stamp, 9}, {"none", {}, 7}};
+  notice.entries = {{"trail", document.id, 9}, {"none", {}, 7}};
   notice.complete = true;
-  add(notices_line(notice));
-  notice.with_seen = true;
-  for (const Standing standing : {Standing::is_new, Standing::recovering, Standing::voting}) {
-    notice.standing = standing;
-    add(notices_line(notice));
+  add(versions_line(notice));
+  notice.with_highest_seen = true;
+  for (const VoterState standing : {VoterState::uninitialized, VoterState::recovering, VoterState::voting}) {
+    notice.voter_state = standing;
+    add(versions_line(notice));
   }
-  add(document_line(document));
+  add(config_line(document));
   add(missing_line("trail"));
-  add(ask_line("trail"));
-  add(beat_line());
+  add(request_config_line("trail"));
+  add(heartbeat_line());
   add(proposal_answer_line({4, 17, true, 0}));
   add(proposal_answer_line({4, 17, false, 99}));
-  std::map<std::string, Record> records;
+  std::map<std::string, ServiceRecord> records;
   records["both"] = {document, document, 1'700'000'000'200};
   records["none"] = {std::nullopt, std::nullopt, 3};
   records["trail"] = {document, std::nullopt, 1'700'000'000'123};
-  text += text_of(records);
+  text += serialize_records(records);
   text += canonical_patch(R"( {"settings" : {"b":1, "a":[true,null]}, "journal":"127.0.0.1:1"} )") + "\n";
   check_golden("configuration_lines.txt", text);
 }
@@ -402,7 +402,7 @@
   deploy.sip_udp.reset();
   deploy.collector = "127.0.0.1:4318";
   deploy.collector_host = "collector";
-  deploy.export_every = 1s;
+  deploy.export_interval = 1s;
   Gatekeeper gatekeeper(config, deploy, {});
   Recorded<Gatekeeper> run(gatekeeper);
   run.step(net::Started{});
@@ -602,12 +602,12 @@
 }
 
 void config_client_sessions() {
-  const auto make_client = [](const ConfigCtlSettings& settings) { return ConfigCtl(settings); };
-  ConfigCtlSettings settings;
-  settings.to = {"127.0.0.1:7800", "127.0.0.1:7801"};
+  const auto make_client = [](const ConfigClientSettings& settings) { return ConfigClient(settings); };
+  ConfigClientSettings settings;
+  settings.addresses = {"127.0.0.1:7800", "127.0.0.1:7801"};
   settings.service = "trail";
   settings.content = R"({"settings":{}})";
-  settings.within = 3s;
+  settings.timeout = 3s;
   const std::string digest(64, 'd');
   const auto answer = [](const std::string& name, json line) {
     line["re"] = "config";
@@ -643,7 +643,7 @@
   const json lost = {{"name", "gk9"}, {"ago_ms", 4500}};
   std::string text;
 
-  settings.what = ConfigCtlSettings::What::publish;
+  settings.command = ConfigClientSettings::Command::publish;
   text += both_forms("publish, active at all", settings, make_client,
                      {{published, status("d1", 4, none, none, none)}, {status("d2", 4, none, none, none)}});
   text += both_forms("publish, refused", settings, make_client, {{refused}, {}});
@@ -654,11 +654,11 @@
                      {{published, status("d1", 2, {refusal}, {"gk2"}, {lost}), all_attached},
                       {status("d2", 4, none, none, none),
                        answer("d2", {{"what", "attached"}, {"ok", true}, {"names", none}})}});
-  settings.wait = false;
+  settings.wait_until_active = false;
   text += both_forms("publish, committed only", settings, make_client, {{published}, {}});
-  settings.wait = true;
+  settings.wait_until_active = true;
 
-  settings.what = ConfigCtlSettings::What::status;
+  settings.command = ConfigClientSettings::Command::status;
   text +=
       both_forms("status, active at all", settings, make_client,
                  {{status("d1", 4, none, none, none)}, {status("d2", 4, none, none, none, "recovering")}});
@@ -695,7 +695,7 @@
   ConfigDistributorSettings settings;
   settings.listen = "127.0.0.1:7800";
   settings.peers = std::move(peers);
-  settings.dir = "store";
+  settings.directory = "store";
   settings.name = "d1";
   settings.key = configuration_key();
   settings.seed = 5;
@@ -719,12 +719,12 @@
   config({{"what", "publish"}, {"service", "trail"}, {"content", R"({"listen":1})"}});
   run.step(net::Accepted{kPublisher});
   run.receive(kPublisher, line_of(subscribe_line("gk1", {{"trail", {}}}, true)));
-  run.receive(kPublisher, line_of(heard_line()));
+  run.receive(kPublisher, line_of(acknowledge_line()));
   run.receive(kPublisher, line_of(fetch_line("trail", 1)));
   run.receive(kPublisher, line_of(fetch_line("none", 1)));
   run.receive(kPublisher,
               line_of(report_line(
-                  {0, "trail", distributor.held().records().at("trail").committed->stamp, true, {}})));
+                  {0, "trail", distributor.distributor().records().at("trail").committed->id, true, {}})));
   config({{"what", "status"}, {"service", "trail"}});
   config({{"what", "status"}});
   config({{"what", "status"}, {"after", "map"}});
@@ -751,9 +751,9 @@
     const std::string name = "bucket-" + std::string(bucket < 10 ? "0" : "") + bucket.dump();
     run.step(net::FileRead{"store/" + name, read_whole_file(kStored + name)});
   }
-  CHECK(distributor.held().standing() == distribution::Standing::voting);
-  CHECK_EQ(distributor.held().records().size(), 2U);
-  CHECK_EQ(distributor.held().records().at("trail").committed->content, R"({"settings":{"a":1}})");
+  CHECK(distributor.distributor().voter_state() == distribution::VoterState::voting);
+  CHECK_EQ(distributor.distributor().records().size(), 2U);
+  CHECK_EQ(distributor.distributor().records().at("trail").committed->content, R"({"settings":{"a":1}})");
   run.pass(60ms);
   run.bring_up();
   const ConnId peer{Concern::control_client, 1};
@@ -766,11 +766,10 @@
                     "\n");
   run.step(net::Accepted{kPublisher});
   run.receive(kPublisher, line_of(subscribe_all_line("d2")));
-  distribution::Document theirs = trail_document();
+  distribution::ServiceConfig theirs = trail_document();
   run.receive(kPublisher, line_of(propose_line(4, theirs)));
   theirs.service = "other";
-  theirs.stamp.digest =
-      distribution::digest_of(configuration_key(), "other", theirs.stamp.version, theirs.content);
+  theirs.id.digest = distribution::digest_of(configuration_key(), "other", theirs.id.version, theirs.content);
   run.receive(kPublisher, line_of(propose_line(5, theirs)));
   run.receive(kPublisher, line_of(propose_line(6, theirs)));
   run.pass(6s);
--- a/tests/load_control_test.cpp
+++ b/tests/load_control_test.cpp
@@ -29,14 +29,14 @@
   try {
     gaps_of(read_load_control(xml), "n", kNow, kNow + 1h);
     return false;
-  } catch (const BadDocument& trouble) {
+  } catch (const LoadControlError& trouble) {
     CHECK(std::string(trouble.what()).find('\n') == std::string::npos);
     return true;
   }
 }
 
 void a_document_becomes_gaps() {
-  const LoadDocument d = read_load_control(
+  const LoadControlDocument d = read_load_control(
       document(kTo + "<method>INVITE</method><validity><from>2023-11-14T17:13:30-05:00</from>"
                      "<until>2023-11-14T22:43:20Z</until></validity>",
                kRate));
@@ -51,9 +51,10 @@
   CHECK(gaps[0].gap->interval == 400ms);
   // Not for longer than the subscription.
   CHECK(gaps_of(d, "n", kNow, kNow + 1min)[0].end == kNow + 1min);
-  const LoadDocument none = read_load_control(document(kTo, "<lc:accept><lc:rate>0</lc:rate></lc:accept>"));
+  const LoadControlDocument none =
+      read_load_control(document(kTo, "<lc:accept><lc:rate>0</lc:rate></lc:accept>"));
   CHECK(!gaps_of(none, "n", kNow, kNow + 1h)[0].gap->interval);
-  const LoadDocument part =
+  const LoadControlDocument part =
       read_load_control(document(kTo, "<lc:accept><lc:percent>25</lc:percent></lc:accept>"));
   CHECK_EQ(gaps_of(part, "n", kNow, kNow + 1h)[0].gap->percent, 25.0);
 }
@@ -104,7 +105,7 @@
   a.gap->criteria.numbers = {"4711", "9"};
   a.gap->criteria.prefixes = {"+1868"};
   a.gap->interval = 250ms;
-  LoadDocument d;
+  LoadControlDocument d;
   d.version = 7;
   d.rules.push_back(*rule_of(a));
   CHECK_EQ(d.rules[0].figure, 4.0);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -224,7 +224,7 @@
   sim.run(2500ms);
   CHECK_EQ(holding(sim, 5, State::dead), 0U);
   CHECK(sim.until(6s, [&] { return holding(sim, 5, State::dead) == kSize - 1; }).has_value());
-  CHECK(sim.counts().unheard > 0);
+  CHECK(sim.counts().unheard_datagrams > 0);
   CHECK_EQ(sim.false_deaths({5}), 0U);
 }
 
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -132,7 +132,7 @@
   const auto trouble = [](const std::string& text) -> std::string {
     try {
       read_platform_config(text);
-    } catch (const BadConfig& e) {
+    } catch (const ConfigError& e) {
       return e.what();
     }
     return {};
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -80,7 +80,7 @@
   return out.str();
 }
 
-std::string trouble_with(const std::vector<std::string>& lines) {
+std::string find_error(const std::vector<std::string>& lines) {
   try {
     reply_to(lines);
   } catch (const MalformedInput& trouble) {
@@ -187,9 +187,7 @@
 
 class MalformedLine : public testing::TestWithParam<Bad> {};
 
-TEST_P(MalformedLine, IsNamedByLineAndField) {
-  EXPECT_EQ(trouble_with(GetParam().lines), GetParam().trouble);
-}
+TEST_P(MalformedLine, IsNamedByLineAndField) { EXPECT_EQ(find_error(GetParam().lines), GetParam().trouble); }
 
 INSTANTIATE_TEST_SUITE_P(
     Wire, MalformedLine,
