--- a/bench/capacity/slopes.cpp
+++ b/bench/capacity/slopes.cpp
@@ -159,8 +159,8 @@
       s.command = one.at("command").get<std::string>();
       s.revision = one.at("revision").get<std::string>();
       s.failed = one.value("without_end", std::size_t{0});
-      for (const json& p : one.at("points"))
-        s.points.push_back({p.at("size").get<double>(), p.at("runs").get<std::vector<double>>()});
+      for (const json& object : one.at("points"))
+        s.points.push_back({object.at("size").get<double>(), object.at("runs").get<std::vector<double>>()});
       if (s.points.empty() ||
           std::any_of(s.points.begin(), s.points.end(), [](const Point& p) { return p.runs.empty(); }))
         throw BadInput("the slope " + id + " has a size without a run");
--- a/bench/close_bench.cpp
+++ b/bench/close_bench.cpp
@@ -91,24 +91,24 @@
     }
     if (!answers.empty()) peer.socket.send(answers);
   }
-  std::string answer(const sip::Message& m, Clock::time_point now) {
-    if (!m.is_request() || m.method == "ACK") return {};
-    const std::string id(m.header("Call-ID"));
+  std::string answer(const sip::Message& message, Clock::time_point now) {
+    if (!message.is_request() || message.method == "ACK") return {};
+    const std::string id(message.header("Call-ID"));
     const bool measured = id.starts_with("ffff");
     if (measured) {
       const std::lock_guard guard(mutex_);
-      came_.emplace(m.method + id, now);
+      came_.emplace(message.method + id, now);
     }
-    if (measured && m.method == "INVITE") return {};
+    if (measured && message.method == "INVITE") return {};
     sip::Message reply;
     reply.status = measured ? 487 : 200;
     reply.phrase = "x";
-    for (const char* name : {"Via", "Call-ID", "CSeq"}) reply.add(name, std::string(m.header(name)));
+    for (const char* name : {"Via", "Call-ID", "CSeq"}) reply.add(name, std::string(message.header(name)));
     if (measured) {  // the end of its INVITE
       reply.headers.clear();
       reply.add("Call-ID", id);
       reply.add("CSeq", "1 INVITE");
-    } else if (m.method == "INVITE") {
+    } else if (message.method == "INVITE") {
       reply.body = "answer";
     }
     return reply.text();
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -13,12 +13,12 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "app/gatekeeper.h"
+#include "call_gapping/gap_register.h"
 #include "control/control.h"
 #include "control/gap_publisher.h"
 #include "fleet/datagram.h"
+#include "gatekeeper/gatekeeper.h"
 #include "lab/fleet_sim.h"
-#include "limits/gap_register.h"
 #include "management/telemetry.h"
 #include "otlp/exporter.h"
 #include "settings.h"
@@ -231,8 +231,8 @@
 
 // ---- gaps
 
-limits::Announcement gap_of(std::size_t i, std::uint64_t version, Time now) {
-  limits::Announcement a;
+call_gapping::Announcement gap_of(std::size_t i, std::uint64_t version, Time now) {
+  call_gapping::Announcement a;
   a.id = "gap-" + std::to_string(100'000 + i);
   a.version = version;
   a.author = "operator on duty";
@@ -248,7 +248,7 @@
 void gaps_at(std::size_t size) {
   const Time now = kStart;
   const double heap = heap_bytes();
-  limits::GapRegister held({1024, 0}, 1, now);
+  call_gapping::GapRegister held({1024, 0}, 1, now);
   for (std::size_t i = 0; i < size; ++i) held.announce(now, gap_of(i, 1, now));
   figure("gap_state", size, (heap_bytes() - heap) / static_cast<double>(size), "B");
   constexpr std::size_t kChanges = 2000;
@@ -300,7 +300,7 @@
       pump();
     }
   }
-  void announce(const limits::Announcement& a) {
+  void announce(const call_gapping::Announcement& a) {
     const net::ConnId conn{net::Concern::control, 1};
     if (!std::exchange(operator_here_, true)) to_announcer({net::Accepted{conn}});
     const std::string line = control::line_of({{"op", "announce"}, {"gap", control::to_json(a)}});
--- a/bench/fleet_sim_bench.cpp
+++ b/bench/fleet_sim_bench.cpp
@@ -27,7 +27,7 @@
   good = good && holds;
 }
 
-double ms(Duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
+double ms(Duration duration) { return std::chrono::duration<double, std::milli>(duration).count(); }
 double cpu_s() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 double middle(std::vector<double> v, double part) {
   if (v.empty()) return -1.0;
@@ -36,9 +36,9 @@
 }
 
 // Bytes on the wire, the tag and the array's frame with them; measured against the encoder on the first ones.
-std::size_t bytes_on_wire(const membership::Datagram& d) {
+std::size_t bytes_on_wire(const membership::Datagram& datagram) {
   static const fleet::Key key{};
-  return fleet::encode(d, "trail", key).size();
+  return fleet::encode(datagram, "trail", key).size();
 }
 
 // The last of those who are up to find it, from now on; nothing: not all did within `most`.
@@ -84,10 +84,10 @@
   const auto counts = sim.counts();
   std::uint64_t seen = 0;
   std::uint64_t sampled = 0;
-  sim.size_of = [&](const membership::Datagram& d) -> std::size_t {
+  sim.size_of = [&](const membership::Datagram& datagram) -> std::size_t {
     if (++seen % 16 != 0) return 0;
     ++sampled;
-    return bytes_on_wire(d);
+    return bytes_on_wire(datagram);
   };
   sim.run(span / 5);
   sim.size_of = {};
@@ -112,7 +112,9 @@
   // The last rumours of the start are told on for a while by members that agree already.
   const Time began = sim.now();
   std::uint64_t told = 1;
-  sim.tap = [&](std::size_t, std::size_t, const membership::Datagram& d) { told += d.records.size(); };
+  sim.tap = [&](std::size_t, std::size_t, const membership::Datagram& datagram) {
+    told += datagram.records.size();
+  };
   while (told > 0 && sim.now() - began < 30s) {
     told = 0;
     sim.run(500ms);
@@ -139,10 +141,10 @@
   std::size_t sampled = 0;
   std::size_t sampled_bytes = 0;
   std::uint64_t seen = 0;
-  sim.size_of = [&](const membership::Datagram& d) -> std::size_t {
+  sim.size_of = [&](const membership::Datagram& datagram) -> std::size_t {
     if (++seen % 64 == 0) {
       ++sampled;
-      sampled_bytes += bytes_on_wire(d);
+      sampled_bytes += bytes_on_wire(datagram);
     }
     return 0;
   };
@@ -166,8 +168,8 @@
   const auto before = sim.counts();
   const Time changes_began = sim.now();
   std::uint64_t bytes = 0;
-  sim.size_of = [&](const membership::Datagram& d) -> std::size_t {
-    if (++seen % 64 == 0) bytes += 64 * bytes_on_wire(d);
+  sim.size_of = [&](const membership::Datagram& datagram) -> std::size_t {
+    if (++seen % 64 == 0) bytes += 64 * bytes_on_wire(datagram);
     return 0;
   };
   for (int round = 0; round < rounds; ++round) {
@@ -258,7 +260,8 @@
 
 Weather in_bad_weather(const Refinements& refinements, std::uint64_t seed, Duration span,
                        std::size_t size = 12) {
-  FleetSim sim(size, seed, [&](std::size_t, membership::Settings& s) { s.refinements = refinements; });
+  FleetSim sim(size, seed,
+               [&](std::size_t, membership::Settings& settings) { settings.refinements = refinements; });
   sim.start_all();
   sim.run(5s);
   sim.take_found();
--- a/bench/gap_bench.cpp
+++ b/bench/gap_bench.cpp
@@ -8,8 +8,8 @@
 #include <cstdio>
 #include <thread>
 
+#include "call_gapping/gap_register.h"
 #include "lab/load.h"
-#include "limits/gap_register.h"
 #include "programs.h"
 
 using namespace graniterun;
@@ -31,23 +31,23 @@
 double check_ns(std::size_t gaps) {
   constexpr Time kStart{1'700'000'000s};
   const auto before = mallinfo2().uordblks;
-  limits::GapRegister reg({8, 0}, 1, kStart);
+  call_gapping::GapRegister reg({8, 0}, 1, kStart);
   for (std::size_t i = 0; i < gaps; ++i) {
-    limits::Announcement a;
-    a.id = "g" + std::to_string(i);
-    a.version = 1;
-    a.created_at = a.start = kStart;
-    a.end = kStart + 1h;
-    a.gap.emplace();
+    call_gapping::Announcement announcement;
+    announcement.id = "g" + std::to_string(i);
+    announcement.version = 1;
+    announcement.created_at = announcement.start = kStart;
+    announcement.end = kStart + 1h;
+    announcement.gap.emplace();
     // Numbers, and prefixes of some lengths: each length that is there costs a look-up.
     const std::string digits = std::to_string(1'000'000'000 + i * 7919);
     if (i % 4 == 0) {
-      a.gap->criteria.prefixes = {digits.substr(0, 6 + i % 3)};
+      announcement.gap->criteria.prefixes = {digits.substr(0, 6 + i % 3)};
     } else {
-      a.gap->criteria.numbers = {digits};
+      announcement.gap->criteria.numbers = {digits};
     }
-    a.gap->interval = 1s;
-    reg.announce(kStart, a);
+    announcement.gap->interval = 1s;
+    reg.announce(kStart, announcement);
   }
   if (gaps == 100'000)
     tell("memory_a_gap", static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(gaps),
@@ -115,7 +115,7 @@
                 Time begins, Time ends) {
   Passed result;
   std::map<std::int64_t, std::size_t> used;
-  const auto slot_at = [&](Time t) { return (t - start) / interval; };
+  const auto slot_at = [&](Time time) { return (time - start) / interval; };
   for (const lab::CallRecord& c : calls) {
     if (c.flow != flow || c.sent < begins || c.sent >= ends || c.finals == 0 || c.worded) continue;
     std::int64_t slot = slot_at(c.sent);
@@ -178,8 +178,8 @@
             ctl(std::string(argv[3]) +
                 (up ? " gap announce " + id + " --number 99 --one-in none" : " gap lift " + id) + to);
         if (!one.is_object()) continue;
-        for (const json& g : one["targets"][0].value("obeyed", json::array()))
-          (up ? obeyed : lifted).push_back(g["after_ms"].get<double>());
+        for (const json& object : one["targets"][0].value("obeyed", json::array()))
+          (up ? obeyed : lifted).push_back(object["after_ms"].get<double>());
       }
       std::this_thread::sleep_for(200ms);
     }
--- a/bench/listed_bench.cpp
+++ b/bench/listed_bench.cpp
@@ -30,7 +30,7 @@
   double rate = 200.0;   // calls a second
 };
 
-bool measure(const std::string& binary, std::size_t servers, rlim_t descriptors, const Options& o) {
+bool measure(const std::string& binary, std::size_t servers, rlim_t descriptors, const Options& options) {
   const StandIns stand_ins(servers);
   const std::string listen = at(free_port());
   json config = config_of(listen, stand_ins.addresses(), 0, 1);
@@ -50,8 +50,8 @@
     const double s = std::chrono::duration<double>(Clock::now() - began).count();
     return static_cast<double>(lab::cpu_ns(program.pid()) - before) / 1e6 / s;
   };
-  const double idle = cost_of([&] { std::this_thread::sleep_for(o.quick ? 1s : 3s); });
-  const double busy = cost_of([&] { caller.spell(o.rate, o.quick ? 1500ms : 6s, servers); });
+  const double idle = cost_of([&] { std::this_thread::sleep_for(options.quick ? 1s : 3s); });
+  const double busy = cost_of([&] { caller.spell(options.rate, options.quick ? 1500ms : 6s, servers); });
   caller.listen_for(50ms);
 
   std::vector<double> waits;
@@ -82,19 +82,20 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Options o;
+  Options options;
   for (int i = 2; i < argc; ++i) {
     const std::string word = argv[i];
-    if (word == "--quick") o.quick = true;
-    if (word == "--only" && i + 1 < argc) o.only = std::stoul(argv[++i]);
-    if (word == "--rate" && i + 1 < argc) o.rate = std::stod(argv[++i]);
+    if (word == "--quick") options.quick = true;
+    if (word == "--only" && i + 1 < argc) options.only = std::stoul(argv[++i]);
+    if (word == "--rate" && i + 1 < argc) options.rate = std::stod(argv[++i]);
   }
   raise_descriptors();
   constexpr rlim_t kPlenty = 4096;
   bool good = true;
   for (const std::size_t servers : {2, 30, 100, 300, 1000}) {
-    if (o.only == 0 || o.only == servers) good = measure(argv[1], servers, kPlenty, o) && good;
+    if (options.only == 0 || options.only == servers)
+      good = measure(argv[1], servers, kPlenty, options) && good;
   }
-  if (o.only == 0) good = measure(argv[1], 1000, 1024, o) && good;
+  if (options.only == 0) good = measure(argv[1], 1000, 1024, options) && good;
   return good ? 0 : 1;
 }
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -66,9 +66,9 @@
     return p;
   }
   json config(int management) const {
-    json c = config_of(listen, servers, 0, 1);
-    c["management"] = at(management);
-    return c;
+    json object = config_of(listen, servers, 0, 1);
+    object["management"] = at(management);
+    return object;
   }
   std::unique_ptr<test::Program> start(const std::string& binary, int management) const {
     return std::make_unique<test::Program>(binary, config(management).dump(), "", listener.descriptor());
--- a/bench/stand_ins.h
+++ b/bench/stand_ins.h
@@ -15,9 +15,9 @@
 #include <thread>
 #include <unordered_map>
 
+#include "codec/jsonl.h"
+#include "codec/sip.h"
 #include "programs.h"
-#include "proto/jsonl.h"
-#include "proto/sip.h"
 
 namespace graniterun::bench {
 
--- a/lab/cold_fleet.h
+++ b/lab/cold_fleet.h
@@ -52,26 +52,26 @@
 
   static Settings settings() {
     using namespace std::chrono_literals;
-    Settings s;
-    s.layout = Layout::groups;
-    s.max_attempts = 5;
-    s.may_cancel = true;
-    s.callers_honor_retry_after = true;
-    s.max_retry_after = 2s;
-    s.scheduling_interval = 5ms;
-    s.release_guard = 200ms;
-    s.drain_grace = 2s;
-    s.slow_start_duration = 15s;
-    s.overload_multiple = 2.5;
-    s.overload_window = 1500ms;
-    CallClass c;
-    c.latency_objective = 1500ms;
-    c.caller_timeout = 9s;
-    c.priority_weight = 1.0;
-    c.late_weight_fraction = 0.1;
-    c.mean_holding_time = 8s;
-    s.classes.push_back(c);
-    return s;
+    Settings settings;
+    settings.layout = Layout::groups;
+    settings.max_attempts = 5;
+    settings.may_cancel = true;
+    settings.callers_honor_retry_after = true;
+    settings.max_retry_after = 2s;
+    settings.scheduling_interval = 5ms;
+    settings.release_guard = 200ms;
+    settings.drain_grace = 2s;
+    settings.slow_start_duration = 15s;
+    settings.overload_multiple = 2.5;
+    settings.overload_window = 1500ms;
+    CallClass call_class;
+    call_class.latency_objective = 1500ms;
+    call_class.caller_timeout = 9s;
+    call_class.priority_weight = 1.0;
+    call_class.late_weight_fraction = 0.1;
+    call_class.mean_holding_time = 8s;
+    settings.classes.push_back(call_class);
+    return settings;
   }
 
   double capacity(Duration since) const {
@@ -152,8 +152,9 @@
       } else if (const auto* t = std::get_if<SetTimer>(&action)) {
         s.timers[static_cast<std::uint64_t>(t->timer)] = now + t->delay;
       } else if (const auto* c = std::get_if<CancelAttempt>(&action)) {
-        for (Waiting& w : line) {
-          if (w.sender == i && w.life == s.life && w.call == c->call) w.cancelled = true;
+        for (Waiting& waiting : line) {
+          if (waiting.sender == i && waiting.life == s.life && waiting.call == c->call)
+            waiting.cancelled = true;
         }
         if (const auto lost_one = unheard.find({i, c->call}); lost_one != unheard.end()) {
           ends.emplace_back(lost_one->second, Outcome::cancelled);
@@ -187,7 +188,7 @@
   for (; now < 12s; now += kStep) {
     if (now >= 0ms && !replaced) {
       replaced = true;
-      for (const Waiting& w : line) ends.emplace_back(w, Outcome::reset);  // the old process dies
+      for (const Waiting& waiting : line) ends.emplace_back(waiting, Outcome::reset);  // the old process dies
       line.clear();
     }
     for (const auto& [w, outcome] : std::exchange(ends, {})) {
@@ -246,17 +247,18 @@
     const double rate = now < 0ms ? warm_per_s : capacity(now);
     worked = line.empty() ? 0.0 : worked + rate * std::chrono::duration<double>(kStep).count();
     for (; worked >= 1.0 && !line.empty(); worked -= 1.0) {
-      const Waiting w = line.front();
+      const Waiting waiting = line.front();
       line.pop_front();
-      Sender& s = fleet[w.sender];
-      if (!s.up || s.life != w.life) continue;
-      if (w.cancelled) {
-        ends.emplace_back(w, Outcome::cancelled);
+      Sender& s = fleet[waiting.sender];
+      if (!s.up || s.life != waiting.life) continue;
+      if (waiting.cancelled) {
+        ends.emplace_back(waiting, Outcome::cancelled);
       } else if (now >= 0ms && uniform() < lost) {
-        unheard[{w.sender, w.call}] = w;
+        unheard[{waiting.sender, waiting.call}] = waiting;
       } else {
         if (now >= s.told) ++result.stood;
-        tell(w.sender, CallEstablished{w.call, w.attempt, ServerId{0}, now - w.since});
+        tell(waiting.sender,
+             CallEstablished{waiting.call, waiting.attempt, ServerId{0}, now - waiting.since});
       }
     }
   }
--- a/lab/config_rig.cpp
+++ b/lab/config_rig.cpp
@@ -84,8 +84,8 @@
 
 void JournalStandIn::run() {
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
-  epoll_event e{EPOLLIN, {.fd = listener_}};
-  ::epoll_ctl(epoll, EPOLL_CTL_ADD, listener_, &e);
+  epoll_event event{EPOLLIN, {.fd = listener_}};
+  ::epoll_ctl(epoll, EPOLL_CTL_ADD, listener_, &event);
   std::set<int> open;
   // Taken out first: a child that has been forked and not begun keeps the connection alive, epoll went on
   // telling of its number, and whoever had that number by then lost his socket.
@@ -309,14 +309,14 @@
 
 void ConfigRig::kill_host(std::size_t i) {
   const std::lock_guard lock(mutex_);
-  Host& h = hosts_.at(i);
-  h.child.reset();
+  Host& endpoint = hosts_.at(i);
+  endpoint.child.reset();
   for (const auto of : {&Totals::stale, &Totals::back, &Totals::mixed, &Totals::conflict, &Totals::unsound,
                         &Totals::refused, &Totals::bytes, &Totals::cpu_ns, &Totals::lists, &Totals::restarts})
-    h.before.*of += h.totals.*of;
-  h.totals = {};
-  h.force.clear();
-  h.half.clear();
+    endpoint.before.*of += endpoint.totals.*of;
+  endpoint.totals = {};
+  endpoint.force.clear();
+  endpoint.half.clear();
 }
 
 void ConfigRig::restart_hollow(std::size_t host, std::size_t count) {
@@ -429,8 +429,8 @@
     if (f.first != 0) all.first = all.first == 0 ? f.first : std::min(all.first, f.first);
     all.last = std::max(all.last, f.last);
   };
-  for (const Host& h : hosts_) {
-    if (const auto it = h.force.find({service, version}); it != h.force.end()) add(it->second);
+  for (const Host& endpoint : hosts_) {
+    if (const auto it = endpoint.force.find({service, version}); it != endpoint.force.end()) add(it->second);
   }
   for (const Real& r : real_) {
     const auto it = r.force.find(service);
@@ -444,8 +444,9 @@
 std::size_t ConfigRig::refused(const std::string& service, std::uint64_t version) const {
   const std::lock_guard lock(mutex_);
   std::size_t count = 0;
-  for (const Host& h : hosts_) {
-    if (const auto it = h.refused.find({service, version}); it != h.refused.end()) count += it->second;
+  for (const Host& endpoint : hosts_) {
+    if (const auto it = endpoint.refused.find({service, version}); it != endpoint.refused.end())
+      count += it->second;
   }
   for (const Real& r : real_) count += r.refused.contains({service, version}) ? 1 : 0;
   return count;
@@ -466,15 +467,15 @@
   Totals all;
   all.mixed = mixed_;
   all.back = back_;
-  for (const Host& h : hosts_) {
-    all.up += h.totals.up;
-    all.ready += h.totals.ready;
-    all.at = std::max(all.at, h.totals.at);
-    all.memory += h.totals.memory;
+  for (const Host& endpoint : hosts_) {
+    all.up += endpoint.totals.up;
+    all.ready += endpoint.totals.ready;
+    all.at = std::max(all.at, endpoint.totals.at);
+    all.memory += endpoint.totals.memory;
     for (const auto of :
          {&Totals::stale, &Totals::back, &Totals::mixed, &Totals::conflict, &Totals::unsound,
           &Totals::refused, &Totals::bytes, &Totals::cpu_ns, &Totals::lists, &Totals::restarts})
-      all.*of += h.totals.*of + h.before.*of;
+      all.*of += endpoint.totals.*of + endpoint.before.*of;
   }
   return all;
 }
@@ -500,7 +501,8 @@
     std::vector<pollfd> polls;
     {
       const std::lock_guard lock(mutex_);
-      for (const Host& h : hosts_) polls.push_back({h.child ? h.child->out() : -1, POLLIN, 0});
+      for (const Host& endpoint : hosts_)
+        polls.push_back({endpoint.child ? endpoint.child->out() : -1, POLLIN, 0});
       polls.push_back({bare_.child ? bare_.child->out() : -1, POLLIN, 0});
       for (Real& r : real_) {
         ask_real(r);
@@ -579,8 +581,8 @@
   }
 }
 
-void ConfigRig::take(Host& h, const json& line) {
-  Totals& t = h.totals;
+void ConfigRig::take(Host& endpoint, const json& line) {
+  Totals& t = endpoint.totals;
   const auto number = [&line](const char* name) { return line.value(name, std::uint64_t{0}); };
   t.up = number("up");
   t.ready = number("ready");
@@ -596,14 +598,16 @@
   t.cpu_ns = number("cpu_ns");
   t.memory = number("memory");
   t.at = line.value("t", Nanos{0});
-  for (const json& f : line.value("force", json::array())) {
-    const auto service = f.at(0).get<std::string>();
-    const auto version = f.at(1).get<std::uint64_t>();
-    agree(service, version, f.at(2).get<std::string>());
-    h.force[{service, version}] = {f.at(3).get<std::size_t>(), f.at(4).get<Nanos>(), f.at(5).get<Nanos>()};
+  for (const json& object : line.value("force", json::array())) {
+    const auto service = object.at(0).get<std::string>();
+    const auto version = object.at(1).get<std::uint64_t>();
+    agree(service, version, object.at(2).get<std::string>());
+    endpoint.force[{service, version}] = {object.at(3).get<std::size_t>(), object.at(4).get<Nanos>(),
+                                          object.at(5).get<Nanos>()};
   }
-  for (const json& f : line.value("refused", json::array()))
-    h.refused[{f.at(0).get<std::string>(), f.at(1).get<std::uint64_t>()}] = f.at(2).get<std::size_t>();
+  for (const json& object : line.value("refused", json::array()))
+    endpoint.refused[{object.at(0).get<std::string>(), object.at(1).get<std::uint64_t>()}] =
+        object.at(2).get<std::size_t>();
 }
 
 }  // namespace graniterun::lab
--- a/lab/config_sim.h
+++ b/lab/config_sim.h
@@ -118,13 +118,13 @@
       d.has_files = false;
       d.highest.clear();
     }
-    distribution::DistributorSettings s;
-    s.name = "d" + std::to_string(i);
-    s.peers = settings_.distributors - 1;
-    s.key = key_;
-    s.bytes_per_second = settings_.bytes_per_second;
-    s.seed = random_();
-    d.reducer = std::make_unique<distribution::Distributor>(std::move(s));
+    distribution::DistributorSettings settings;
+    settings.name = "d" + std::to_string(i);
+    settings.peers = settings_.distributors - 1;
+    settings.key = key_;
+    settings.bytes_per_second = settings_.bytes_per_second;
+    settings.seed = random_();
+    d.reducer = std::make_unique<distribution::Distributor>(std::move(settings));
     d.up = true;
     ++d.life;
     d.peers.assign(settings_.distributors - 1, {});
@@ -136,21 +136,21 @@
     start_ticks(i);
   }
   void start_gatekeeper(std::size_t g) {
-    Gatekeeper& k = gatekeepers_.at(g);
-    if (k.up) return;
-    distribution::SubscriberSettings s;
-    s.name = name_of(g);
-    s.distributors = addresses_;
-    s.services = services_of(g);
-    s.key = key_;
-    s.wait = settings_.wait;
-    s.seed = random_();
-    k.reducer = std::make_unique<distribution::Subscriber>(std::move(s));
-    k.up = true;
-    ++k.life;
-    k.running.clear();
+    Gatekeeper& gatekeeper = gatekeepers_.at(g);
+    if (gatekeeper.up) return;
+    distribution::SubscriberSettings settings;
+    settings.name = name_of(g);
+    settings.distributors = addresses_;
+    settings.services = services_of(g);
+    settings.key = key_;
+    settings.wait = settings_.wait;
+    settings.seed = random_();
+    gatekeeper.reducer = std::make_unique<distribution::Subscriber>(std::move(settings));
+    gatekeeper.up = true;
+    ++gatekeeper.life;
+    gatekeeper.running.clear();
     distribution::SubscriberEffects out;
-    k.reducer->start(now_, out);
+    gatekeeper.reducer->start(now_, out);
     carry_out(g, out);
     start_ticks(node_of_gatekeeper(g));
   }
@@ -175,10 +175,10 @@
       distributors_[n].reducer.reset();
       distributors_[n].peers.clear();
     } else {
-      Gatekeeper& k = gatekeepers_[n - distributors_.size()];
-      k.reducer.reset();
-      k.connections.clear();
-      k.opening.clear();
+      Gatekeeper& gatekeeper = gatekeepers_[n - distributors_.size()];
+      gatekeeper.reducer.reset();
+      gatekeeper.connections.clear();
+      gatekeeper.opening.clear();
     }
   }
   void stop(Node n) {
@@ -338,8 +338,8 @@
     return {};
   }
   bool all_current() const {
-    for (const Gatekeeper& k : gatekeepers_) {
-      if (k.up && !k.reducer->is_current()) return false;
+    for (const Gatekeeper& gatekeeper : gatekeepers_) {
+      if (gatekeeper.up && !gatekeeper.reducer->is_current()) return false;
     }
     return true;
   }
@@ -485,7 +485,9 @@
   // ---- connections
 
   bool is_cut(Node a, Node b) const { return !side_.empty() && side_.contains(a) != side_.contains(b); }
-  static Direction& direction(Connection& c, bool up) { return up ? c.up : c.down; }
+  static Direction& direction(Connection& connection, bool up) {
+    return up ? connection.up : connection.down;
+  }
 
   std::size_t peer_node(std::size_t i, std::uint32_t peer) const { return peer < i ? peer : peer + 1; }
 
@@ -522,9 +524,9 @@
     }
   }
   void open(std::size_t g, std::uint32_t source) {
-    Gatekeeper& k = gatekeepers_[g];
+    Gatekeeper& gatekeeper = gatekeepers_[g];
     const std::uint64_t attempt = ++attempts_;
-    k.opening[source] = attempt;
+    gatekeeper.opening[source] = attempt;
     after(delay(), [this, g, source, attempt] {
       Gatekeeper& own = gatekeepers_[g];
       const auto it = own.opening.find(source);
@@ -549,11 +551,11 @@
   }
   std::uint64_t connect(Node client, std::size_t distributor, std::uint32_t index) {
     const std::uint64_t id = ++number_;
-    Connection c;
-    c.client = client;
-    c.distributor = distributor;
-    c.index = index;
-    connections_.emplace(id, std::move(c));
+    Connection connection;
+    connection.client = client;
+    connection.distributor = distributor;
+    connection.index = index;
+    connections_.emplace(id, std::move(connection));
     send(id, true, distribution::DistributorEvent{distribution::ClientConnected{id}});
     return id;
   }
@@ -562,56 +564,58 @@
   void close_end(std::uint64_t id, Node n, bool lost = false) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    Connection& c = it->second;
+    Connection& connection = it->second;
     if (lost) {
-      const Connection gone = c;
+      const Connection gone = connection;
       counts_.lost_by_reset += gone.up.held.size() + gone.down.held.size() + 1;
       connections_.erase(it);
       after(delay(), [this, id, gone] { tell_gone(id, gone, true); });
       after(delay(), [this, id, gone] { tell_gone(id, gone, false); });
       return;
     }
-    const bool is_client = c.client == n;
-    (is_client ? c.client_open : c.distributor_open) = false;
-    if (!c.client_open && !c.distributor_open) {
+    const bool is_client = connection.client == n;
+    (is_client ? connection.client_open : connection.distributor_open) = false;
+    if (!connection.client_open && !connection.distributor_open) {
       connections_.erase(it);
       return;
     }
     put(id, is_client, Gone{});
   }
-  void tell_gone(std::uint64_t id, const Connection& c, bool client) {
+  void tell_gone(std::uint64_t id, const Connection& connection, bool client) {
     if (!client) {
-      if (!c.distributor_open) return;
-      at_node(c.distributor, [this, id, c] { feed(c.distributor, distribution::ClientDisconnected{id}); });
+      if (!connection.distributor_open) return;
+      at_node(connection.distributor,
+              [this, id, connection] { feed(connection.distributor, distribution::ClientDisconnected{id}); });
       return;
     }
-    if (!c.client_open) return;
-    at_node(c.client, [this, id, c] {
-      if (c.client < distributors_.size()) {
-        auto& peers = distributors_[c.client].peers;
-        if (c.index >= peers.size() || peers[c.index].connection != id) return;
-        peers[c.index].connection.reset();
-        peers[c.index].retry = now_ + draw(kPeerRetry / 2, kPeerRetry);
-        feed(c.client, distribution::PeerDisconnected{c.index});
+    if (!connection.client_open) return;
+    at_node(connection.client, [this, id, connection] {
+      if (connection.client < distributors_.size()) {
+        auto& peers = distributors_[connection.client].peers;
+        if (connection.index >= peers.size() || peers[connection.index].connection != id) return;
+        peers[connection.index].connection.reset();
+        peers[connection.index].retry = now_ + draw(kPeerRetry / 2, kPeerRetry);
+        feed(connection.client, distribution::PeerDisconnected{connection.index});
         return;
       }
-      Gatekeeper& k = gatekeepers_[c.client - distributors_.size()];
-      const auto it = k.connections.find(c.index);
-      if (it == k.connections.end() || it->second != id) return;
-      k.connections.erase(it);
-      feed_gatekeeper(c.client - distributors_.size(), distribution::SourceDisconnected{c.index});
+      Gatekeeper& gatekeeper = gatekeepers_[connection.client - distributors_.size()];
+      const auto it = gatekeeper.connections.find(connection.index);
+      if (it == gatekeeper.connections.end() || it->second != id) return;
+      gatekeeper.connections.erase(it);
+      feed_gatekeeper(connection.client - distributors_.size(),
+                      distribution::SourceDisconnected{connection.index});
     });
   }
   void send(std::uint64_t id, bool up, Message message) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    const Connection& c = it->second;
-    if (!(up ? c.client_open : c.distributor_open)) return;
+    const Connection& connection = it->second;
+    if (!(up ? connection.client_open : connection.distributor_open)) return;
     const std::size_t bytes = size_of(message);
     ++counts_.lines;
     counts_.bytes += bytes;
-    process(up ? c.client : c.distributor).bytes_out += bytes;
-    process(up ? c.distributor : c.client).bytes_in += bytes;
+    process(up ? connection.client : connection.distributor).bytes_out += bytes;
+    process(up ? connection.distributor : connection.client).bytes_in += bytes;
     put(id, up, std::move(message));
   }
   void put(std::uint64_t id, bool up, Message message) {
@@ -646,38 +650,39 @@
     }
   }
   void hand_over(std::uint64_t id, bool up, Message message) {
-    const Connection& c = connections_.at(id);
-    at_node(up ? c.distributor : c.client, [this, id, up, m = std::move(message)] { read(id, up, m); });
+    const Connection& connection = connections_.at(id);
+    at_node(up ? connection.distributor : connection.client,
+            [this, id, up, m = std::move(message)] { read(id, up, m); });
   }
   void read(std::uint64_t id, bool up, const Message& message) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    const Connection c = it->second;
-    if (!(up ? c.distributor_open : c.client_open)) return;
+    const Connection connection = it->second;
+    if (!(up ? connection.distributor_open : connection.client_open)) return;
     if (std::holds_alternative<Gone>(message)) {
       // The end that reads it closes as well.
       connections_.erase(it);
-      tell_gone(id, c, !up);
+      tell_gone(id, connection, !up);
       return;
     }
     if (up) {
       const auto& event = std::get<distribution::DistributorEvent>(message);
       if (std::holds_alternative<distribution::NotificationAcknowledged>(event)) it->second.unread = false;
-      feed(c.distributor, event);
-      if (may_double(event) && chance(settings_.doubled) && distributors_[c.distributor].up) {
+      feed(connection.distributor, event);
+      if (may_double(event) && chance(settings_.doubled) && distributors_[connection.distributor].up) {
         ++counts_.doubled;
-        feed(c.distributor, event);
+        feed(connection.distributor, event);
       }
-    } else if (c.client < distributors_.size()) {
+    } else if (connection.client < distributors_.size()) {
       const auto& event = std::get<distribution::DistributorEvent>(message);
-      feed(c.client, event);
-      if (may_double(event) && chance(settings_.doubled) && distributors_[c.client].up) {
+      feed(connection.client, event);
+      if (may_double(event) && chance(settings_.doubled) && distributors_[connection.client].up) {
         ++counts_.doubled;
-        feed(c.client, event);
+        feed(connection.client, event);
       }
     } else {
       const auto& event = std::get<distribution::SubscriberEvent>(message);
-      const std::size_t g = c.client - distributors_.size();
+      const std::size_t g = connection.client - distributors_.size();
       // What the edge answers by itself.
       if (std::holds_alternative<distribution::VersionsNotified>(event))
         send(id, true, distribution::DistributorEvent{distribution::NotificationAcknowledged{id}});
@@ -702,18 +707,22 @@
     constexpr std::size_t kStamp = 130;
     if (const auto* s = std::get_if<SubscriberEvent>(&message)) {
       if (const auto* n = std::get_if<VersionsNotified>(s)) return kLine + kStamp * n->entries.size();
-      if (const auto* d = std::get_if<ConfigDelivered>(s)) return kLine + kStamp + d->config.content.size();
+      if (const auto* event = std::get_if<ConfigDelivered>(s))
+        return kLine + kStamp + event->config.content.size();
       return kLine;
     }
     if (const auto* d = std::get_if<DistributorEvent>(&message)) {
       if (const auto* n = std::get_if<PeerVersionsNotified>(d))
         return kLine + (kStamp + 30) * n->entries.size();
-      if (const auto* s = std::get_if<SubscriptionReceived>(d)) return kLine + kStamp * s->held.size();
-      if (const auto* p = std::get_if<PeerConfigDelivered>(d))
-        return kLine + kStamp + p->config.content.size();
-      if (const auto* p = std::get_if<ProposalReceived>(d)) return kLine + kStamp + p->config.content.size();
-      if (const auto* h = std::get_if<ConfigReturned>(d)) return kLine + kStamp + h->config.content.size();
-      if (const auto* r = std::get_if<StatusReported>(d)) return kLine + kStamp + r->reason.size();
+      if (const auto* event = std::get_if<SubscriptionReceived>(d))
+        return kLine + kStamp * event->held.size();
+      if (const auto* event = std::get_if<PeerConfigDelivered>(d))
+        return kLine + kStamp + event->config.content.size();
+      if (const auto* event = std::get_if<ProposalReceived>(d))
+        return kLine + kStamp + event->config.content.size();
+      if (const auto* event = std::get_if<ConfigReturned>(d))
+        return kLine + kStamp + event->config.content.size();
+      if (const auto* event = std::get_if<StatusReported>(d)) return kLine + kStamp + event->reason.size();
       if (std::holds_alternative<ClientConnected>(*d)) return 0;
       return kLine;
     }
@@ -730,10 +739,10 @@
     require(it->second.id == stamp, std::string(what) + " under a committed number: " + service + ' ' +
                                         std::to_string(stamp.version));
   }
-  void check_document(const distribution::ServiceConfig& d, const char* what) const {
-    check_committed(d.service, d.id, what);
-    require(committed_.at({d.service, d.id.version}).content == d.content,
-            std::string(what) + " with another content: " + d.service);
+  void check_document(const distribution::ServiceConfig& config, const char* what) const {
+    check_committed(config.service, config.id, what);
+    require(committed_.at({config.service, config.id.version}).content == config.content,
+            std::string(what) + " with another content: " + config.service);
   }
   void note_commit(std::size_t i, const std::string& service, distribution::Version version) {
     Distributor& d = distributors_[i];
@@ -762,7 +771,7 @@
     distribution::DistributorEffects out;
     d.reducer->step(now_, event, out);
     for (const auto& effect : out) {
-      std::visit([&](const auto& e) { carry_out(i, e); }, effect);
+      std::visit([&](const auto& notice) { carry_out(i, notice); }, effect);
     }
   }
   void to_peer(std::size_t i, std::uint32_t peer, distribution::DistributorEvent event) {
@@ -778,113 +787,122 @@
   }
   std::uint32_t index_of(std::uint64_t id) const { return connections_.at(id).index; }
 
-  void carry_out(std::size_t i, const distribution::SaveBucket& e) {
-    distributors_[i].files[e.bucket] = distributors_[i].reducer->records_in(e.bucket);
-  }
-  void carry_out(std::size_t i, const distribution::SubscribeToPeer& e) {
-    to_peer(
-        i, e.peer,
-        distribution::SubscriptionReceived{to_peer_id(i, e.peer), "d" + std::to_string(i), true, {}, false});
-  }
-  void carry_out(std::size_t i, const distribution::FetchFromPeer& e) {
-    to_peer(i, e.peer, distribution::FetchRequested{to_peer_id(i, e.peer), e.service, e.version});
-  }
-  void carry_out(std::size_t i, const distribution::AcknowledgePeer& e) {
-    to_peer(i, e.peer, distribution::NotificationAcknowledged{to_peer_id(i, e.peer)});
-  }
-  void carry_out(std::size_t i, const distribution::SendProposal& e) {
-    proposed_[{i, e.config.service, e.config.id.version}] = e.config.id;
-    to_peer(i, e.peer, distribution::ProposalReceived{to_peer_id(i, e.peer), e.proposal, e.config});
-  }
-  void carry_out(std::size_t, const distribution::AnswerProposal& e) {
-    if (!is_peer(e.client)) return;
-    send(e.client, false,
-         distribution::DistributorEvent{
-             distribution::ProposalAnswered{index_of(e.client), e.proposal, e.accepted, e.highest_seen}});
-  }
-  void carry_out(std::size_t, const distribution::NotifyVersions& e) {
-    require(e.entries.size() <= distribution::kMaxNotifiedVersions, "a notice beyond its bound");
-    for (const auto& entry : e.entries) {
+  void carry_out(std::size_t i, const distribution::SaveBucket& effect) {
+    distributors_[i].files[effect.bucket] = distributors_[i].reducer->records_in(effect.bucket);
+  }
+  void carry_out(std::size_t i, const distribution::SubscribeToPeer& effect) {
+    to_peer(i, effect.peer,
+            distribution::SubscriptionReceived{
+                to_peer_id(i, effect.peer), "d" + std::to_string(i), true, {}, false});
+  }
+  void carry_out(std::size_t i, const distribution::FetchFromPeer& effect) {
+    to_peer(i, effect.peer,
+            distribution::FetchRequested{to_peer_id(i, effect.peer), effect.service, effect.version});
+  }
+  void carry_out(std::size_t i, const distribution::AcknowledgePeer& effect) {
+    to_peer(i, effect.peer, distribution::NotificationAcknowledged{to_peer_id(i, effect.peer)});
+  }
+  void carry_out(std::size_t i, const distribution::SendProposal& effect) {
+    proposed_[{i, effect.config.service, effect.config.id.version}] = effect.config.id;
+    to_peer(i, effect.peer,
+            distribution::ProposalReceived{to_peer_id(i, effect.peer), effect.proposal, effect.config});
+  }
+  void carry_out(std::size_t, const distribution::AnswerProposal& effect) {
+    if (!is_peer(effect.client)) return;
+    send(effect.client, false,
+         distribution::DistributorEvent{distribution::ProposalAnswered{
+             index_of(effect.client), effect.proposal, effect.accepted, effect.highest_seen}});
+  }
+  void carry_out(std::size_t, const distribution::NotifyVersions& effect) {
+    require(effect.entries.size() <= distribution::kMaxNotifiedVersions, "a notice beyond its bound");
+    for (const auto& entry : effect.entries) {
       if (!entry.id.none()) check_committed(entry.service, entry.id, "a notice of something");
     }
-    const auto it = connections_.find(e.client);
+    const auto it = connections_.find(effect.client);
     if (it == connections_.end() || !it->second.distributor_open) return;
     require(!it->second.unread, "a second notice before the first was read");
     it->second.unread = true;
-    if (is_peer(e.client)) {
-      send(e.client, false,
-           distribution::DistributorEvent{
-               distribution::PeerVersionsNotified{index_of(e.client), e.entries, e.complete, e.voter_state}});
+    if (is_peer(effect.client)) {
+      send(effect.client, false,
+           distribution::DistributorEvent{distribution::PeerVersionsNotified{
+               index_of(effect.client), effect.entries, effect.complete, effect.voter_state}});
       return;
     }
-    distribution::VersionsNotified noticed{index_of(e.client), {}, e.complete};
-    for (const auto& entry : e.entries) noticed.entries.push_back({entry.service, entry.id});
-    send(e.client, false, distribution::SubscriberEvent{std::move(noticed)});
+    distribution::VersionsNotified noticed{index_of(effect.client), {}, effect.complete};
+    for (const auto& entry : effect.entries) noticed.entries.push_back({entry.service, entry.id});
+    send(effect.client, false, distribution::SubscriberEvent{std::move(noticed)});
   }
-  void carry_out(std::size_t, const distribution::DeliverConfig& e) {
-    check_document(e.config, "a document was delivered");
-    if (!connections_.contains(e.client)) return;
-    if (is_peer(e.client)) {
-      send(e.client, false,
-           distribution::DistributorEvent{distribution::PeerConfigDelivered{index_of(e.client), e.config}});
+  void carry_out(std::size_t, const distribution::DeliverConfig& effect) {
+    check_document(effect.config, "a document was delivered");
+    if (!connections_.contains(effect.client)) return;
+    if (is_peer(effect.client)) {
+      send(effect.client, false,
+           distribution::DistributorEvent{
+               distribution::PeerConfigDelivered{index_of(effect.client), effect.config}});
     } else {
-      send(e.client, false,
-           distribution::SubscriberEvent{distribution::ConfigDelivered{index_of(e.client), e.config}});
+      send(effect.client, false,
+           distribution::SubscriberEvent{
+               distribution::ConfigDelivered{index_of(effect.client), effect.config}});
     }
   }
-  void carry_out(std::size_t, const distribution::SendMissing& e) {
-    if (!connections_.contains(e.client)) return;
-    if (is_peer(e.client)) {
-      send(e.client, false,
-           distribution::DistributorEvent{distribution::PeerConfigMissing{index_of(e.client), e.service}});
+  void carry_out(std::size_t, const distribution::SendMissing& effect) {
+    if (!connections_.contains(effect.client)) return;
+    if (is_peer(effect.client)) {
+      send(effect.client, false,
+           distribution::DistributorEvent{
+               distribution::PeerConfigMissing{index_of(effect.client), effect.service}});
     } else {
-      send(e.client, false,
-           distribution::SubscriberEvent{distribution::ConfigMissing{index_of(e.client), e.service}});
-    }
-  }
-  void carry_out(std::size_t, const distribution::RequestConfig& e) {
-    if (!connections_.contains(e.client) || is_peer(e.client)) return;
-    send(e.client, false,
-         distribution::SubscriberEvent{distribution::ConfigRequested{index_of(e.client), e.service}});
-  }
-  void carry_out(std::size_t, const distribution::SendHeartbeat& e) {
-    if (!connections_.contains(e.client) || is_peer(e.client)) return;
-    send(e.client, false, distribution::SubscriberEvent{distribution::HeartbeatReceived{index_of(e.client)}});
-  }
-  void carry_out(std::size_t i, const distribution::CloseClient& e) { close_end(e.client, i); }
-  void carry_out(std::size_t, const distribution::PublishFinished& e) {
-    Publication& p = published_.at(e.request);
-    require(!p.result, "two answers to one publication");
-    p.result = e;
-    if (!e.committed) return;
-    check_committed(p.service, e.id, "a publication was told as committed");
-    require(committed_.at({p.service, e.id.version}).content == p.content,
+      send(effect.client, false,
+           distribution::SubscriberEvent{
+               distribution::ConfigMissing{index_of(effect.client), effect.service}});
+    }
+  }
+  void carry_out(std::size_t, const distribution::RequestConfig& effect) {
+    if (!connections_.contains(effect.client) || is_peer(effect.client)) return;
+    send(effect.client, false,
+         distribution::SubscriberEvent{
+             distribution::ConfigRequested{index_of(effect.client), effect.service}});
+  }
+  void carry_out(std::size_t, const distribution::SendHeartbeat& effect) {
+    if (!connections_.contains(effect.client) || is_peer(effect.client)) return;
+    send(effect.client, false,
+         distribution::SubscriberEvent{distribution::HeartbeatReceived{index_of(effect.client)}});
+  }
+  void carry_out(std::size_t i, const distribution::CloseClient& effect) { close_end(effect.client, i); }
+  void carry_out(std::size_t, const distribution::PublishFinished& event) {
+    Publication& publication = published_.at(event.request);
+    require(!publication.result, "two answers to one publication");
+    publication.result = event;
+    if (!event.committed) return;
+    check_committed(publication.service, event.id, "a publication was told as committed");
+    require(committed_.at({publication.service, event.id.version}).content == publication.content,
             "a publication was committed with another content");
   }
-  void carry_out(std::size_t i, const distribution::DistributorLogEvent& e) {
-    ++counts_.found[e.kind];
-    require(e.kind != distribution::DistributorLogKind::conflict,
-            "a conflict at a distributor: " + e.service);
-    if (e.kind == distribution::DistributorLogKind::committed) note_commit(i, e.service, e.version);
-    if (e.kind == distribution::DistributorLogKind::abandoned) {
-      const auto it = proposed_.find({i, e.service, e.version});
-      if (it != proposed_.end()) given_up_.insert({e.service, it->second});
+  void carry_out(std::size_t i, const distribution::DistributorLogEvent& event) {
+    ++counts_.found[event.kind];
+    require(event.kind != distribution::DistributorLogKind::conflict,
+            "a conflict at a distributor: " + event.service);
+    if (event.kind == distribution::DistributorLogKind::committed)
+      note_commit(i, event.service, event.version);
+    if (event.kind == distribution::DistributorLogKind::abandoned) {
+      const auto it = proposed_.find({i, event.service, event.version});
+      if (it != proposed_.end()) given_up_.insert({event.service, it->second});
     }
   }
 
   // ---- a gatekeeper
 
   void feed_gatekeeper(std::size_t g, const distribution::SubscriberEvent& event) {
-    Gatekeeper& k = gatekeepers_[g];
-    if (!k.up) return;
+    Gatekeeper& gatekeeper = gatekeepers_[g];
+    if (!gatekeeper.up) return;
     ++counts_.steps;
     distribution::SubscriberEffects out;
-    k.reducer->step(now_, event, out);
+    gatekeeper.reducer->step(now_, event, out);
     carry_out(g, out);
   }
   void carry_out(std::size_t g, const distribution::SubscriberEffects& out) {
     for (const auto& effect : out) {
-      std::visit([&](const auto& e) { carry_out_at(g, e); }, effect);
+      std::visit([&](const auto& event) { carry_out_at(g, event); }, effect);
     }
   }
   void to_source(std::size_t g, std::uint32_t source,
@@ -896,12 +914,12 @@
   }
   void carry_out_at(std::size_t g, const distribution::OpenSource& e) { open(g, e.source); }
   void carry_out_at(std::size_t g, const distribution::CloseSource& e) {
-    Gatekeeper& k = gatekeepers_[g];
-    k.opening.erase(e.source);
-    const auto it = k.connections.find(e.source);
-    if (it == k.connections.end()) return;
+    Gatekeeper& gatekeeper = gatekeepers_[g];
+    gatekeeper.opening.erase(e.source);
+    const auto it = gatekeeper.connections.find(e.source);
+    if (it == gatekeeper.connections.end()) return;
     const std::uint64_t id = it->second;
-    k.connections.erase(it);
+    gatekeeper.connections.erase(it);
     close_end(id, node_of_gatekeeper(g));
   }
   void carry_out_at(std::size_t g, const distribution::Subscribe& e) {
@@ -927,14 +945,15 @@
     to_source(g, e.source, [&](std::uint64_t id) { return distribution::ConfigReturned{id, e.config}; });
   }
   void carry_out_at(std::size_t g, const distribution::ApplyConfigs& e) {
-    Gatekeeper& k = gatekeepers_[g];
+    Gatekeeper& gatekeeper = gatekeepers_[g];
     ++counts_.applies;
-    for (const distribution::ServiceConfig& d : e.configs) check_document(d, "a document is to be in force");
+    for (const distribution::ServiceConfig& config : e.configs)
+      check_document(config, "a document is to be in force");
     const std::string why = settings_.refuses ? settings_.refuses(g, e.configs) : std::string{};
     if (why.empty()) {
       std::map<std::string, distribution::ServiceConfig> next;
-      for (const distribution::ServiceConfig& d : e.configs) next[d.service] = d;
-      for (const auto& [service, d] : k.running) {
+      for (const distribution::ServiceConfig& config : e.configs) next[config.service] = config;
+      for (const auto& [service, d] : gatekeeper.running) {
         const auto it = next.find(service);
         require(it != next.end(), name_of(g) + " goes back to nothing in " + service);
         require(it->second.id.version >= d.id.version, name_of(g) + " goes back in " + service);
@@ -942,22 +961,23 @@
                 name_of(g) + " changes a content under its number: " + service);
       }
       for (const auto& [service, d] : next) {
-        const auto it = k.running.find(service);
-        if (it == k.running.end() || it->second != d) in_force_.push_back({now_, g, service, d.id.version});
+        const auto it = gatekeeper.running.find(service);
+        if (it == gatekeeper.running.end() || it->second != d)
+          in_force_.push_back({now_, g, service, d.id.version});
       }
-      k.running = std::move(next);
+      gatekeeper.running = std::move(next);
     }
     const distribution::ApplyFinished applied{why.empty(), why};
     after(take_most_ > Duration{} ? draw(Duration{}, take_most_) : Duration{},
-          [this, g, applied, life = k.life] {
+          [this, g, applied, life = gatekeeper.life] {
             if (gatekeepers_[g].life == life)
               at_node(node_of_gatekeeper(g), [this, g, applied] { feed_gatekeeper(g, applied); });
           });
   }
-  void carry_out_at(std::size_t g, const distribution::SubscriberLogEvent& e) {
-    ++counts_.told[e.kind];
-    if (e.kind == distribution::SubscriberLogKind::activated)
-      require(gatekeepers_[g].running.at(e.service).id.version == e.version,
+  void carry_out_at(std::size_t g, const distribution::SubscriberLogEvent& event) {
+    ++counts_.told[event.kind];
+    if (event.kind == distribution::SubscriberLogKind::activated)
+      require(gatekeepers_[g].running.at(event.service).id.version == event.version,
               name_of(g) + " tells of what is not in force");
   }
 
--- a/lab/fleet_rig.cpp
+++ b/lab/fleet_rig.cpp
@@ -288,8 +288,8 @@
 }
 
 std::string Rig::state(std::size_t i, const std::string& member) const {
-  for (const json& m : ask(i, "members").value("members", json::array())) {
-    if (m.value("name", "") == member) return m.value("state", "");
+  for (const json& object : ask(i, "members").value("members", json::array())) {
+    if (object.value("name", "") == member) return object.value("state", "");
   }
   return "";
 }
@@ -302,8 +302,8 @@
     if (!view.value("settled", false) || view.value("size", 0U) != members.size()) return false;
     if (digest && *digest != view.value("digest", "")) return false;
     digest = view.value("digest", "");
-    for (const json& m : view["members"]) {
-      if (members.contains(m.value("name", "")) != (m.value("state", "") == "alive")) return false;
+    for (const json& object : view["members"]) {
+      if (members.contains(object.value("name", "")) != (object.value("state", "") == "alive")) return false;
     }
   }
   return true;
--- a/lab/fleet_sim.h
+++ b/lab/fleet_sim.h
@@ -62,18 +62,18 @@
 
   void start(std::size_t i) {
     Node& n = nodes_.at(i);
-    membership::Settings s;
-    s.name = name_of(i);
-    s.advertise = address_of(i);
-    s.seeds = {address_of(0), address_of(1), address_of(2)};
-    s.start_nonce = random_();
-    s.seed = random_();
-    s.incarnation =
+    membership::Settings settings;
+    settings.name = name_of(i);
+    settings.advertise = address_of(i);
+    settings.seeds = {address_of(0), address_of(1), address_of(2)};
+    settings.start_nonce = random_();
+    settings.seed = random_();
+    settings.incarnation =
         1'000'000 + static_cast<membership::Incarnation>(
                         std::chrono::duration_cast<std::chrono::milliseconds>(now_ - kStart).count());
-    if (edit_) edit_(i, s);
-    n.address = s.advertise;
-    n.member = std::make_unique<membership::Membership>(std::move(s));
+    if (edit_) edit_(i, settings);
+    n.address = settings.advertise;
+    n.member = std::make_unique<membership::Membership>(std::move(settings));
     n.up = true;
     n.vanished = false;
     n.paused = false;
@@ -106,7 +106,8 @@
       n.late_tick = false;
       tick(i, n.run);
     }
-    for (const Datagram& d : std::exchange(n.waiting, {})) feed(i, membership::DatagramReceived{d});
+    for (const Datagram& datagram : std::exchange(n.waiting, {}))
+      feed(i, membership::DatagramReceived{datagram});
   }
   void leave(std::size_t i, bool successor = false) { feed(i, membership::LeaveRequested{successor}); }
 
@@ -125,7 +126,7 @@
   }
   void heal() { links_.clear(); }
   // A datagram from nowhere, as it would come out of the wire.
-  void inject(std::size_t to, const Datagram& d) { deliver(to, d); }
+  void inject(std::size_t to, const Datagram& datagram) { deliver(to, datagram); }
 
   void run(Duration span) {
     run_until(now_ + span, [] { return false; });
@@ -150,8 +151,8 @@
   // What i holds of j; none: nothing.
   std::optional<membership::State> state(std::size_t i, std::size_t j) const {
     const std::string name = name_of(j);
-    for (const membership::MemberView& v : nodes_[i].member->members()) {
-      if (v.record.name == name) return v.record.state;
+    for (const membership::MemberView& member : nodes_[i].member->members()) {
+      if (member.record.name == name) return member.record.state;
     }
     return std::nullopt;
   }
@@ -262,14 +263,14 @@
     }
   }
 
-  void send(std::size_t from, const std::string& address, Datagram d) {
+  void send(std::size_t from, const std::string& address, Datagram datagram) {
     ++counts_.sent;
     ++nodes_[from].sent;
-    if (size_of) counts_.bytes += size_of(d);
+    if (size_of) counts_.bytes += size_of(datagram);
     const auto place = at_.find(address);
     if (place == at_.end()) return;
     const std::size_t to = place->second;
-    if (tap) tap(from, to, d);
+    if (tap) tap(from, to, datagram);
     const auto it = links_.find({from, to});
     const Link& l = it == links_.end() ? usual_ : it->second;
     if (l.cut) {
@@ -296,12 +297,12 @@
     }
     if (fated == Fate::doubled || chance(l.doubled)) {
       ++counts_.doubled;
-      push(arrives + draw(l.least, l.most), [this, to, d] { deliver(to, d); });
+      push(arrives + draw(l.least, l.most), [this, to, datagram] { deliver(to, datagram); });
     }
-    push(arrives, [this, to, d = std::move(d)] { deliver(to, d); });
+    push(arrives, [this, to, d = std::move(datagram)] { deliver(to, d); });
   }
 
-  void deliver(std::size_t to, const Datagram& d) {
+  void deliver(std::size_t to, const Datagram& datagram) {
     Node& n = nodes_[to];
     if (!n.up) {
       ++counts_.unheard_datagrams;
@@ -309,10 +310,10 @@
     }
     if (n.paused) {
       ++counts_.held;
-      if (n.waiting.size() < kSocketHolds) n.waiting.push_back(d);
+      if (n.waiting.size() < kSocketHolds) n.waiting.push_back(datagram);
       return;
     }
-    feed(to, membership::DatagramReceived{d});
+    feed(to, membership::DatagramReceived{datagram});
   }
 
   std::mt19937_64 random_;
--- a/lab/hollow.cpp
+++ b/lab/hollow.cpp
@@ -27,12 +27,12 @@
 // ---- the record
 
 HollowRecord::Entry& HollowRecord::of(const std::string& service, const distribution::VersionId& stamp) {
-  Entry& e = entries_[{service, stamp.version}];
+  Entry& entry = entries_[{service, stamp.version}];
   const std::string digest = distribution::to_hex(stamp.digest).substr(0, 16);
-  if (e.digest.empty()) e.digest = digest;
-  if (e.digest != digest) ++mixed;
-  e.told = false;
-  return e;
+  if (entry.digest.empty()) entry.digest = digest;
+  if (entry.digest != digest) ++mixed;
+  entry.told = false;
+  return entry;
 }
 
 void HollowRecord::in_force(const std::string& service, const distribution::VersionId& before,
@@ -40,10 +40,10 @@
   const std::int64_t at = steady_ns();
   const std::lock_guard lock(mutex_);
   if (!before.none()) --of(service, before).now;
-  Entry& e = of(service, stamp);
-  ++e.now;
-  if (e.first == 0) e.first = at;
-  e.last = std::max(e.last, at);
+  Entry& entry = of(service, stamp);
+  ++entry.now;
+  if (entry.first == 0) entry.first = at;
+  entry.last = std::max(entry.last, at);
 }
 
 void HollowRecord::gone(const std::string& service, const distribution::VersionId& stamp) {
@@ -81,11 +81,11 @@
                           });
   }
   if (deploy.control) {
-    control::ControlSettings s = *deploy.control;
-    s.name = config_.name;
-    s.seed = config_.seed;
-    s.max_retry_after = config_.settings.max_retry_after;
-    control_.emplace(std::move(s), counters_);
+    control::ControlSettings settings = *deploy.control;
+    settings.name = config_.name;
+    settings.seed = config_.seed;
+    settings.max_retry_after = config_.settings.max_retry_after;
+    control_.emplace(std::move(settings), counters_);
   }
   if (deploy.fleet) fleet_.emplace(*deploy.fleet, counters_);
 }
@@ -104,8 +104,8 @@
   }
   const auto to = [&](auto& part) {
     std::visit(
-        [&](const auto& e) {
-          if constexpr (requires { part.on(now, e, out); }) part.on(now, e, out);
+        [&](const auto& notice) {
+          if constexpr (requires { part.on(now, notice, out); }) part.on(now, notice, out);
         },
         event);
   };
@@ -137,13 +137,13 @@
     refused_some_ = true;
     return trouble.what();
   }
-  for (const distribution::ServiceConfig& d : documents) {
-    distribution::VersionId& held = force_[d.service];
-    if (held == d.id) continue;
-    if (d.id.version < held.version) ++record_.back;
-    if (d.id.version == held.version) ++record_.mixed;
-    record_.in_force(d.service, held, d.id);
-    held = d.id;
+  for (const distribution::ServiceConfig& config : documents) {
+    distribution::VersionId& held = force_[config.service];
+    if (held == config.id) continue;
+    if (config.id.version < held.version) ++record_.back;
+    if (config.id.version == held.version) ++record_.mixed;
+    record_.in_force(config.service, held, config.id);
+    held = config.id;
   }
   return std::nullopt;
 }
@@ -152,8 +152,8 @@
 // same at both.
 bool Hollow::whole(const std::string& text, const std::vector<distribution::ServiceConfig>& documents) const {
   bool marked = false;
-  for (const distribution::ServiceConfig& d : documents)
-    marked = marked || d.content.find("\"marks\"") != d.content.npos;
+  for (const distribution::ServiceConfig& config : documents)
+    marked = marked || config.content.find("\"marks\"") != config.content.npos;
   if (!marked) return true;
   const auto all = nlohmann::json::parse(text, nullptr, false);
   const auto marks = all.at("settings").value("marks", nlohmann::json::object());
--- a/lab/hollow.h
+++ b/lab/hollow.h
@@ -1,7 +1,7 @@
 // A hollow gatekeeper: what a gatekeeper does beside its calls, on real connections and datagrams of its own,
 // with the program's own reducers and runtime, hundreds to a process, a thread each.
 //
-// What it has: the discovery client (back::Journal) and the reader of its lists; the subscription to
+// What it has: the discovery client (upstream::Journal) and the reader of its lists; the subscription to
 // configuration (control::Subscription), whose documents are laid over a real start configuration, read and
 // checked as at a gatekeeper; the control listener and the membership where its deploy file asks for them.
 //
@@ -27,12 +27,12 @@
 #include <string>
 #include <vector>
 
-#include "back/discovery.h"
 #include "config/config.h"
 #include "control/control.h"
 #include "control/subscription.h"
 #include "fleet/fleet.h"
 #include "net/runtime.h"
+#include "upstream/discovery.h"
 
 namespace graniterun::lab {
 
@@ -94,7 +94,7 @@
   PlatformConfig config_;
   HollowRecord& record_;
   Counters counters_;
-  back::DiscoveryClient journal_;
+  upstream::DiscoveryClient journal_;
   std::optional<control::Subscription> subscription_{};
   std::optional<control::Control> control_{};
   std::optional<fleet::Fleet> fleet_{};
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -33,8 +33,8 @@
 
 void Load::step(Time now, const net::Event& event, net::Effects& effects) {
   std::visit(
-      [&](const auto& e) {
-        if constexpr (requires { on(now, e, effects); }) on(now, e, effects);
+      [&](const auto& notice) {
+        if constexpr (requires { on(now, notice, effects); }) on(now, notice, effects);
       },
       event);
 }
@@ -48,21 +48,21 @@
   out.push_back(net::ArmTimer{{net::Concern::process, 0}, now + kTick});
 }
 
-void Load::on(Time, const net::Accepted& e, net::Effects& out) {
-  if (e.conn.concern == net::Concern::server)
-    out.push_back(net::Send{e.conn,
+void Load::on(Time, const net::Accepted& event, net::Effects& out) {
+  if (event.conn.concern == net::Concern::server)
+    out.push_back(net::Send{event.conn,
                             "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nP-Load: eps:0;latency_ms:1\r\n"
                             "Content-Length: 0\r\n\r\n"});
 }
 
 // A gatekeeper may close a connection on which no set-up is open.
-void Load::on(Time now, const net::Closed& e, net::Effects& out) {
-  if (e.conn.concern != net::Concern::platform) return;
-  out.push_back(net::Connect{e.conn, plan_.gatekeepers[e.conn.number], 2s});
+void Load::on(Time now, const net::Closed& event, net::Effects& out) {
+  if (event.conn.concern != net::Concern::platform) return;
+  out.push_back(net::Connect{event.conn, plan_.gatekeepers[event.conn.number], 2s});
   for (auto it = calls_.rbegin(); it != calls_.rend() && now - it->sent < kCrossing; ++it) {
-    if (it->gatekeeper != e.conn.number || it->finals > 0 || std::exchange(it->resent, true)) continue;
+    if (it->gatekeeper != event.conn.number || it->finals > 0 || std::exchange(it->resent, true)) continue;
     ++resent_;
-    out.push_back(net::Send{e.conn, it->line});
+    out.push_back(net::Send{event.conn, it->line});
   }
 }
 
@@ -123,57 +123,58 @@
   out.push_back(net::ArmTimer{{net::Concern::process, 0}, now + kTick});
 }
 
-void Load::on(Time now, const net::Received& e, net::Effects& out) {
+void Load::on(Time now, const net::Received& event, net::Effects& out) {
   std::size_t used = 0;
-  while (used < e.bytes.size()) {
-    if (e.conn.concern == net::Concern::platform) {
-      const jsonl::ReadResult read = jsonl::read(e.bytes.substr(used));
+  while (used < event.bytes.size()) {
+    if (event.conn.concern == net::Concern::platform) {
+      const jsonl::ReadResult read = jsonl::read(event.bytes.substr(used));
       if (read.state != jsonl::ReadState::message) break;
       used += read.used;
-      from_gatekeeper(now, e.conn.number, read.message, out);
+      from_gatekeeper(now, event.conn.number, read.message, out);
     } else {
-      const sip::ReadResult read = sip::read_stream(e.bytes.substr(used));
+      const sip::ReadResult read = sip::read_stream(event.bytes.substr(used));
       if (read.state != sip::ReadState::message) break;
       used += read.used;
-      from_caller_side(now, e.conn, read.message, out);
+      from_caller_side(now, event.conn, read.message, out);
     }
   }
-  out.push_back(net::Consume{e.conn, used});
+  out.push_back(net::Consume{event.conn, used});
 }
 
 // What callers hear.
-void Load::from_gatekeeper(Time now, std::size_t gatekeeper, const jsonl::Message& m, net::Effects& out) {
-  const auto it = by_id_.find(m.id);
+void Load::from_gatekeeper(Time now, std::size_t gatekeeper, const jsonl::Message& message,
+                           net::Effects& out) {
+  const auto it = by_id_.find(message.id);
   if (it == by_id_.end()) return;
   CallRecord& call = calls_[it->second];
   const net::ConnId conn{net::Concern::platform, static_cast<std::uint32_t>(gatekeeper)};
-  if (m.type == "answer" || (m.type == "release" && !call.stood)) {
+  if (message.type == "answer" || (message.type == "release" && !call.stood)) {
     if (++call.finals == 1) {
       call.answered = now;
       --open_;
     }
-    call.stood = m.type == "answer";
-    call.cause = m.cause.value_or(0);
-    call.worded = !m.field("reason").empty();
-    if (const std::string_view wait = m.field("wait"); !wait.empty())
+    call.stood = message.type == "answer";
+    call.cause = message.cause.value_or(0);
+    call.worded = !message.field("reason").empty();
+    if (const std::string_view wait = message.field("wait"); !wait.empty())
       call.wait_ms = std::atoi(std::string(wait).c_str());
-    if (call.stood && it->second % 2 == 0) holds_.push_back({now + plan_.holds, conn, m.id, true});
+    if (call.stood && it->second % 2 == 0) holds_.push_back({now + plan_.holds, conn, message.id, true});
     if (call.stood || !plan_.flows[call.flow].redials) return;
     if (random_() % 2 == 0) place(now, call.flow, out);
-  } else if (m.type == "release") {
-    out.push_back(net::Send{conn, R"({"type":"released","id":")" + m.id + R"(","fields":{}})" + "\n"});
+  } else if (message.type == "release") {
+    out.push_back(net::Send{conn, R"({"type":"released","id":")" + message.id + R"(","fields":{}})" + "\n"});
   }
 }
 
 // What setup servers hear.
-void Load::from_caller_side(Time now, net::ConnId conn, const sip::Message& m, net::Effects& out) {
-  if (!m.is_request() || m.method == "ACK") return;
+void Load::from_caller_side(Time now, net::ConnId conn, const sip::Message& message, net::Effects& out) {
+  if (!message.is_request() || message.method == "ACK") return;
   sip::Message answer;
   answer.status = 200;
   answer.phrase = "OK";
-  for (const char* name : {"Via", "Call-ID", "CSeq"}) answer.add(name, std::string(m.header(name)));
+  for (const char* name : {"Via", "Call-ID", "CSeq"}) answer.add(name, std::string(message.header(name)));
   Time at = now;
-  if (m.method == "INVITE") {
+  if (message.method == "INVITE") {
     ++invites_;
     if (plan_.work > Duration{}) {
       busy_until_ = std::max(busy_until_, now) + plan_.work / static_cast<int>(plan_.servers.size());
@@ -182,9 +183,9 @@
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(at - now).count();
     answer.add("P-Load", "eps:0;latency_ms:" + std::to_string(wait + 1));
     answer.body = "answer";
-    const auto it = by_id_.find(std::string(m.header("Call-ID")));
+    const auto it = by_id_.find(std::string(message.header("Call-ID")));
     if (it != by_id_.end() && it->second % 2 == 1)
-      holds_.push_back({at + plan_.holds, conn, std::string(m.header("Call-ID")), false});
+      holds_.push_back({at + plan_.holds, conn, std::string(message.header("Call-ID")), false});
   }
   if (at > now) {
     at_work_.emplace_back(at, net::Send{conn, answer.text()});
--- a/lab/load.h
+++ b/lab/load.h
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "codec/jsonl.h"
+#include "codec/sip.h"
 #include "net/events.h"
-#include "proto/jsonl.h"
-#include "proto/sip.h"
 
 namespace graniterun::lab {
 
@@ -64,14 +64,14 @@
 
  private:
   void step(Time now, const net::Event& event, net::Effects& effects);
-  void on(Time now, const net::Started& e, net::Effects& out);
-  void on(Time now, const net::TimerFired& e, net::Effects& out);
-  void on(Time now, const net::Received& e, net::Effects& out);
-  void on(Time now, const net::Accepted& e, net::Effects& out);
-  void on(Time now, const net::Closed& e, net::Effects& out);
+  void on(Time now, const net::Started& event, net::Effects& out);
+  void on(Time now, const net::TimerFired& event, net::Effects& out);
+  void on(Time now, const net::Received& event, net::Effects& out);
+  void on(Time now, const net::Accepted& event, net::Effects& out);
+  void on(Time now, const net::Closed& event, net::Effects& out);
   void place(Time now, std::size_t flow, net::Effects& out);
-  void from_gatekeeper(Time now, std::size_t gatekeeper, const jsonl::Message& m, net::Effects& out);
-  void from_caller_side(Time now, net::ConnId conn, const sip::Message& m, net::Effects& out);
+  void from_gatekeeper(Time now, std::size_t gatekeeper, const jsonl::Message& message, net::Effects& out);
+  void from_caller_side(Time now, net::ConnId conn, const sip::Message& message, net::Effects& out);
 
   Plan plan_;
   std::mt19937_64 random_;
--- a/lab/stream_relay.cpp
+++ b/lab/stream_relay.cpp
@@ -38,8 +38,8 @@
     socklen_t size = sizeof address;
     ::getsockname(side.fd, reinterpret_cast<sockaddr*>(&address), &size);
     side.port = ntohs(address.sin_port);
-    epoll_event e{EPOLLIN, {.u64 = kListener | sides_.size()}};
-    ::epoll_ctl(epoll_, EPOLL_CTL_ADD, side.fd, &e);
+    epoll_event event{EPOLLIN, {.u64 = kListener | sides_.size()}};
+    ::epoll_ctl(epoll_, EPOLL_CTL_ADD, side.fd, &event);
     sides_.push_back(side);
   }
   thread_ = std::thread([this] { run(); });
@@ -220,8 +220,8 @@
     if ((!pair.pending[out].empty() && !held) || (i == 1 && pair.connecting)) events |= EPOLLOUT;
     if (!fresh && events == pair.looked[i]) continue;
     pair.looked[i] = events;
-    epoll_event e{events, {.u64 = id << 1 | i}};
-    ::epoll_ctl(epoll_, fresh ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, pair.fds[i], &e);
+    epoll_event event{events, {.u64 = id << 1 | i}};
+    ::epoll_ctl(epoll_, fresh ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, pair.fds[i], &event);
   }
 }
 
--- a/src/limits/gap.cpp
+++ b/src/call_gapping/gap.cpp
@@ -1,11 +1,11 @@
-#include "limits/gap.h"
+#include "call_gapping/gap.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <tuple>
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 namespace {
 
 // Such text comes back in log lines and in answers.
@@ -83,4 +83,4 @@
   return left != right ? left > right : rest_of(a) > rest_of(b);
 }
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/gap.h
+++ b/src/call_gapping/gap.h
@@ -9,7 +9,7 @@
 
 #include "graniterun/controller.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 // Which calls it is for: those to one of the numbers, or to a number that begins with one of the prefixes, or
 // to any where neither is named; and of one of the classes, where any are named. All text is compared to the
@@ -69,4 +69,4 @@
 // order. The stricter one does, so that a quarrel between two announcers never lets a flood through.
 bool supersedes(const Announcement& a, const Announcement& b);
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/gap_register.cpp
+++ b/src/call_gapping/gap_register.cpp
@@ -1,4 +1,4 @@
-#include "limits/gap_register.h"
+#include "call_gapping/gap_register.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 namespace {
 
 using namespace std::chrono_literals;
@@ -396,4 +396,4 @@
   gap.slots.grant(slots, running);
 }
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/gap_register.h
+++ b/src/call_gapping/gap_register.h
@@ -21,12 +21,12 @@
 #include <unordered_map>
 #include <unordered_set>
 
+#include "call_gapping/gap.h"
+#include "call_gapping/slot_failover.h"
+#include "call_gapping/slots.h"
 #include "core/deadline_queue.h"
-#include "limits/gap.h"
-#include "limits/slot_failover.h"
-#include "limits/slots.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 constexpr std::size_t kMaxGaps = 131072;
 constexpr std::size_t kMaxUsedNumbers = 262144;
@@ -167,4 +167,4 @@
   std::uint64_t digest_ = 0;  // of all marks, whatever their order
 };
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/hot_numbers.cpp
+++ b/src/call_gapping/hot_numbers.cpp
@@ -1,9 +1,9 @@
-#include "limits/hot_numbers.h"
+#include "call_gapping/hot_numbers.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 namespace {
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
@@ -113,4 +113,4 @@
   return all;
 }
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/hot_numbers.h
+++ b/src/call_gapping/hot_numbers.h
@@ -16,7 +16,7 @@
 
 #include "graniterun/controller.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 struct HotSettings {
   double hot_threshold = 20.0;  // calls a second
@@ -75,4 +75,4 @@
   std::size_t gapped_ = 0;
 };
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/slot_failover.cpp
+++ b/src/call_gapping/slot_failover.cpp
@@ -1,6 +1,6 @@
-#include "limits/slot_failover.h"
+#include "call_gapping/slot_failover.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 static_assert(SlotFailover::kProbeValidity + SlotFailover::kMaxClockSkew <= std::chrono::seconds(2));
 static_assert(SlotFailover::kMaxProbeGap + SlotFailover::kMaxClockSkew <= std::chrono::seconds(2));
@@ -51,4 +51,4 @@
   return count;
 }
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/slot_failover.h
+++ b/src/call_gapping/slot_failover.h
@@ -19,9 +19,9 @@
 #include <optional>
 #include <vector>
 
-#include "limits/slots.h"
+#include "call_gapping/slots.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 class SlotFailover {
  public:
@@ -55,4 +55,4 @@
   std::vector<std::optional<Absence>> absences_;
 };
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/slots.cpp
+++ b/src/call_gapping/slots.cpp
@@ -1,10 +1,10 @@
-#include "limits/slots.h"
+#include "call_gapping/slots.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 namespace {
 
 // A gatekeeper with more than this part of its even share keeps all its slots: what demands differ by chance
@@ -111,4 +111,4 @@
   allocated_.erase(allocated_.begin(), allocated_.lower_bound({slot, 0}));
 }
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/limits/slots.h
+++ b/src/call_gapping/slots.h
@@ -16,7 +16,7 @@
 
 #include "graniterun/controller.h"
 
-namespace graniterun::limits {
+namespace graniterun::call_gapping {
 
 using Slot = std::int64_t;
 
@@ -98,4 +98,4 @@
   std::set<SlotOf> allocated_;
 };
 
-}  // namespace graniterun::limits
+}  // namespace graniterun::call_gapping
--- a/src/cli/distributor.cpp
+++ b/src/cli/distributor.cpp
@@ -57,59 +57,61 @@
 }
 
 int run(int argc, char** argv) {
-  control::ConfigDistributorSettings s;
+  control::ConfigDistributorSettings settings;
   std::string advertise;
   std::string key_file;
   CLI::App app{"Holds the configuration of all services, and brings it to every gatekeeper."};
-  app.add_option("--listen", s.listen, "where gatekeepers, distributors and operators connect, address:port")
+  app.add_option("--listen", settings.listen,
+                 "where gatekeepers, distributors and operators connect, address:port")
       ->required();
   app.add_option("--advertise", advertise, "where the others reach it (default: as --listen)");
-  app.add_option("--peer", s.peers, "addresses of ALL distributors, its own too; the same list everywhere")
+  app.add_option("--peer", settings.peers,
+                 "addresses of ALL distributors, its own too; the same list everywhere")
       ->required()
       ->delimiter(',');
   app.add_option("--key-file", key_file, "64 hex digits, the same for all who publish, distribute and obey")
       ->required();
-  app.add_option("--dir", s.directory, "of its own files; made where it is not there")->required();
-  app.add_option("--name", s.name, "its name in answers")->capture_default_str();
-  app.add_option("--connections", s.max_connections, "of gatekeepers, distributors and operators")
+  app.add_option("--dir", settings.directory, "of its own files; made where it is not there")->required();
+  app.add_option("--name", settings.name, "its name in answers")->capture_default_str();
+  app.add_option("--connections", settings.max_connections, "of gatekeepers, distributors and operators")
       ->capture_default_str()
       ->check(CLI::Range(std::size_t{16}, distribution::kMaxClients));
-  app.add_option("--bytes-per-second", s.bytes_per_second, "of documents, to all together")
+  app.add_option("--bytes-per-second", settings.bytes_per_second, "of documents, to all together")
       ->capture_default_str()
       ->check(CLI::Range(std::size_t{64} * 1024, std::size_t{1} << 32));
   CLI11_PARSE(app, argc, argv);
 
-  const std::string own = advertise.empty() ? s.listen : advertise;
-  const std::size_t all = s.peers.size();
-  std::ranges::sort(s.peers);
-  if (std::ranges::adjacent_find(s.peers) != s.peers.end())
+  const std::string own = advertise.empty() ? settings.listen : advertise;
+  const std::size_t all = settings.peers.size();
+  std::ranges::sort(settings.peers);
+  if (std::ranges::adjacent_find(settings.peers) != settings.peers.end())
     throw std::runtime_error("--peer names an address twice");
-  if (std::erase(s.peers, own) != 1)
+  if (std::erase(settings.peers, own) != 1)
     throw std::runtime_error("--peer does not name its own address, " + own +
                              ": it takes the addresses of all distributors (see --advertise)");
   if (all > distribution::kMaxDistributors)
     throw std::runtime_error("there are more than " + std::to_string(distribution::kMaxDistributors) +
                              " distributors");
-  if (!control::is_gatekeeper_name(s.name)) throw std::runtime_error("--name is empty, or too long");
+  if (!control::is_gatekeeper_name(settings.name)) throw std::runtime_error("--name is empty, or too long");
   const auto key = fleet::key_in(read_file(key_file));
   if (!key) throw std::runtime_error("the key file " + key_file + " does not hold 64 hex digits");
-  s.key = *key;
-  prepare(s.directory);
+  settings.key = *key;
+  prepare(settings.directory);
   std::random_device device;
-  s.seed = std::uint64_t{device()} << 32 | device();
+  settings.seed = std::uint64_t{device()} << 32 | device();
 
   net::RuntimeLimits limits;
-  limits.connections = s.max_connections + kClosing;
+  limits.connections = settings.max_connections + kClosing;
   limits.outbound = 4 * 1024 * 1024;  // all proposals that may be out at one time, to a slow peer
   limits.outbound_all = 128 * 1024 * 1024;
   const std::size_t needed = limits.connections + all + kOwn;
   const std::size_t had = descriptors(needed);
   const net::Logger logger(net::Level::info);
-  logger.line(net::Level::info, "at most " + std::to_string(s.max_connections) + " connections: " +
+  logger.line(net::Level::info, "at most " + std::to_string(settings.max_connections) + " connections: " +
                                     std::to_string(needed) + " descriptors of " + std::to_string(had));
   net::Runtime runtime(limits, logger);
-  control::ConfigDistributor distributor(std::move(s),
-                                         [&runtime](Counters& c) { net::add_to(c, runtime.counters()); });
+  control::ConfigDistributor distributor(
+      std::move(settings), [&runtime](Counters& counters) { net::add_to(counters, runtime.counters()); });
   return runtime.run([&distributor](Time now, const net::Event& event, net::Effects& effects) {
     distributor.step(now, event, effects);
   });
--- a/src/cli/graniterunctl.cpp
+++ b/src/cli/graniterunctl.cpp
@@ -71,8 +71,8 @@
   return std::chrono::milliseconds(static_cast<std::int64_t>(figure * static_cast<double>(known->second)));
 }
 
-limits::Announcement announcement_of(const Options& o, Time now, bool lifted) {
-  limits::Announcement a;
+call_gapping::Announcement announcement_of(const Options& o, Time now, bool lifted) {
+  call_gapping::Announcement a;
   const std::int64_t ms = to_unix_ms(now);
   a.id = o.id;
   a.author = o.by;
@@ -82,21 +82,21 @@
   if (lifted) return a;
   a.start += duration_of(o.starts_in, "--in");
   a.end = a.start + duration_of(o.lasts, "--for");
-  limits::Gap g;
+  call_gapping::Gap g;
   g.criteria = {o.numbers, o.prefixes, o.classes};
   g.treatment = {o.cause, o.words};
   if (o.percent >= 0.0) {
     if (!o.one_in.empty() || o.each)
       throw CLI::ValidationError("--percent", "has no --one-in and no --each-number");
-    g.shape = limits::Shape::percentage;
+    g.shape = call_gapping::Shape::percentage;
     g.percent = o.percent;
   } else {
     if (o.one_in.empty()) throw CLI::ValidationError("--one-in", "say how often one call passes, or 'none'");
-    g.shape = o.each ? limits::Shape::each_number : limits::Shape::whole;
+    g.shape = o.each ? call_gapping::Shape::each_number : call_gapping::Shape::whole;
     if (o.one_in != "none") g.interval = duration_of(o.one_in, "--one-in");
   }
   a.gap = std::move(g);
-  if (const std::string trouble = limits::find_error(a, now); !trouble.empty())
+  if (const std::string trouble = call_gapping::find_error(a, now); !trouble.empty())
     throw CLI::ValidationError("gap", trouble);
   return a;
 }
--- a/src/proto/http.cpp
+++ b/src/codec/http.cpp
@@ -1,4 +1,4 @@
-#include "proto/http.h"
+#include "codec/http.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/proto/jsonl.cpp
+++ b/src/codec/jsonl.cpp
@@ -1,9 +1,9 @@
-#include "proto/jsonl.h"
+#include "codec/jsonl.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "proto/number.h"
+#include "codec/number.h"
 
 namespace graniterun::jsonl {
 namespace {
--- a/src/proto/sip.cpp
+++ b/src/codec/sip.cpp
@@ -1,9 +1,9 @@
-#include "proto/sip.h"
+#include "codec/sip.h"
 
 #include <algorithm>
 #include <cctype>
 
-#include "proto/number.h"
+#include "codec/number.h"
 
 namespace graniterun::sip {
 namespace {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "codec/jsonl.h"
 #include "distribution/distributor.h"
-#include "proto/jsonl.h"
 #include "wire.h"
 
 namespace graniterun {
@@ -251,7 +251,7 @@
   return static_cast<std::int64_t>(value);
 }
 
-control::ControlSettings read_control(const json& control, const json& gaps, limits::Fleet fleet) {
+control::ControlSettings read_control(const json& control, const json& gaps, call_gapping::Fleet fleet) {
   using std::chrono::milliseconds;
   constexpr std::int64_t kDayMs = 86'400'000;
   control::ControlSettings c;
@@ -263,7 +263,7 @@
   c.publisher_wait = milliseconds(whole(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
   if (!gaps.contains("hot")) return c;
   const json& hot = gaps["hot"];
-  limits::HotSettings h;
+  call_gapping::HotSettings h;
   h.hot_threshold = static_cast<double>(whole(hot, "from_per_second", 20, 1, 1'000'000));
   h.cool_threshold = static_cast<double>(whole(hot, "below_per_second", 5, 0, 1'000'000));
   if (h.cool_threshold >= h.hot_threshold)
@@ -371,7 +371,7 @@
 }  // namespace
 
 DeployConfig read_deploy_config(std::string_view source, const std::vector<std::string>& class_names,
-                                limits::Fleet fleet, const std::string& name) {
+                                call_gapping::Fleet fleet, const std::string& name) {
   const json whole_file = parse(source, "the deploy file");
   try {
     DeployConfig c;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -87,6 +87,6 @@
 // Throws ConfigError. Class names, `name` of this gatekeeper and the fleet, where the file does not say it,
 // are those of the platform's configuration.
 DeployConfig read_deploy_config(std::string_view text, const std::vector<std::string>& class_names,
-                                limits::Fleet fleet = {}, const std::string& name = {});
+                                call_gapping::Fleet fleet = {}, const std::string& name = {});
 
 }  // namespace graniterun
--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -72,8 +72,8 @@
 void ConfigDistributor::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   std::visit(
-      [&](const auto& e) {
-        if constexpr (requires { on(now, e, out); }) on(now, e, out);
+      [&](const auto& notice) {
+        if constexpr (requires { on(now, notice, out); }) on(now, notice, out);
       },
       event);
   write_changed_files(effects);
@@ -119,26 +119,26 @@
   out.net.push_back(net::Exit{1});
 }
 
-void ConfigDistributor::on(Time now, const net::FileRead& e, Outbox& out) {
+void ConfigDistributor::on(Time now, const net::FileRead& event, Outbox& out) {
   if (listening_ || failed_) return;
-  if (e.path == index_path()) {
+  if (event.path == index_path()) {
     if (std::exchange(index_read_, true)) return;
-    read_index(e, out);
+    read_index(event, out);
   } else {
-    read_bucket(e, out);
+    read_bucket(event, out);
   }
   if (unread_buckets_.empty() && !failed_) start_serving(now, out);
 }
 
-void ConfigDistributor::read_index(const net::FileRead& e, Outbox& out) {
-  if (!e.text) return;
-  const json index = json::parse(*e.text, nullptr, false);
+void ConfigDistributor::read_index(const net::FileRead& event, Outbox& out) {
+  if (!event.text) return;
+  const json index = json::parse(*event.text, nullptr, false);
   if (!index.is_object() || !index.contains("voted") || !index["voted"].is_boolean() ||
       !index.contains("buckets") || !index["buckets"].is_array())
-    return reject_file(e.path, "it does not say which buckets there are", out);
+    return reject_file(event.path, "it does not say which buckets there are", out);
   for (const json& one : index["buckets"]) {
     if (!one.is_number_unsigned() || one.get<std::uint64_t>() >= kBuckets)
-      return reject_file(e.path, "it names a bucket that can't be", out);
+      return reject_file(event.path, "it names a bucket that can't be", out);
     stored_buckets_.insert(one.get<std::size_t>());
   }
   has_voted_ = index["voted"].get<bool>();
@@ -146,23 +146,23 @@
   for (const std::size_t bucket : stored_buckets_) out.net.push_back(net::ReadFile{path_of(bucket)});
 }
 
-void ConfigDistributor::read_bucket(const net::FileRead& e, Outbox& out) {
+void ConfigDistributor::read_bucket(const net::FileRead& event, Outbox& out) {
   const auto bucket = std::find_if(unread_buckets_.begin(), unread_buckets_.end(),
-                                   [&](std::size_t b) { return path_of(b) == e.path; });
+                                   [&](std::size_t b) { return path_of(b) == event.path; });
   if (bucket == unread_buckets_.end()) return;
-  if (!e.text) return reject_file(e.path, "it can't be read", out);
+  if (!event.text) return reject_file(event.path, "it can't be read", out);
   try {
-    for (auto& [service, record] : parse_records(*e.text)) {
+    for (auto& [service, record] : parse_records(*event.text)) {
       if (Distributor::bucket_of(service) != *bucket)
-        return reject_file(e.path, "service " + service + " does not belong into it", out);
+        return reject_file(event.path, "service " + service + " does not belong into it", out);
       for (const auto& document : {record.committed, record.accepted}) {
         if (document && !is_sound(settings_.key, *document))
-          return reject_file(e.path, "the digest of " + service + " is not its own (another key?)", out);
+          return reject_file(event.path, "the digest of " + service + " is not its own (another key?)", out);
       }
       restored_.records.emplace(service, std::move(record));
     }
   } catch (const ProtocolError& trouble) {
-    return reject_file(e.path, trouble.what(), out);
+    return reject_file(event.path, trouble.what(), out);
   }
   unread_buckets_.erase(bucket);
 }
@@ -186,65 +186,67 @@
   DistributorEffects effects;
   distributor_.step(now, event, effects);
   for (const DistributorEffect& effect : effects)
-    std::visit([&](const auto& e) { apply(now, e, out); }, effect);
+    std::visit([&](const auto& notice) { apply(now, notice, out); }, effect);
 }
 
-void ConfigDistributor::apply(Time, const SaveBucket& e, Outbox&) { changed_buckets_.insert(e.bucket); }
-void ConfigDistributor::apply(Time, const SubscribeToPeer& e, Outbox& out) {
-  send_to_peer(e.peer, subscribe_all_line(settings_.name), out);
+void ConfigDistributor::apply(Time, const SaveBucket& effect, Outbox&) {
+  changed_buckets_.insert(effect.bucket);
 }
-void ConfigDistributor::apply(Time, const FetchFromPeer& e, Outbox& out) {
-  send_to_peer(e.peer, fetch_line(e.service, e.version), out);
+void ConfigDistributor::apply(Time, const SubscribeToPeer& effect, Outbox& out) {
+  send_to_peer(effect.peer, subscribe_all_line(settings_.name), out);
 }
-void ConfigDistributor::apply(Time, const AcknowledgePeer& e, Outbox& out) {
-  send_to_peer(e.peer, acknowledge_line(), out);
+void ConfigDistributor::apply(Time, const FetchFromPeer& effect, Outbox& out) {
+  send_to_peer(effect.peer, fetch_line(effect.service, effect.version), out);
 }
-void ConfigDistributor::apply(Time, const SendProposal& e, Outbox& out) {
-  send_to_peer(e.peer, propose_line(e.proposal, e.config), out);
+void ConfigDistributor::apply(Time, const AcknowledgePeer& effect, Outbox& out) {
+  send_to_peer(effect.peer, acknowledge_line(), out);
 }
-void ConfigDistributor::apply(Time, const AnswerProposal& e, Outbox& out) {
-  send(e.client, proposal_answer_line(e), out);
+void ConfigDistributor::apply(Time, const SendProposal& effect, Outbox& out) {
+  send_to_peer(effect.peer, propose_line(effect.proposal, effect.config), out);
 }
-void ConfigDistributor::apply(Time, const NotifyVersions& e, Outbox& out) {
+void ConfigDistributor::apply(Time, const AnswerProposal& effect, Outbox& out) {
+  send(effect.client, proposal_answer_line(effect), out);
+}
+void ConfigDistributor::apply(Time, const NotifyVersions& effect, Outbox& out) {
   counters_.add("distributor.notices");
-  send(e.client, versions_line(e), out);
+  send(effect.client, versions_line(effect), out);
 }
-void ConfigDistributor::apply(Time, const DeliverConfig& e, Outbox& out) {
+void ConfigDistributor::apply(Time, const DeliverConfig& effect, Outbox& out) {
   counters_.add("distributor.documents_sent");
-  counters_.add("distributor.document_bytes_sent", e.config.content.size());
-  send(e.client, config_line(e.config), out);
+  counters_.add("distributor.document_bytes_sent", effect.config.content.size());
+  send(effect.client, config_line(effect.config), out);
 }
-void ConfigDistributor::apply(Time, const SendMissing& e, Outbox& out) {
+void ConfigDistributor::apply(Time, const SendMissing& effect, Outbox& out) {
   counters_.add("distributor.missing");
-  send(e.client, missing_line(e.service), out);
+  send(effect.client, missing_line(effect.service), out);
 }
-void ConfigDistributor::apply(Time, const RequestConfig& e, Outbox& out) {
+void ConfigDistributor::apply(Time, const RequestConfig& effect, Outbox& out) {
   counters_.add("distributor.asked_back");
-  send(e.client, request_config_line(e.service), out);
+  send(effect.client, request_config_line(effect.service), out);
 }
-void ConfigDistributor::apply(Time, const SendHeartbeat& e, Outbox& out) {
-  send(e.client, heartbeat_line(), out);
+void ConfigDistributor::apply(Time, const SendHeartbeat& effect, Outbox& out) {
+  send(effect.client, heartbeat_line(), out);
 }
 
-void ConfigDistributor::apply(Time now, const CloseClient& e, Outbox& out) {
-  if (!callers_.contains(conn_of(e.client))) return;
+void ConfigDistributor::apply(Time now, const CloseClient& effect, Outbox& out) {
+  if (!callers_.contains(conn_of(effect.client))) return;
   counters_.add("distributor.clients_closed");
-  malformed_warning_.line(now, "a client's connection is closed: " + e.reason, out);
-  close(now, conn_of(e.client), out);
+  malformed_warning_.line(now, "a client's connection is closed: " + effect.reason, out);
+  close(now, conn_of(effect.client), out);
 }
 
-void ConfigDistributor::apply(Time, const PublishFinished& e, Outbox& out) {
-  const auto it = pending_publications_.find(e.request);
+void ConfigDistributor::apply(Time, const PublishFinished& event, Outbox& out) {
+  const auto it = pending_publications_.find(event.request);
   if (it == pending_publications_.end()) return;
   const PendingPublication asked = it->second;
   pending_publications_.erase(it);
-  counters_.add(e.committed ? "distributor.published" : "distributor.publish_refused");
-  json answer = {{"ok", e.committed}, {"service", asked.service}};
-  if (e.committed) {
-    answer["version"] = e.id.version;
-    answer["digest"] = to_hex(e.id.digest);
+  counters_.add(event.committed ? "distributor.published" : "distributor.publish_refused");
+  json answer = {{"ok", event.committed}, {"service", asked.service}};
+  if (event.committed) {
+    answer["version"] = event.id.version;
+    answer["digest"] = to_hex(event.id.digest);
   } else {
-    answer["trouble"] = e.reason;
+    answer["trouble"] = event.reason;
     answer["standing"] =
         control::to_string(distributor_.voter_state());  // without a vote nothing was begun: another may
   }
@@ -254,20 +256,20 @@
   }
 }
 
-void ConfigDistributor::apply(Time now, const DistributorLogEvent& e, Outbox& out) {
-  const std::string word(to_string(e.kind));
+void ConfigDistributor::apply(Time now, const DistributorLogEvent& event, Outbox& out) {
+  const std::string word(to_string(event.kind));
   counters_.add("distributor." + word);
-  if (e.kind == DistributorLogKind::committed || e.kind == DistributorLogKind::accepted) return;
-  if (e.kind == DistributorLogKind::voter_state) {
+  if (event.kind == DistributorLogKind::committed || event.kind == DistributorLogKind::accepted) return;
+  if (event.kind == DistributorLogKind::voter_state) {
     out.log(net::Level::info, "this distributor's standing is now " +
                                   std::string(control::to_string(distributor_.voter_state())));
     return;
   }
   std::string text = word;
-  if (!e.service.empty()) text += " of service " + e.service;
-  if (e.version != 0) text += ", version " + std::to_string(e.version);
-  if (!e.reason.empty()) text += ": " + e.reason;
-  event_warnings_[static_cast<std::size_t>(e.kind)].line(now, std::move(text), out);
+  if (!event.service.empty()) text += " of service " + event.service;
+  if (event.version != 0) text += ", version " + std::to_string(event.version);
+  if (!event.reason.empty()) text += ": " + event.reason;
+  event_warnings_[static_cast<std::size_t>(event.kind)].line(now, std::move(text), out);
 }
 
 // ---- the other distributors
@@ -294,9 +296,9 @@
   peer.connected = false;
 }
 
-void ConfigDistributor::on(Time now, const net::Connected& e, Outbox& out) {
-  const auto peer = peer_of(e.conn);
-  if (!peer) return out.close(e.conn);
+void ConfigDistributor::on(Time now, const net::Connected& event, Outbox& out) {
+  const auto peer = peer_of(event.conn);
+  if (!peer) return out.close(event.conn);
   peers_[*peer].connected = true;
   peers_[*peer].last_received_at = now;
   counters_.add("distributor.peers_reached");
@@ -305,8 +307,8 @@
   step_distributor(now, PeerConnected{*peer}, out);
 }
 
-void ConfigDistributor::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  const auto peer = peer_of(e.conn);
+void ConfigDistributor::on(Time now, const net::ConnectFailed& event, Outbox& out) {
+  const auto peer = peer_of(event.conn);
   if (!peer) return;
   counters_.add("distributor.peers_not_reached");
   peer_warning_.line(now, "distributor " + peers_[*peer].address + " can't be reached", out);
@@ -322,9 +324,9 @@
 
 // ---- whoever connects
 
-void ConfigDistributor::on(Time now, const net::Accepted& e, Outbox& out) {
-  callers_[e.conn] = {};
-  reaper_.accepted(now, e.conn);
+void ConfigDistributor::on(Time now, const net::Accepted& event, Outbox& out) {
+  callers_[event.conn] = {};
+  reaper_.accepted(now, event.conn);
   for (const net::ConnId conn :
        reaper_.excess_connections(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("distributor.connections_over");
@@ -344,14 +346,14 @@
   on(now, net::Closed{conn, false}, out);
 }
 
-void ConfigDistributor::on(Time now, const net::Closed& e, Outbox& out) {
-  if (const auto peer = peer_of(e.conn)) return handle_peer_lost(now, *peer, out);
-  const auto it = callers_.find(e.conn);
+void ConfigDistributor::on(Time now, const net::Closed& event, Outbox& out) {
+  if (const auto peer = peer_of(event.conn)) return handle_peer_lost(now, *peer, out);
+  const auto it = callers_.find(event.conn);
   if (it == callers_.end()) return;
   const bool client = it->second.is_client;
   callers_.erase(it);
-  reaper_.closed(e.conn);
-  if (client) step_distributor(now, ClientDisconnected{e.conn.number}, out);
+  reaper_.closed(event.conn);
+  if (client) step_distributor(now, ClientDisconnected{event.conn.number}, out);
 }
 
 void ConfigDistributor::send(ClientId client, const json& line, Outbox& out) {
@@ -365,19 +367,19 @@
   out.send(conn, line_of(answer));
 }
 
-void ConfigDistributor::on(Time now, const net::Received& e, Outbox& out) {
-  const bool caller = callers_.contains(e.conn);
-  const auto peer = caller ? std::nullopt : peer_of(e.conn);
+void ConfigDistributor::on(Time now, const net::Received& notice, Outbox& out) {
+  const bool caller = callers_.contains(notice.conn);
+  const auto peer = caller ? std::nullopt : peer_of(notice.conn);
   if (!caller && !peer) return;
   if (peer) peers_[*peer].last_received_at = now;
   bool whole = false;
   const auto used = read_lines(
-      e.bytes,
+      notice.bytes,
       [&](const json& line) {
         whole = true;
         if (caller) {
-          if (callers_.contains(e.conn)) handle_caller_line(now, e.conn, line, out);
-        } else if (peer_of(e.conn)) {
+          if (callers_.contains(notice.conn)) handle_caller_line(now, notice.conn, line, out);
+        } else if (peer_of(notice.conn)) {
           peers_[*peer].backoff = kMinReconnectBackoff;
           if (const auto event = parse_peer_line(*peer, line)) {
             step_distributor(now, *event, out);
@@ -390,17 +392,19 @@
         whole = true;
         counters_.add("distributor.malformed");
         malformed_warning_.line(now, "a line is refused: " + trouble, out);
-        if (callers_.contains(e.conn)) reply(e.conn, "line", {{"ok", false}, {"trouble", trouble}}, out);
+        if (callers_.contains(notice.conn))
+          reply(notice.conn, "line", {{"ok", false}, {"trouble", trouble}}, out);
       });
   if (!used) {
     counters_.add("distributor.malformed");
     malformed_warning_.line(now, "a connection is closed: a line of it has no end within 32 KiB", out);
-    if (callers_.contains(e.conn))
-      reply(e.conn, "line", {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
-    return close(now, e.conn, out);
+    if (callers_.contains(notice.conn))
+      reply(notice.conn, "line", {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
+    return close(now, notice.conn, out);
   }
-  if (callers_.contains(e.conn)) reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
-  out.net.push_back(net::Consume{e.conn, *used});
+  if (callers_.contains(notice.conn))
+    reaper_.record_input(now, notice.conn, whole, *used < notice.bytes.size());
+  out.net.push_back(net::Consume{notice.conn, *used});
 }
 
 void ConfigDistributor::handle_caller_line(Time now, net::ConnId conn, const json& line, Outbox& out) {
@@ -468,11 +472,11 @@
                  {"more", false}};
   if (!status.committed.none()) answer["digest"] = to_hex(status.committed.digest);
   std::size_t room = after.empty() ? kMaxRejectionBytes : 0;
-  for (const auto& r : status.rejections) {
+  for (const auto& rejection : status.rejections) {
     if (!append_within(answer["refused"],
-                       {{"name", r.name},
-                        {"version", r.version},
-                        {"reason", shortened(r.reason, kMaxStatusReasonLength)}},
+                       {{"name", rejection.name},
+                        {"version", rejection.version},
+                        {"reason", shortened(rejection.reason, kMaxStatusReasonLength)}},
                        room))
       break;
   }
@@ -535,8 +539,8 @@
 
 // ---- time
 
-void ConfigDistributor::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.concern != net::Concern::control) return;
+void ConfigDistributor::on(Time now, const net::TimerFired& event, Outbox& out) {
+  if (event.key.concern != net::Concern::control) return;
   out.arm(net::Concern::control, 0, now + kTick);
   step_distributor(now, Tick{}, out);
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
--- a/src/control/config_distributor.h
+++ b/src/control/config_distributor.h
@@ -22,7 +22,7 @@
 
 #include "control/config_lines.h"
 #include "core/counters.h"
-#include "front/connection_reaper.h"
+#include "downstream/connection_reaper.h"
 #include "net/outbox.h"
 
 namespace graniterun::control {
@@ -66,43 +66,43 @@
   };
   static constexpr std::size_t kKinds = static_cast<std::size_t>(distribution::DistributorLogKind::full) + 1;
 
-  void on(Time now, const net::Started& e, Outbox& out);
-  void on(Time now, const net::FileRead& e, Outbox& out);
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
-  void on(Time now, const net::StopRequested& e, Outbox& out);
-  void on(Time now, const net::CountersRequested& e, Outbox& out);
+  void on(Time now, const net::Started& event, Outbox& out);
+  void on(Time now, const net::FileRead& event, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
+  void on(Time now, const net::StopRequested& event, Outbox& out);
+  void on(Time now, const net::CountersRequested& event, Outbox& out);
 
   // Its files.
   std::string path_of(std::size_t bucket) const;
   std::string index_path() const;
   std::string index_text() const;
-  void read_index(const net::FileRead& e, Outbox& out);
-  void read_bucket(const net::FileRead& e, Outbox& out);
+  void read_index(const net::FileRead& event, Outbox& out);
+  void read_bucket(const net::FileRead& event, Outbox& out);
   void reject_file(const std::string& path, const std::string& why, Outbox& out);
   void start_serving(Time now, Outbox& out);
   void write_changed_files(net::Effects& effects);
 
   // The pure core.
   void step_distributor(Time now, const distribution::DistributorEvent& event, Outbox& out);
-  void apply(Time now, const distribution::SaveBucket& e, Outbox& out);
-  void apply(Time now, const distribution::SubscribeToPeer& e, Outbox& out);
-  void apply(Time now, const distribution::FetchFromPeer& e, Outbox& out);
-  void apply(Time now, const distribution::AcknowledgePeer& e, Outbox& out);
-  void apply(Time now, const distribution::SendProposal& e, Outbox& out);
-  void apply(Time now, const distribution::AnswerProposal& e, Outbox& out);
-  void apply(Time now, const distribution::NotifyVersions& e, Outbox& out);
-  void apply(Time now, const distribution::DeliverConfig& e, Outbox& out);
-  void apply(Time now, const distribution::SendMissing& e, Outbox& out);
-  void apply(Time now, const distribution::RequestConfig& e, Outbox& out);
-  void apply(Time now, const distribution::SendHeartbeat& e, Outbox& out);
-  void apply(Time now, const distribution::CloseClient& e, Outbox& out);
-  void apply(Time now, const distribution::PublishFinished& e, Outbox& out);
-  void apply(Time now, const distribution::DistributorLogEvent& e, Outbox& out);
+  void apply(Time now, const distribution::SaveBucket& effect, Outbox& out);
+  void apply(Time now, const distribution::SubscribeToPeer& effect, Outbox& out);
+  void apply(Time now, const distribution::FetchFromPeer& effect, Outbox& out);
+  void apply(Time now, const distribution::AcknowledgePeer& effect, Outbox& out);
+  void apply(Time now, const distribution::SendProposal& effect, Outbox& out);
+  void apply(Time now, const distribution::AnswerProposal& effect, Outbox& out);
+  void apply(Time now, const distribution::NotifyVersions& effect, Outbox& out);
+  void apply(Time now, const distribution::DeliverConfig& effect, Outbox& out);
+  void apply(Time now, const distribution::SendMissing& effect, Outbox& out);
+  void apply(Time now, const distribution::RequestConfig& effect, Outbox& out);
+  void apply(Time now, const distribution::SendHeartbeat& effect, Outbox& out);
+  void apply(Time now, const distribution::CloseClient& effect, Outbox& out);
+  void apply(Time now, const distribution::PublishFinished& event, Outbox& out);
+  void apply(Time now, const distribution::DistributorLogEvent& event, Outbox& out);
 
   // Connections.
   void handle_caller_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
@@ -127,7 +127,7 @@
   RateLimitedWarning malformed_warning_;
   RateLimitedWarning peer_warning_;
   RateLimitedWarning event_warnings_[kKinds];
-  front::ConnectionReaper reaper_;
+  downstream::ConnectionReaper reaper_;
   std::mt19937_64 random_;
   std::vector<Peer> peers_;
   std::map<net::ConnId, Caller> callers_;
--- a/src/control/config_lines.cpp
+++ b/src/control/config_lines.cpp
@@ -167,7 +167,7 @@
 
 json subscribe_line(const std::string& name, const std::vector<VersionsNotified::Entry>& held, bool primary) {
   json all = json::array();
-  for (const VersionsNotified::Entry& e : held) all.push_back(with_version_id(e.service, e.id));
+  for (const VersionsNotified::Entry& entry : held) all.push_back(with_version_id(entry.service, entry.id));
   return {{"op", "subscribe"}, {"name", name}, {"held", std::move(all)}, {"primary", primary}};
 }
 json subscribe_all_line(const std::string& name) {
@@ -195,12 +195,12 @@
   if (!line.is_object()) throw ProtocolError("the line is not a JSON object");
   const std::string op = text_in(line, "op");
   if (op == "subscribe") {
-    SubscriptionReceived s{client, name_in(line), false, {}, false};
-    s.all = line.contains("all") && flag_in(line, "all");
-    if (s.all) return s;
-    s.held = entries_in(line, "held", kMaxSubscribedServices);
-    s.primary = flag_in(line, "primary");
-    return s;
+    SubscriptionReceived event{client, name_in(line), false, {}, false};
+    event.all = line.contains("all") && flag_in(line, "all");
+    if (event.all) return event;
+    event.held = entries_in(line, "held", kMaxSubscribedServices);
+    event.primary = flag_in(line, "primary");
+    return event;
   }
   if (op == "primary") return PrimaryChanged{client, flag_in(line, "primary")};
   if (op == "heard") return NotificationAcknowledged{client};
@@ -219,9 +219,9 @@
 
 json versions_line(const NotifyVersions& notice) {
   json all = json::array();
-  for (const PeerVersionsNotified::Entry& e : notice.entries) {
-    all.push_back(with_version_id(e.service, e.id));
-    if (notice.with_highest_seen) all.back()["seen"] = e.highest_seen;
+  for (const PeerVersionsNotified::Entry& entry : notice.entries) {
+    all.push_back(with_version_id(entry.service, entry.id));
+    if (notice.with_highest_seen) all.back()["seen"] = entry.highest_seen;
   }
   return {{"event", "notices"},
           {"entries", std::move(all)},
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 using namespace std::chrono_literals;
-using namespace limits;
+using namespace call_gapping;
 
 constexpr Duration kTick = 50ms;
 constexpr Duration kReportInterval = 100ms;
@@ -54,24 +54,24 @@
 
 std::vector<Gauge> Control::gauges(Time now) const {
   std::vector<Gauge> all;
-  for (const HotNumber& h : hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{}) {
+  for (const HotNumber& hot : hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{}) {
     if (all.size() >= kMaxHotNumbers) break;
     all.push_back({"gaps.hot_number",
                    "{call}/s",
-                   h.rate,
-                   {{"number", h.number},
-                    {"since_unix_ms", std::to_string(to_unix_ms(h.since))},
-                    {"gapped", h.gapped ? "true" : "false"}}});
+                   hot.rate,
+                   {{"number", hot.number},
+                    {"since_unix_ms", std::to_string(to_unix_ms(hot.since))},
+                    {"gapped", hot.gapped ? "true" : "false"}}});
   }
   return all;
 }
 
 // ---- connections
 
-void Control::on(Time now, const net::Accepted& e, Outbox& out) {
+void Control::on(Time now, const net::Accepted& event, Outbox& out) {
   counters_.add("control.connections");
-  peers_.try_emplace(e.conn);
-  reaper_.accepted(now, e.conn);
+  peers_.try_emplace(event.conn);
+  reaper_.accepted(now, event.conn);
   const auto busy = [this](net::ConnId conn) {
     return peers_.at(conn).watching || peers_.at(conn).publisher_incarnation;
   };
@@ -81,10 +81,10 @@
   }
 }
 
-void Control::on(Time, const net::Closed& e, Outbox&) {
-  reaper_.closed(e.conn);
-  peers_.erase(e.conn);
-  if (publisher_ == e.conn) publisher_.reset();
+void Control::on(Time, const net::Closed& event, Outbox&) {
+  reaper_.closed(event.conn);
+  peers_.erase(event.conn);
+  if (publisher_ == event.conn) publisher_.reset();
 }
 
 void Control::close(Time now, net::ConnId conn, Outbox& out) {
@@ -92,29 +92,29 @@
   on(now, net::Closed{conn, false}, out);
 }
 
-void Control::on(Time now, const net::Received& e, Outbox& out) {
+void Control::on(Time now, const net::Received& event, Outbox& out) {
   bool whole = false;
   const auto used = read_lines(
-      e.bytes,
+      event.bytes,
       [&](const json& line) {
         whole = true;
-        handle_line(now, e.conn, line, out);
+        handle_line(now, event.conn, line, out);
       },
       [&](const json& line, const std::string& trouble) {
         whole = true;
         counters_.add("control.malformed");
         malformed_warning_.line(now, "a control line is refused: " + trouble, out);
-        reply(now, e.conn, line, {{"ok", false}, {"trouble", trouble}}, out);
+        reply(now, event.conn, line, {{"ok", false}, {"trouble", trouble}}, out);
       });
   if (!used) {
     counters_.add("control.malformed");
     malformed_warning_.line(now, "a control line is refused: it has no end within 32 KiB", out);
-    reply(now, e.conn, json::object(), {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}},
+    reply(now, event.conn, json::object(), {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}},
           out);
-    return close(now, e.conn, out);
+    return close(now, event.conn, out);
   }
-  reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
-  out.net.push_back(net::Consume{e.conn, *used});
+  reaper_.record_input(now, event.conn, whole, *used < event.bytes.size());
+  out.net.push_back(net::Consume{event.conn, *used});
 }
 
 void Control::on(Time now, const net::TimerFired&, Outbox& out) {
@@ -247,54 +247,61 @@
   event["gatekeeper"] = settings_.name;
   event["clock"] = to_unix_ms(now);
   send_to_peers(
-      event, [](net::ConnId, const Peer& p) { return p.watching; }, out);
+      event, [](net::ConnId, const Peer& peer) { return peer.watching; }, out);
 }
 
-AnnounceResult Control::store_announcement(Time now, const Announcement& a, Outbox& out) {
-  const AnnounceResult taken = register_->announce(now, a);
+AnnounceResult Control::store_announcement(Time now, const Announcement& announcement, Outbox& out) {
+  const AnnounceResult taken = register_->announce(now, announcement);
   counters_.add("gaps." + std::string(to_string(taken)));
   if (taken != AnnounceResult::accepted && taken != AnnounceResult::conflict_won) return taken;
-  out.log(net::Level::info, (a.gap ? "gap " : "the lift of gap ") + a.id + ", version " +
-                                std::to_string(a.version) + " by '" + a.author + "', is taken");
+  out.log(net::Level::info, (announcement.gap ? "gap " : "the lift of gap ") + announcement.id +
+                                ", version " + std::to_string(announcement.version) + " by '" +
+                                announcement.author + "', is taken");
   send_to_peers(
-      {{"event", "gap"}, {"gatekeeper", settings_.name}, {"clock", to_unix_ms(now)}, {"gap", to_json(a)}},
-      [](net::ConnId, const Peer& p) { return p.watching || p.publisher_incarnation; }, out);
+      {{"event", "gap"},
+       {"gatekeeper", settings_.name},
+       {"clock", to_unix_ms(now)},
+       {"gap", to_json(announcement)}},
+      [](net::ConnId, const Peer& peer) { return peer.watching || peer.publisher_incarnation; }, out);
   return taken;
 }
 
 void Control::handle_announce(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const auto gap = line.find("gap");
   if (gap == line.end()) throw ProtocolError("there is no 'gap'");
-  const Announcement a = announcement_of(*gap);
+  const Announcement announcement = announcement_of(*gap);
   std::optional<Announcement> before;
-  if (const Announcement* held = register_->find(a.id)) before = *held;
+  if (const Announcement* held = register_->find(announcement.id)) before = *held;
   peers_.at(conn).has_announced = true;
-  const AnnounceResult taken = store_announcement(now, a, out);
+  const AnnounceResult taken = store_announcement(now, announcement, out);
   json answer = {{"ok", taken == AnnounceResult::accepted || taken == AnnounceResult::unchanged ||
                             taken == AnnounceResult::conflict_won},
                  {"result", to_string(taken)},
-                 {"id", a.id},
-                 {"version", a.version}};
-  if (taken == AnnounceResult::rejected) answer["trouble"] = find_error(a, now);
+                 {"id", announcement.id},
+                 {"version", announcement.version}};
+  if (taken == AnnounceResult::rejected) answer["trouble"] = find_error(announcement, now);
   if (taken == AnnounceResult::full) answer["trouble"] = "there is no room for another gap";
   if (taken == AnnounceResult::outdated || taken == AnnounceResult::conflict)
-    answer["held"] = to_json(*register_->find(a.id));
+    answer["held"] = to_json(*register_->find(announcement.id));
   reply(now, conn, line, std::move(answer), out);
   if (taken != AnnounceResult::conflict && taken != AnnounceResult::conflict_won) return;
   // Both announcers are told, and whoever watches: which connection the other one used is not known for sure.
-  out.log(net::Level::warning, "gap " + a.id + ", version " + std::to_string(a.version) +
-                                   ", was announced twice with different contents, by '" + a.author +
-                                   "' and '" + before->author + "': the stricter one holds");
+  out.log(net::Level::warning,
+          "gap " + announcement.id + ", version " + std::to_string(announcement.version) +
+              ", was announced twice with different contents, by '" + announcement.author + "' and '" +
+              before->author + "': the stricter one holds");
   const json quarrel = {{"event", "conflict"},
                         {"gatekeeper", settings_.name},
                         {"clock", to_unix_ms(now)},
-                        {"id", a.id},
-                        {"version", a.version},
-                        {"by", {before->author, a.author}},
-                        {"held", to_json(*register_->find(a.id))}};
+                        {"id", announcement.id},
+                        {"version", announcement.version},
+                        {"by", {before->author, announcement.author}},
+                        {"held", to_json(*register_->find(announcement.id))}};
   send_to_peers(
       quarrel,
-      [](net::ConnId, const Peer& p) { return p.watching || p.has_announced || p.publisher_incarnation; },
+      [](net::ConnId, const Peer& peer) {
+        return peer.watching || peer.has_announced || peer.publisher_incarnation;
+      },
       out);
 }
 
@@ -324,9 +331,10 @@
   // That there are no more is told for a while: silence is no figure.
   if (!publisher_ || now - demand_seen_at_ > kNoDemandReportInterval) return;
   json all = json::array();
-  for (const auto& d : demands) {
+  for (const auto& demand : demands) {
     if (all.size() >= kMaxDemands) break;
-    all.push_back({{"id", d.id}, {"mark", fingerprint_text(d.fingerprint)}, {"calls", d.calls}});
+    all.push_back(
+        {{"id", demand.id}, {"mark", fingerprint_text(demand.fingerprint)}, {"calls", demand.calls}});
   }
   out.send(*publisher_,
            line_of({{"event", "report"},
@@ -350,22 +358,22 @@
            {"gatekeeper", settings_.name},
            {"clock", to_unix_ms(now)},
            {"number", to_json(std::vector<HotNumber>{h})[0]}},
-          [](net::ConnId, const Peer& p) { return p.watching; }, out);
+          [](net::ConnId, const Peer& peer) { return peer.watching; }, out);
       continue;
     }
-    Announcement a;
-    a.id = "auto-" + h.number.substr(0, kMaxTextLength - 5);
-    a.version = static_cast<std::uint64_t>(to_unix_ms(now));
-    a.author = settings_.name;
-    a.created_at = a.start = a.end = from_unix_ms(to_unix_ms(now));
+    Announcement announcement;
+    announcement.id = "auto-" + h.number.substr(0, kMaxTextLength - 5);
+    announcement.version = static_cast<std::uint64_t>(to_unix_ms(now));
+    announcement.author = settings_.name;
+    announcement.created_at = announcement.start = announcement.end = from_unix_ms(to_unix_ms(now));
     if (change.what == What::gap) {
-      a.end += settings_.hot_gap_duration;
+      announcement.end += settings_.hot_gap_duration;
       Gap gap;
       gap.criteria.numbers = {h.number};
       gap.interval = settings_.hot_gap_interval;
-      a.gap = std::move(gap);
+      announcement.gap = std::move(gap);
     }
-    store_announcement(now, a, out);
+    store_announcement(now, announcement, out);
   }
 }
 
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -9,12 +9,12 @@
 #include <set>
 #include <string>
 
+#include "call_gapping/gap_register.h"
+#include "call_gapping/hot_numbers.h"
 #include "control/gap_json.h"
 #include "control/settings.h"
 #include "core/counters.h"
-#include "front/connection_reaper.h"
-#include "limits/gap_register.h"
-#include "limits/hot_numbers.h"
+#include "downstream/connection_reaper.h"
 #include "net/outbox.h"
 
 namespace graniterun::control {
@@ -32,15 +32,16 @@
   void notify_watchers(Time now, nlohmann::json event, Outbox& out);
 
   void start(Time now, Outbox& out);
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
 
-  limits::Verdict check(Time now, std::string_view number, std::string_view class_name);
+  call_gapping::Verdict check(Time now, std::string_view number, std::string_view class_name);
   bool ready(Time now) const;
   // Takes an announcement into the register, wherever it came from, and tells those who watch.
-  limits::AnnounceResult store_announcement(Time now, const limits::Announcement& a, Outbox& out);
+  call_gapping::AnnounceResult store_announcement(Time now, const call_gapping::Announcement& announcement,
+                                                  Outbox& out);
   // Where the gatekeepers know each other: whether this one holds its place, who of them is gone, who is
   // back, and whose absence is to be asked for.
   void set_place_owned(Time now, bool holds);
@@ -49,7 +50,7 @@
   std::set<std::string> ports_to_watch(Time now) const;
   // Of each number that is hot: its rate, and since when.
   std::vector<Gauge> gauges(Time now) const;
-  const limits::GapRegister& gaps() const { return *register_; }  // from the start on
+  const call_gapping::GapRegister& gaps() const { return *register_; }  // from the start on
 
  private:
   struct Peer {
@@ -73,10 +74,10 @@
   Counters& counters_;
   std::map<std::string, Operation, std::less<>> operations_;
   RateLimitedWarning malformed_warning_;
-  front::ConnectionReaper reaper_;
-  std::optional<limits::SlotFailover> failover_{};  // where places are known
-  std::optional<limits::GapRegister> register_{};   // from the start on
-  std::optional<limits::HotNumbers> hot_numbers_{};
+  downstream::ConnectionReaper reaper_;
+  std::optional<call_gapping::SlotFailover> failover_{};  // where places are known
+  std::optional<call_gapping::GapRegister> register_{};   // from the start on
+  std::optional<call_gapping::HotNumbers> hot_numbers_{};
   std::map<net::ConnId, Peer> peers_;
   std::optional<net::ConnId> publisher_{};  // slots are ceded to this one
   bool synced_ = false;
--- a/src/control/gap_client.h
+++ b/src/control/gap_client.h
@@ -13,8 +13,8 @@
 
 struct GapClientSettings {
   enum class Command : std::uint8_t { announce, list, watch, members, view, leave } command{};
-  std::vector<std::string> addresses{};                // addresses
-  std::optional<limits::Announcement> announcement{};  // a lift too
+  std::vector<std::string> addresses{};                      // addresses
+  std::optional<call_gapping::Announcement> announcement{};  // a lift too
   bool json = false;
   Duration timeout{std::chrono::seconds(3)};  // for all to obey; of a watch, how long: 0 is for ever
 };
--- a/src/control/gap_json.cpp
+++ b/src/control/gap_json.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using nlohmann::json;
-using namespace limits;
+using namespace call_gapping;
 
 constexpr std::int64_t kLatest = 4'102'444'800'000;  // the year 2100
 constexpr std::int64_t kDayMs = 86'400'000;
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-std::int64_t to_unix_ms(Time t) {
-  return std::chrono::floor<std::chrono::milliseconds>(t.time_since_epoch()).count();
+std::int64_t to_unix_ms(Time time) {
+  return std::chrono::floor<std::chrono::milliseconds>(time.time_since_epoch()).count();
 }
 Time from_unix_ms(std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); }
 
@@ -72,68 +72,68 @@
   return mark;
 }
 
-json to_json(const Announcement& a) {
-  json object = {{"id", a.id},
-                 {"version", a.version},
-                 {"by", a.author},
-                 {"made", to_unix_ms(a.created_at)},
-                 {"start", to_unix_ms(a.start)},
-                 {"end", to_unix_ms(a.end)}};
-  if (!a.gap) {
+json to_json(const Announcement& announcement) {
+  json object = {{"id", announcement.id},
+                 {"version", announcement.version},
+                 {"by", announcement.author},
+                 {"made", to_unix_ms(announcement.created_at)},
+                 {"start", to_unix_ms(announcement.start)},
+                 {"end", to_unix_ms(announcement.end)}};
+  if (!announcement.gap) {
     object["lifted"] = true;
     return object;
   }
-  const Gap& g = *a.gap;
-  if (!g.criteria.numbers.empty()) object["numbers"] = g.criteria.numbers;
-  if (!g.criteria.prefixes.empty()) object["prefixes"] = g.criteria.prefixes;
-  if (!g.criteria.classes.empty()) object["classes"] = g.criteria.classes;
-  object["shape"] = kShapes[static_cast<std::size_t>(g.shape)];
-  if (g.shape == Shape::percentage) {
-    object["percent"] = g.percent;
-  } else if (g.interval) {
-    object["interval_ms"] = std::chrono::floor<std::chrono::milliseconds>(*g.interval).count();
+  const Gap& gap = *announcement.gap;
+  if (!gap.criteria.numbers.empty()) object["numbers"] = gap.criteria.numbers;
+  if (!gap.criteria.prefixes.empty()) object["prefixes"] = gap.criteria.prefixes;
+  if (!gap.criteria.classes.empty()) object["classes"] = gap.criteria.classes;
+  object["shape"] = kShapes[static_cast<std::size_t>(gap.shape)];
+  if (gap.shape == Shape::percentage) {
+    object["percent"] = gap.percent;
+  } else if (gap.interval) {
+    object["interval_ms"] = std::chrono::floor<std::chrono::milliseconds>(*gap.interval).count();
   } else {
     object["interval_ms"] = "none";
   }
-  object["cause"] = g.treatment.cause;
-  if (!g.treatment.text.empty()) object["words"] = g.treatment.text;
+  object["cause"] = gap.treatment.cause;
+  if (!gap.treatment.text.empty()) object["words"] = gap.treatment.text;
   return object;
 }
 
 Announcement announcement_of(const json& object) {
   if (!object.is_object()) throw ProtocolError("a gap is not an object");
-  Announcement a;
-  a.id = text_in(object, "id");
-  a.version = static_cast<std::uint64_t>(integer_in(object, "version", 1, std::int64_t{1} << 52));
-  if (object.contains("by")) a.author = text_in(object, "by");
-  a.created_at = from_unix_ms(integer_in(object, "made", 0, kLatest));
-  a.start = from_unix_ms(integer_in(object, "start", 0, kLatest));
-  a.end = from_unix_ms(integer_in(object, "end", 0, kLatest));
+  Announcement announcement;
+  announcement.id = text_in(object, "id");
+  announcement.version = static_cast<std::uint64_t>(integer_in(object, "version", 1, std::int64_t{1} << 52));
+  if (object.contains("by")) announcement.author = text_in(object, "by");
+  announcement.created_at = from_unix_ms(integer_in(object, "made", 0, kLatest));
+  announcement.start = from_unix_ms(integer_in(object, "start", 0, kLatest));
+  announcement.end = from_unix_ms(integer_in(object, "end", 0, kLatest));
   if (const auto lifted = object.find("lifted"); lifted != object.end()) {
     if (!lifted->is_boolean()) throw ProtocolError("'lifted' is neither true nor false");
-    if (lifted->get<bool>()) return a;
+    if (lifted->get<bool>()) return announcement;
   }
-  Gap g;
-  g.criteria = {texts_in(object, "numbers"), texts_in(object, "prefixes"), texts_in(object, "classes")};
+  Gap gap;
+  gap.criteria = {texts_in(object, "numbers"), texts_in(object, "prefixes"), texts_in(object, "classes")};
   const std::string shape = object.contains("shape") ? text_in(object, "shape") : kShapes[0];
   const auto known = std::find(std::begin(kShapes), std::end(kShapes), shape);
   if (known == std::end(kShapes)) throw ProtocolError("'shape' is not one of whole, each, percent");
-  g.shape = static_cast<Shape>(known - std::begin(kShapes));
-  if (g.shape == Shape::percentage) {
+  gap.shape = static_cast<Shape>(known - std::begin(kShapes));
+  if (gap.shape == Shape::percentage) {
     const auto percent = object.find("percent");
     if (percent == object.end() || !percent->is_number()) throw ProtocolError("'percent' is not a number");
-    g.percent = percent->get<double>();
+    gap.percent = percent->get<double>();
   } else {
     const auto interval = object.find("interval_ms");
     const bool none = interval != object.end() && interval->is_string() && *interval == "none";
-    if (!none) g.interval = std::chrono::milliseconds(integer_in(object, "interval_ms", 0, kDayMs));
+    if (!none) gap.interval = std::chrono::milliseconds(integer_in(object, "interval_ms", 0, kDayMs));
   }
-  if (object.contains("cause")) g.treatment.cause = static_cast<int>(integer_in(object, "cause", 1, 127));
-  if (object.contains("words")) g.treatment.text = text_in(object, "words");
-  a.gap = std::move(g);
-  if (to_json(a).dump(-1, ' ', false, json::error_handler_t::replace).size() + 128 > kMaxGapBytes)
+  if (object.contains("cause")) gap.treatment.cause = static_cast<int>(integer_in(object, "cause", 1, 127));
+  if (object.contains("words")) gap.treatment.text = text_in(object, "words");
+  announcement.gap = std::move(gap);
+  if (to_json(announcement).dump(-1, ' ', false, json::error_handler_t::replace).size() + 128 > kMaxGapBytes)
     throw ProtocolError("the gap is over 24 KiB large: announce it as several");
-  return a;
+  return announcement;
 }
 
 Page page_of(const GapRegister& held, Time now, std::string_view after, bool counts) {
--- a/src/control/gap_json.h
+++ b/src/control/gap_json.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <string_view>
 
-#include "limits/gap_register.h"
-#include "limits/hot_numbers.h"
+#include "call_gapping/gap_register.h"
+#include "call_gapping/hot_numbers.h"
 
 namespace graniterun::control {
 
@@ -21,8 +21,8 @@
 constexpr std::size_t kMaxLineBytes = 32 * 1024;
 constexpr std::size_t kMaxGapBytes = 24 * 1024;  // as JSON: it has to fit a line with what goes around it
 
-nlohmann::json to_json(const limits::Announcement& a);
-limits::Announcement announcement_of(const nlohmann::json& object);  // throws ProtocolError
+nlohmann::json to_json(const call_gapping::Announcement& announcement);
+call_gapping::Announcement announcement_of(const nlohmann::json& object);  // throws ProtocolError
 
 // What a list answers with: the gaps after an id, as many as fit a line (kMaxGapsInPage and kMaxGapBytes
 // bytes at most, one at least), and whether there are more. `counts`: with the calls that passed and were
@@ -32,12 +32,12 @@
   nlohmann::json gaps = nlohmann::json::array();
   bool more = false;
 };
-Page page_of(const limits::GapRegister& held, Time now, std::string_view after, bool counts);
+Page page_of(const call_gapping::GapRegister& held, Time now, std::string_view after, bool counts);
 
-std::int64_t to_unix_ms(Time t);
+std::int64_t to_unix_ms(Time time);
 Time from_unix_ms(std::int64_t ms);
-std::string_view to_string(limits::AnnounceResult taken);
-nlohmann::json to_json(const std::vector<limits::HotNumber>& hot);
+std::string_view to_string(call_gapping::AnnounceResult taken);
+nlohmann::json to_json(const std::vector<call_gapping::HotNumber>& hot);
 
 // What a value is to be. Each throws ProtocolError with the name where it is not there or is something else.
 std::string text_in(const nlohmann::json& object, const char* name);
--- a/src/control/gap_publisher.cpp
+++ b/src/control/gap_publisher.cpp
@@ -5,7 +5,7 @@
 
 using nlohmann::json;
 using namespace std::chrono_literals;
-using namespace limits;
+using namespace call_gapping;
 
 constexpr Duration kTick = 50ms;
 constexpr Duration kReconnectDelay = 250ms;
--- a/src/control/gap_publisher.h
+++ b/src/control/gap_publisher.h
@@ -14,7 +14,7 @@
 
 #include "control/gap_json.h"
 #include "core/counters.h"
-#include "front/connection_reaper.h"
+#include "downstream/connection_reaper.h"
 #include "net/outbox.h"
 
 namespace graniterun::control {
@@ -53,7 +53,7 @@
   };
   struct Allocation {
     std::uint64_t fingerprint{};
-    limits::QuotaAllocator allocator;
+    call_gapping::QuotaAllocator allocator;
     Time last_demand_at{};
   };
   // Operators who are told of each gatekeeper's answer to what they announced.
@@ -78,7 +78,7 @@
   void handle_gatekeeper_line(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
   void handle_demand_report(Time now, Gatekeeper& g, const nlohmann::json& line);
   void handle_ceded_slots(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
-  limits::AnnounceResult store_announcement(Time now, const limits::Announcement& a, Outbox& out);
+  call_gapping::AnnounceResult store_announcement(Time now, const call_gapping::Announcement& a, Outbox& out);
   void save(Time now, Outbox& out);
   void push_next(Time now, Gatekeeper& g, Outbox& out);
   void send(const Gatekeeper& g, const nlohmann::json& line, Outbox& out) const;
@@ -93,8 +93,8 @@
   GapPublisherSettings settings_;
   Counters counters_;
   RateLimitedWarning malformed_warning_;
-  front::ConnectionReaper reaper_;
-  limits::GapRegister register_;
+  downstream::ConnectionReaper reaper_;
+  call_gapping::GapRegister register_;
   std::vector<Gatekeeper> gatekeepers_;
   std::map<std::string, Allocation> allocations_;
   std::map<std::string, std::vector<Observer>> observers_;  // by id
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -7,7 +7,7 @@
 #include <pugixml.hpp>
 #include <sstream>
 
-#include "proto/number.h"
+#include "codec/number.h"
 
 namespace graniterun::control {
 namespace {
@@ -95,26 +95,26 @@
 }
 
 void read_conditions(const pugi::xml_node& conditions, LoadRule& rule) {
-  for (const pugi::xml_node& c : conditions.children()) {
-    if (local(c) == "call-identity") {
-      for (const pugi::xml_node& sip : c.children()) {
+  for (const pugi::xml_node& node : conditions.children()) {
+    if (local(node) == "call-identity") {
+      for (const pugi::xml_node& sip : node.children()) {
         if (local(sip) != "sip") unknown(sip);
         for (const pugi::xml_node& side : sip.children())
           local(side) == "to" ? read_to(side, rule) : unknown(side);
       }
-    } else if (local(c) == "method") {
+    } else if (local(node) == "method") {
       // Gaps are for calls: one for other requests can't be kept.
-      if (trimmed(c.child_value()) != "INVITE")
+      if (trimmed(node.child_value()) != "INVITE")
         throw LoadControlError("only the method INVITE can be held back here");
-    } else if (local(c) == "validity") {
-      for (const pugi::xml_node& end : c.children()) {
+    } else if (local(node) == "validity") {
+      for (const pugi::xml_node& end : node.children()) {
         if (local(end) != "from" && local(end) != "until") unknown(end);
         std::optional<Time>& which = local(end) == "from" ? rule.from : rule.until;
         if (which) throw LoadControlError("a validity of several spans is not understood");
         which = time_of(trimmed(end.child_value()));
       }
     } else {
-      unknown(c);
+      unknown(node);
     }
   }
 }
@@ -149,8 +149,8 @@
   const pugi::xml_node root = parsed.document_element();
   if (local(root) != "ruleset") throw LoadControlError("its root is no <ruleset>");
   bool speaks_load = false;
-  for (const pugi::xml_attribute& a : root.attributes())
-    speaks_load = speaks_load || std::string_view(a.value()) == kLoad;
+  for (const pugi::xml_attribute& attribute : root.attributes())
+    speaks_load = speaks_load || std::string_view(attribute.value()) == kLoad;
   if (!speaks_load) throw LoadControlError("it does not name the load-control namespace");
   LoadControlDocument document;
   document.version = root.attribute("version").as_uint(0);
@@ -215,62 +215,65 @@
   return text.str();
 }
 
-std::optional<LoadRule> rule_of(const limits::Announcement& a) {
-  if (!a.gap || !a.gap->criteria.classes.empty() || a.gap->shape == limits::Shape::each_number)
+std::optional<LoadRule> rule_of(const call_gapping::Announcement& announcement) {
+  if (!announcement.gap || !announcement.gap->criteria.classes.empty() ||
+      announcement.gap->shape == call_gapping::Shape::each_number)
+    return std::nullopt;
+  const call_gapping::Gap& gap = *announcement.gap;
+  if (gap.shape == call_gapping::Shape::whole && gap.interval && *gap.interval == Duration{})
     return std::nullopt;
-  const limits::Gap& g = *a.gap;
-  if (g.shape == limits::Shape::whole && g.interval && *g.interval == Duration{}) return std::nullopt;
   LoadRule rule;
-  rule.id = a.id.substr(0, 64);
-  rule.numbers = g.criteria.numbers;
-  rule.prefixes = g.criteria.prefixes;
-  rule.from = a.start;
-  rule.until = a.end;
-  if (g.shape == limits::Shape::percentage) {
+  rule.id = announcement.id.substr(0, 64);
+  rule.numbers = gap.criteria.numbers;
+  rule.prefixes = gap.criteria.prefixes;
+  rule.from = announcement.start;
+  rule.until = announcement.end;
+  if (gap.shape == call_gapping::Shape::percentage) {
     rule.how = LoadRule::How::percent;
-    rule.figure = g.percent;
+    rule.figure = gap.percent;
   } else {
     rule.how = LoadRule::How::rate;
-    rule.figure = g.interval ? 1.0 / std::chrono::duration<double>(*g.interval).count() : 0.0;
+    rule.figure = gap.interval ? 1.0 / std::chrono::duration<double>(*gap.interval).count() : 0.0;
   }
   return rule;
 }
 
-std::vector<limits::Announcement> gaps_of(const LoadControlDocument& document, const std::string& neighbour,
-                                          Time now, Time until) {
-  std::vector<limits::Announcement> all;
+std::vector<call_gapping::Announcement> gaps_of(const LoadControlDocument& document,
+                                                const std::string& neighbour, Time now, Time until) {
+  std::vector<call_gapping::Announcement> all;
   for (const LoadRule& rule : document.rules) {
     if (rule.how == LoadRule::How::win) throw LoadControlError("a window can't be kept here: ask for a rate");
     if (rule.numbers.empty() && rule.prefixes.empty())
       throw LoadControlError("rule " + rule.id + " names no called number");
-    limits::Announcement a;
-    a.id = ("lc-" + neighbour + "-" + rule.id).substr(0, limits::kMaxTextLength);
-    a.author = neighbour;
-    a.created_at = now;
-    a.version = static_cast<std::uint64_t>(
+    call_gapping::Announcement announcement;
+    announcement.id = ("lc-" + neighbour + "-" + rule.id).substr(0, call_gapping::kMaxTextLength);
+    announcement.author = neighbour;
+    announcement.created_at = now;
+    announcement.version = static_cast<std::uint64_t>(
         std::chrono::floor<std::chrono::milliseconds>(now.time_since_epoch()).count());
-    a.start = std::max(now, rule.from.value_or(now));
-    a.end = std::min<Time>({until, rule.until.value_or(until), now + limits::kMaxGapDuration});
-    if (a.end <= a.start) continue;
-    limits::Gap g;
-    g.criteria.numbers = rule.numbers;
-    g.criteria.prefixes = rule.prefixes;
+    announcement.start = std::max(now, rule.from.value_or(now));
+    announcement.end =
+        std::min<Time>({until, rule.until.value_or(until), now + call_gapping::kMaxGapDuration});
+    if (announcement.end <= announcement.start) continue;
+    call_gapping::Gap gap;
+    gap.criteria.numbers = rule.numbers;
+    gap.criteria.prefixes = rule.prefixes;
     if (rule.how == LoadRule::How::percent) {
-      g.shape = limits::Shape::percentage;
-      g.percent = rule.figure;
+      gap.shape = call_gapping::Shape::percentage;
+      gap.percent = rule.figure;
     } else if (rule.figure > 0.0) {
       // Rates over 100 a second are held to that: the shortest interval is 10 ms. Those under one a day pass
       // none.
       const double interval = 1.0 / rule.figure;
       if (interval < 86'400.0)
-        g.interval =
-            std::max<Duration>(limits::kMinInterval,
+        gap.interval =
+            std::max<Duration>(call_gapping::kMinInterval,
                                std::chrono::duration_cast<Duration>(std::chrono::duration<double>(interval)));
     }
-    a.gap = std::move(g);
-    if (const std::string trouble = limits::find_error(a, now); !trouble.empty())
+    announcement.gap = std::move(gap);
+    if (const std::string trouble = call_gapping::find_error(announcement, now); !trouble.empty())
       throw LoadControlError("rule " + rule.id + ": " + trouble);
-    all.push_back(std::move(a));
+    all.push_back(std::move(announcement));
   }
   return all;
 }
--- a/src/control/load_control.h
+++ b/src/control/load_control.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "limits/gap.h"
+#include "call_gapping/gap.h"
 
 namespace graniterun::control {
 
@@ -48,10 +48,10 @@
 
 // What neighbours are told of a gap; nothing where a rule can't say it: a gap for each number apart or for a
 // class, and one that lets all pass.
-std::optional<LoadRule> rule_of(const limits::Announcement& a);
+std::optional<LoadRule> rule_of(const call_gapping::Announcement& announcement);
 // The gaps that a neighbour's document stands for, from now until `until` at the latest. Throws
 // LoadControlError where a rule can't be kept here: a window, or one without a called number.
-std::vector<limits::Announcement> gaps_of(const LoadControlDocument& document, const std::string& neighbour,
-                                          Time now, Time until);
+std::vector<call_gapping::Announcement> gaps_of(const LoadControlDocument& document,
+                                                const std::string& neighbour, Time now, Time until);
 
 }  // namespace graniterun::control
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -5,19 +5,19 @@
 #include <string>
 #include <vector>
 
-#include "limits/hot_numbers.h"
-#include "limits/slots.h"
+#include "call_gapping/hot_numbers.h"
+#include "call_gapping/slots.h"
 
 namespace graniterun::control {
 
 struct ControlSettings {
   std::optional<std::string> listen{};  // none: it is off
   std::size_t max_connections = 32;
-  limits::Fleet fleet{};
+  call_gapping::Fleet fleet{};
   std::vector<std::string>
       places{};               // names of the fleet's gatekeepers in order; empty: they don't know each other
   Duration publisher_wait{};  // the program is not ready before it has the register, or so long has passed
-  std::optional<limits::HotSettings> hot{};
+  std::optional<call_gapping::HotSettings> hot{};
   Duration hot_gap_interval{std::chrono::seconds(1)};  // of the gaps that are announced by itself
   Duration hot_gap_duration{std::chrono::minutes(15)};
   std::string name{};
--- a/src/control/subscription.cpp
+++ b/src/control/subscription.cpp
@@ -52,7 +52,9 @@
   return {"other", std::nullopt, ""};
 }
 
-std::int64_t ms_of(Duration d) { return std::chrono::duration_cast<std::chrono::milliseconds>(d).count(); }
+std::int64_t ms_of(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+}
 
 // A text of somebody's settings, as part of a line.
 std::string plain(std::string text) {
@@ -102,24 +104,24 @@
   return std::nullopt;  // of a connection that was given up
 }
 
-void Subscription::on(Time now, const net::Connected& e, Outbox& out) {
-  const auto source = source_of(e.conn);
-  if (!source) return out.close(e.conn);
+void Subscription::on(Time now, const net::Connected& event, Outbox& out) {
+  const auto source = source_of(event.conn);
+  if (!source) return out.close(event.conn);
   links_.at(*source).connected = true;
   counters_.add("config.distribution.connected");
   step(now, SourceConnected{*source}, out);
 }
 
-void Subscription::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  const auto source = source_of(e.conn);
+void Subscription::on(Time now, const net::ConnectFailed& event, Outbox& out) {
+  const auto source = source_of(event.conn);
   if (!source) return;
   counters_.add("config.distribution.connect_failed");
   links_.erase(*source);
   step(now, SourceDisconnected{*source}, out);
 }
 
-void Subscription::on(Time now, const net::Closed& e, Outbox& out) {
-  const auto source = source_of(e.conn);
+void Subscription::on(Time now, const net::Closed& event, Outbox& out) {
+  const auto source = source_of(event.conn);
   if (!source) return;
   counters_.add("config.distribution.closed");
   links_.erase(*source);
@@ -132,11 +134,11 @@
   step(now, SourceDisconnected{source}, out);
 }
 
-void Subscription::on(Time now, const net::Received& e, Outbox& out) {
-  const auto source = source_of(e.conn);
+void Subscription::on(Time now, const net::Received& event, Outbox& out) {
+  const auto source = source_of(event.conn);
   if (!source) return;
   // A line may end the connection: what came after it is not heard.
-  const auto open = [&] { return source_of(e.conn) == source; };
+  const auto open = [&] { return source_of(event.conn) == source; };
   bool bad = false;
   const auto refuse = [&](const std::string& trouble) {
     if (std::exchange(bad, true)) return;
@@ -147,7 +149,7 @@
                 out);
   };
   const auto used = read_lines(
-      e.bytes,
+      event.bytes,
       [&](const json& object) {
         if (!bad && open()) handle_line(now, *source, object, out);
       },
@@ -157,7 +159,7 @@
   if (!open()) return;
   if (!used) refuse("a line has no end within 32 KiB");
   if (bad) return close_source(now, *source, out);
-  out.net.push_back(net::Consume{e.conn, *used});
+  out.net.push_back(net::Consume{event.conn, *used});
 }
 
 void Subscription::on(Time now, const net::TimerFired&, Outbox& out) {
@@ -249,17 +251,17 @@
   out.log(level, std::move(text));
 }
 
-void Subscription::log_event(Time now, const SubscriberLogEvent& e, Outbox& out) {
-  const Kind kind = kind_of(e.kind);
+void Subscription::log_event(Time now, const SubscriberLogEvent& event, Outbox& out) {
+  const Kind kind = kind_of(event.kind);
   counters_.add("config.distribution." + std::string(kind.counter));
   if (!kind.level) return;
   std::string text = "configuration: ";
-  if (!e.service.empty()) text += e.service + ", version " + std::to_string(e.version) + ", ";
+  if (!event.service.empty()) text += event.service + ", version " + std::to_string(event.version) + ", ";
   text += kind.words;
-  if (e.kind == SubscriberLogKind::wait_expired)
+  if (event.kind == SubscriberLogKind::wait_expired)
     text += " within " + std::to_string(ms_of(wait_)) + " ms: it serves on its start configuration";
-  if (!e.reason.empty()) text += ": " + plain(e.reason);
-  log_limited(now, log_limits_[e.kind], *kind.level, std::move(text), out);
+  if (!event.reason.empty()) text += ": " + plain(event.reason);
+  log_limited(now, log_limits_[event.kind], *kind.level, std::move(text), out);
 }
 
 json Subscription::answer(const json& asked) const {
--- a/src/control/subscription.h
+++ b/src/control/subscription.h
@@ -41,11 +41,11 @@
   Subscription(distribution::SubscriberSettings settings, Counters& counters, Apply apply, Lane lane);
 
   void start(Time now, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
   // What the documents are laid over is another one now.
   void base_changed(Time now, Outbox& out);
 
@@ -72,7 +72,7 @@
   void step(Time now, const distribution::SubscriberEvent& event, Outbox& out);
   void apply(Time now, const distribution::SubscriberEffect& effect,
              std::vector<distribution::SubscriberEvent>& more, Outbox& out);
-  void log_event(Time now, const distribution::SubscriberLogEvent& e, Outbox& out);
+  void log_event(Time now, const distribution::SubscriberLogEvent& event, Outbox& out);
   void log_limited(Time now, RateLimit& kind, net::Level level, std::string text, Outbox& out);
   void send(std::uint32_t source, const nlohmann::json& line, Outbox& out);
   void handle_line(Time now, std::uint32_t source, const nlohmann::json& line, Outbox& out);
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -51,50 +51,50 @@
 void Broker::step(Time now, const Event& event, Effects& effects) {
   now_ = std::max(now, now_);
   effects_ = &effects;
-  std::visit([this](const auto& e) { on(e); }, event);
+  std::visit([this](const auto& notice) { on(notice); }, event);
   drain_controller_events();
   effects_ = nullptr;
 }
 
 // ---- callers
 
-void Broker::on(const RequestReceived& e) {
-  if (calls_.contains(e.request.call)) return;
+void Broker::on(const RequestReceived& event) {
+  if (calls_.contains(event.request.call)) return;
   counters_.add("broker.requests");
-  Call& call = calls_[e.request.call];
-  call.request = std::make_shared<const Request>(e.request);
+  Call& call = calls_[event.request.call];
+  call.request = std::make_shared<const Request>(event.request);
   call.received_at = now_;
-  call.deadline = e.request.deadline;
+  call.deadline = event.request.deadline;
   call.max_attempts = settings_.max_attempts;
   // The same id may come again just after it ended: its caller closed and came back. To servers it is the
   // same call.
-  if (const auto guard = guards_.find(e.request.correlation_id); guard != guards_.end())
+  if (const auto guard = guards_.find(event.request.correlation_id); guard != guards_.end())
     call.guard_until = guard->second;
-  if (const auto known = by_correlation_id_.find(e.request.correlation_id);
+  if (const auto known = by_correlation_id_.find(event.request.correlation_id);
       known != by_correlation_id_.end()) {
     Call& before = calls_.at(known->second);
     call.guard_until = std::max(call.guard_until, before.guard_until);
     if (before.current_attempt && before.current_attempt->sent) {
       call.predecessor = known->second;
-      before.successor = e.request.call;
+      before.successor = event.request.call;
     }
   }
-  by_correlation_id_.insert_or_assign(e.request.correlation_id, e.request.call);
+  by_correlation_id_.insert_or_assign(event.request.correlation_id, event.request.call);
   ++unanswered_;
   const auto turn_down = [&](bool refused, RejectReason why, Duration wait,
-                             limits::Treatment treatment = {}) {
+                             call_gapping::Treatment treatment = {}) {
     answer_request(call, false, refused, why, wait, {}, std::move(treatment));
-    erase_if_finished(e.request.call);
+    erase_if_finished(event.request.call);
   };
   // Before the budget: what a gap holds back is not to use up its team's. A slot that a call has taken is not
   // given back where it comes to nothing later: the next one would pass in the same interval.
   if (admission_check_ && call.deadline > now_) {
-    if (limits::Verdict verdict = admission_check_(now_, e.request); !verdict.passes) {
+    if (call_gapping::Verdict verdict = admission_check_(now_, event.request); !verdict.passes) {
       counters_.add("broker.gapped");
       return turn_down(true, RejectReason::gapped, verdict.retry_after, std::move(verdict.treatment));
     }
   }
-  const Contracts::Terms terms = contracts_.admit(now_, e.request.team, e.request.class_name);
+  const Contracts::Terms terms = contracts_.admit(now_, event.request.team, event.request.class_name);
   if (terms.deadline) call.deadline = std::min(call.deadline, now_ + *terms.deadline);
   if (terms.attempts) call.max_attempts = std::min(call.max_attempts, *terms.attempts);
   if (terms.over_budget_retry_after) {
@@ -102,55 +102,56 @@
     return turn_down(true, RejectReason::over_budget, *terms.over_budget_retry_after);
   }
   if (call.deadline <= now_) return turn_down(false, RejectReason::deadline_exceeded, default_retry_after());
-  arm_timer(call.deadline, {PendingTimer::Kind::deadline, e.request.call, {}});
+  arm_timer(call.deadline, {PendingTimer::Kind::deadline, event.request.call, {}});
   NewCall query;
-  query.call = e.request.call;
-  query.call_class = e.request.call_class;
-  query.number = e.request.number;
-  query.destination = e.request.destination;
+  query.call = event.request.call;
+  query.call_class = event.request.call_class;
+  query.number = event.request.number;
+  query.destination = event.request.destination;
   query.deadline = call.deadline;
-  query.circuits = e.request.circuits;
-  query.cut_before = e.request.cut_before;
-  query.redial = e.request.redial;
+  query.circuits = event.request.circuits;
+  query.cut_before = event.request.cut_before;
+  query.redial = event.request.redial;
   notify_controller(query);
 }
 
-void Broker::on(const RequestCancelled& e) {
-  Call* call = find(e.call);
+void Broker::on(const RequestCancelled& event) {
+  Call* call = find(event.call);
   if (call == nullptr || call->answered) return;
   counters_.add("broker.given_up");
   call->answered = true;
   --unanswered_;
-  notify_controller(CallerDisconnected{e.call});
+  notify_controller(CallerDisconnected{event.call});
   drain_controller_events();
   // Whether the module thinks of it or not: nothing is to go on for a caller that has left.
-  if (call = find(e.call); call != nullptr && call->current_attempt) abandon_attempt(*call);
+  if (call = find(event.call); call != nullptr && call->current_attempt) abandon_attempt(*call);
   drain_controller_events();
-  erase_if_finished(e.call);
+  erase_if_finished(event.call);
 }
 
-void Broker::on(const CallerReleased& e) {
-  Call* call = find(e.call);
+void Broker::on(const CallerReleased& event) {
+  Call* call = find(event.call);
   if (call == nullptr) return;
-  if (!call->current_attempt || !call->current_attempt->established) return on(RequestCancelled{e.call});
+  if (!call->current_attempt || !call->current_attempt->established) return on(RequestCancelled{event.call});
   counters_.add("broker.released_by_caller");
-  emit(ReleaseServer{call->request, call->current_attempt->index, e.cause});
-  on(AttemptFinished{e.call, call->current_attempt->index, Outcome::cancelled, {}, {}, e.cause, false, {}});
+  emit(ReleaseServer{call->request, call->current_attempt->index, event.cause});
+  on(AttemptFinished{
+      event.call, call->current_attempt->index, Outcome::cancelled, {}, {}, event.cause, false, {}});
 }
 
 // ---- servers
 
-void Broker::on(const AttemptEstablished& e) {
-  Call* call = find(e.call);
-  if (call == nullptr || !call->current_attempt || call->current_attempt->index != e.attempt ||
+void Broker::on(const AttemptEstablished& event) {
+  Call* call = find(event.call);
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != event.attempt ||
       call->current_attempt->established)
     return;
   if (call->answered || call->current_attempt->abandoned) {
     // Nobody waits for it any more: it must not go on at the server.
     counters_.add("broker.stood_too_late");
     call->current_attempt->abandoned = true;
-    emit(ReleaseServer{call->request, e.attempt, 16});
-    return on(AttemptFinished{e.call, e.attempt, Outcome::cancelled, {}, {}, 16, true, {}});
+    emit(ReleaseServer{call->request, event.attempt, 16});
+    return on(AttemptFinished{event.call, event.attempt, Outcome::cancelled, {}, {}, 16, true, {}});
   }
   call->current_attempt->established = true;
   ++established_;
@@ -161,41 +162,41 @@
     at.recently_established.push_back(now_);
   }
   record_attempt(*call, {});
-  answer_request(*call, true, false, RejectReason::ended, {}, e.description);
-  notify_controller(CallEstablished{e.call, e.attempt, server, delay});
+  answer_request(*call, true, false, RejectReason::ended, {}, event.description);
+  notify_controller(CallEstablished{event.call, event.attempt, server, delay});
 }
 
-void Broker::on(const AttemptFinished& e) {
-  Call* call = find(e.call);
-  if (call == nullptr || !call->current_attempt || call->current_attempt->index != e.attempt) return;
+void Broker::on(const AttemptFinished& event) {
+  Call* call = find(event.call);
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != event.attempt) return;
   const Attempt out = *call->current_attempt;
-  if (!out.established) record_attempt(*call, e.outcome);
+  if (!out.established) record_attempt(*call, event.outcome);
   call->current_attempt.reset();
-  record_attempt_end(*call, e.outcome);
+  record_attempt_end(*call, event.outcome);
   if (out.established) {
     --established_;
-    counters_.add(e.outcome == Outcome::ok ? "broker.calls_ended" : "broker.calls_cut");
-    if (e.outcome != Outcome::cancelled) emit(ReleaseCaller{e.call, e.cause});
+    counters_.add(event.outcome == Outcome::ok ? "broker.calls_ended" : "broker.calls_cut");
+    if (event.outcome != Outcome::cancelled) emit(ReleaseCaller{event.call, event.cause});
   } else {
     counters_.add("broker.attempts_ended");
     // A success that crossed our giving up stood at the server for a moment: a further attempt might ring the
     // callee twice, so there is none.
-    if (e.late_success && !call->answered)
+    if (event.late_success && !call->answered)
       answer_request(*call, false, false, RejectReason::late_success, default_retry_after(), {});
   }
   AttemptEnded ended;
-  ended.call = e.call;
-  ended.attempt = e.attempt;
+  ended.call = event.call;
+  ended.attempt = event.attempt;
   ended.server = out.server;
-  ended.outcome = e.outcome;
+  ended.outcome = event.outcome;
   ended.delay = now_ - out.sent_at;
   ended.call_finished = call->answered;
-  ended.reason = e.reason;
-  ended.retry_after = e.retry_after;
-  ended.report = e.report;
+  ended.reason = event.reason;
+  ended.retry_after = event.retry_after;
+  ended.report = event.report;
   notify_controller(ended);
   drain_controller_events();
-  erase_if_finished(e.call);
+  erase_if_finished(event.call);
 }
 
 void Broker::record_attempt_end(Call& call, Outcome outcome) {
@@ -213,10 +214,10 @@
 // there. Its release comes on the next connection, while the call waits here for the guard or for the module.
 // Passed on to the caller it was the final answer, and yet the call was sent on. The callee has been rung:
 // the call is ended here. Where its next attempt is out already that one goes on, and is the last.
-void Broker::on(const ServerReleased& e) {
-  const auto known = by_correlation_id_.find(e.correlation_id);
+void Broker::on(const ServerReleased& event) {
+  const auto known = by_correlation_id_.find(event.correlation_id);
   if (known == by_correlation_id_.end()) {
-    if (!e.attempt_known) emit(ForwardRelease{e.correlation_id, e.cause});
+    if (!event.attempt_known) emit(ForwardRelease{event.correlation_id, event.cause});
     return;
   }
   const CallId id = known->second;
@@ -233,21 +234,23 @@
   erase_if_finished(id);
 }
 
-void Broker::on(const ServersChanged& e) {
-  if (e.list.kind == ListKind::rejected) return;
-  if (e.list.kind != ListKind::changes) {
+void Broker::on(const ServersChanged& event) {
+  if (event.list.kind == ListKind::rejected) return;
+  if (event.list.kind != ListKind::changes) {
     for (auto& [id, server] : servers_) server.state = ServerState::terminated;
   }
-  for (const ServerEntry& entry : e.list.entries) {
+  for (const ServerEntry& entry : event.list.entries) {
     Server& server = servers_[entry.server];
     if (server.online_since != entry.online_since) server.recent_sends.clear();
     server.state = entry.state;
     server.online_since = entry.online_since;
   }
-  notify_controller(e.list);
+  notify_controller(event.list);
 }
 
-void Broker::on(const LoadReportReceived& e) { notify_controller(ServerReport{e.server, e.report}); }
+void Broker::on(const LoadReportReceived& event) {
+  notify_controller(ServerReport{event.server, event.report});
+}
 
 void Broker::on(const ShutdownStarted&) {
   std::vector<CallId> open;
@@ -267,9 +270,9 @@
   }
 }
 
-void Broker::on(const SettingsReplaced& e) {
-  settings_ = e.settings;
-  notify_controller(SettingsChanged{e.settings});
+void Broker::on(const SettingsReplaced& event) {
+  settings_ = event.settings;
+  notify_controller(SettingsChanged{event.settings});
 }
 
 std::vector<bool> Broker::places_in_use() const {
@@ -282,8 +285,8 @@
 
 // ---- time
 
-void Broker::on(const TimerExpired& e) {
-  const auto it = timers_.find(e.timer);
+void Broker::on(const TimerExpired& event) {
+  const auto it = timers_.find(event.timer);
   if (it == timers_.end()) return;
   const PendingTimer rang = it->second;
   timers_.erase(it);
@@ -346,25 +349,25 @@
   draining_controller_ = false;
 }
 
-void Broker::apply(const SendSetup& a) {
-  Call* call = find(a.call);
+void Broker::apply(const SendSetup& action) {
+  Call* call = find(action.call);
   if (call == nullptr) return;
   const int index = call->attempts++;
   std::string_view why_not;
   if (call->answered || call->current_attempt || now_ >= call->deadline || index >= call->max_attempts) {
     counters_.add("broker.sends_barred.call");
-    return report_not_sent(*call, index, a.server);
+    return report_not_sent(*call, index, action.server);
   }
-  if (!may_send(a.server, why_not)) {
+  if (!may_send(action.server, why_not)) {
     counters_.add(why_not);
-    return report_not_sent(*call, index, a.server);
+    return report_not_sent(*call, index, action.server);
   }
   call->current_attempt =
-      Attempt{index, a.server, std::min(a.deadline, call->deadline), now_, false, false, false};
+      Attempt{index, action.server, std::min(action.deadline, call->deadline), now_, false, false, false};
   if (call->predecessor) return counters_.add("broker.sends_guarded");  // started at the other's end
   if (now_ < call->guard_until) {
     counters_.add("broker.sends_guarded");
-    return arm_timer(call->guard_until, {PendingTimer::Kind::guard, a.call, {}});
+    return arm_timer(call->guard_until, {PendingTimer::Kind::guard, action.call, {}});
   }
   start_attempt(*call);
 }
@@ -426,9 +429,9 @@
   return false;
 }
 
-void Broker::apply(const CancelAttempt& a) {
-  Call* call = find(a.call);
-  if (call == nullptr || !call->current_attempt || call->current_attempt->index != a.attempt) return;
+void Broker::apply(const CancelAttempt& action) {
+  Call* call = find(action.call);
+  if (call == nullptr || !call->current_attempt || call->current_attempt->index != action.attempt) return;
   if (!call->current_attempt->established) abandon_attempt(*call);
 }
 
@@ -444,30 +447,30 @@
   emit(AbandonAttempt{call.request, call.current_attempt->index});
 }
 
-void Broker::apply(const Reject& a) {
-  if (Call* call = find(a.call); call != nullptr && !call->answered) {
-    answer_request(*call, false, true, RejectReason::throttled, a.retry_after, {});
-    erase_if_finished(a.call);
+void Broker::apply(const Reject& action) {
+  if (Call* call = find(action.call); call != nullptr && !call->answered) {
+    answer_request(*call, false, true, RejectReason::throttled, action.retry_after, {});
+    erase_if_finished(action.call);
   }
 }
 
-void Broker::apply(const Fail& a) {
-  if (Call* call = find(a.call); call != nullptr && !call->answered) {
+void Broker::apply(const Fail& action) {
+  if (Call* call = find(action.call); call != nullptr && !call->answered) {
     answer_request(*call, false, false,
                    now_ >= call->deadline ? RejectReason::deadline_exceeded : RejectReason::attempts_failed,
                    default_retry_after(), {});
-    erase_if_finished(a.call);
+    erase_if_finished(action.call);
   }
 }
 
-void Broker::apply(const SetTimer& a) {
-  arm_timer(now_ + a.delay, {PendingTimer::Kind::module, {}, a.timer});
+void Broker::apply(const SetTimer& action) {
+  arm_timer(now_ + action.delay, {PendingTimer::Kind::module, {}, action.timer});
 }
 
 // ---- small things
 
 void Broker::answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
-                            const std::string& description, limits::Treatment treatment) {
+                            const std::string& description, call_gapping::Treatment treatment) {
   call.answered = true;
   call.rejected = !served;
   --unanswered_;
@@ -487,14 +490,14 @@
 
 void Broker::record_attempt(Call& call, std::optional<Outcome> outcome) {
   // Called just before or after the attempt ends; `out` is the one that was sent last.
-  AttemptRecord r;
-  r.outcome = outcome;
-  r.ended_at = now_;
+  AttemptRecord attempt;
+  attempt.outcome = outcome;
+  attempt.ended_at = now_;
   if (call.current_attempt) {
-    r.server = call.current_attempt->server;
-    r.started_at = call.current_attempt->sent_at;
+    attempt.server = call.current_attempt->server;
+    attempt.started_at = call.current_attempt->sent_at;
   }
-  if (!call.answered) call.attempt_records.push_back(r);
+  if (!call.answered) call.attempt_records.push_back(attempt);
 }
 
 void Broker::erase_if_finished(CallId id) {
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -14,11 +14,11 @@
 #include <variant>
 #include <vector>
 
+#include "call_gapping/gap_register.h"
 #include "core/contracts.h"
 #include "core/counters.h"
 #include "core/request_metrics.h"
 #include "graniterun/controller.h"
-#include "limits/gap_register.h"
 
 namespace graniterun::core {
 
@@ -138,8 +138,8 @@
   CallId call{};
   bool rejected{};  // else failed
   RejectReason reason{};
-  Duration retry_after{};         // the caller is to stay away so long
-  limits::Treatment treatment{};  // of a call that is gapped
+  Duration retry_after{};               // the caller is to stay away so long
+  call_gapping::Treatment treatment{};  // of a call that is gapped
 };
 struct ReleaseCaller {
   CallId call{};
@@ -183,7 +183,7 @@
   using Decide = std::function<void(Time, const graniterun::Event&, std::vector<Action>&)>;
 
   // What new calls must pass before the module hears of them, on whichever front they come.
-  using AdmissionCheck = std::function<limits::Verdict(Time, const Request&)>;
+  using AdmissionCheck = std::function<call_gapping::Verdict(Time, const Request&)>;
 
   Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
          AdmissionCheck gate = {});
@@ -244,23 +244,23 @@
     TimerId timer{};
   };
 
-  void on(const RequestReceived& e);
-  void on(const RequestCancelled& e);
-  void on(const CallerReleased& e);
-  void on(const AttemptEstablished& e);
-  void on(const AttemptFinished& e);
-  void on(const ServerReleased& e);
-  void on(const ServersChanged& e);
-  void on(const LoadReportReceived& e);
-  void on(const TimerExpired& e);
-  void on(const SettingsReplaced& e);
-  void on(const ShutdownStarted& e);
+  void on(const RequestReceived& event);
+  void on(const RequestCancelled& event);
+  void on(const CallerReleased& event);
+  void on(const AttemptEstablished& event);
+  void on(const AttemptFinished& event);
+  void on(const ServerReleased& event);
+  void on(const ServersChanged& event);
+  void on(const LoadReportReceived& event);
+  void on(const TimerExpired& event);
+  void on(const SettingsReplaced& event);
+  void on(const ShutdownStarted& event);
 
-  void apply(const SendSetup& a);
-  void apply(const CancelAttempt& a);
-  void apply(const Reject& a);
-  void apply(const Fail& a);
-  void apply(const SetTimer& a);
+  void apply(const SendSetup& action);
+  void apply(const CancelAttempt& action);
+  void apply(const Reject& action);
+  void apply(const Fail& action);
+  void apply(const SetTimer& action);
   void apply(const NotifyPeers&) {}
   void apply(const FollowList&) {}
 
@@ -278,7 +278,7 @@
     return !server.online_since || now_ >= *server.online_since + settings_.slow_start_duration;
   }
   void answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
-                      const std::string& description, limits::Treatment treatment = {});
+                      const std::string& description, call_gapping::Treatment treatment = {});
   void record_attempt(Call& call, std::optional<Outcome> outcome);
   void erase_if_finished(CallId id);
   void arm_timer(Time at, PendingTimer alarm);
--- a/src/core/classes.cpp
+++ b/src/core/classes.cpp
@@ -5,8 +5,8 @@
 namespace graniterun::core {
 namespace {
 
-bool has_lower_weight(const NamedClass& a, const NamedClass& b) {
-  return a.terms.priority_weight < b.terms.priority_weight;
+bool has_lower_weight(const NamedClass& left, const NamedClass& right) {
+  return left.terms.priority_weight < right.terms.priority_weight;
 }
 
 }  // namespace
--- a/src/core/contracts.cpp
+++ b/src/core/contracts.cpp
@@ -16,9 +16,11 @@
   Account* best = nullptr;
   int best_rank = 0;
   for (Account& account : accounts_) {
-    const Contract& c = account.contract;
-    if ((!c.team.empty() && c.team != team) || (c.call_class && *c.call_class != call_class)) continue;
-    const int rank = 1 + (c.team == team ? 2 : 0) + (c.call_class ? 1 : 0);
+    const Contract& contract = account.contract;
+    if ((!contract.team.empty() && contract.team != team) ||
+        (contract.call_class && *contract.call_class != call_class))
+      continue;
+    const int rank = 1 + (contract.team == team ? 2 : 0) + (contract.call_class ? 1 : 0);
     if (rank > best_rank) {
       best = &account;
       best_rank = rank;
@@ -31,17 +33,17 @@
   Terms terms;
   Account* account = find(team, call_class);
   if (account == nullptr) return terms;
-  const Contract& c = account->contract;
-  terms.deadline = c.deadline;
-  terms.attempts = c.attempts;
-  if (!c.per_second) return terms;
+  const Contract& contract = account->contract;
+  terms.deadline = contract.deadline;
+  terms.attempts = contract.attempts;
+  if (!contract.per_second) return terms;
   const double since = std::chrono::duration<double>(now - account->filled.value_or(now)).count();
   account->filled = now;
-  account->tokens = std::min(c.burst, account->tokens + since * *c.per_second);
+  account->tokens = std::min(contract.burst, account->tokens + since * *contract.per_second);
   if (account->tokens >= 1.0) {
     account->tokens -= 1.0;
   } else {
-    const double wait_s = (1.0 - account->tokens) / std::max(*c.per_second, 1e-3);
+    const double wait_s = (1.0 - account->tokens) / std::max(*contract.per_second, 1e-3);
     terms.over_budget_retry_after =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(wait_s));
   }
