--- a/src/distribution/distributor.cpp
+++ b/src/distribution/distributor.cpp
@@ -78,20 +78,20 @@
     started_at_ = last_tick_at_ = tokens_refilled_at_ = now;
     tokens_ = static_cast<double>(settings_.bytes_per_second) / 10;
   }
-  std::visit([&](const auto& e) { on(now, e, out); }, event);
+  std::visit([&](const auto& notice) { on(now, notice, out); }, event);
 }
 
 // ---- the start
 
-void Distributor::on(Time now, const Restored& e, DistributorEffects& out) {
-  for (const auto& [service, record] : e.records) {
+void Distributor::on(Time now, const Restored& event, DistributorEffects& out) {
+  for (const auto& [service, record] : event.records) {
     ServiceRecord& kept = record_of(service);
     kept = record;
     for (const auto* document : {&record.committed, &record.accepted}) {
       if (*document) kept.highest_seen = std::max(kept.highest_seen, (*document)->id.version);
     }
   }
-  if (!e.empty) set_voter_state(now, VoterState::voting, out);
+  if (!event.empty) set_voter_state(now, VoterState::voting, out);
   update_recovery(now, out);
 }
 
@@ -129,8 +129,8 @@
 // them.
 void Distributor::update_recovery(Time now, DistributorEffects& out) {
   if (voter_state_ != VoterState::voting && now - started_at_ >= kRecoveryWait) {
-    const auto all = [](const Peer& p) { return p.synchronized; };
-    const auto voting = [](const Peer& p) { return p.synchronized_by_voter; };
+    const auto all = [](const Peer& peer) { return peer.synchronized; };
+    const auto voting = [](const Peer& peer) { return peer.synchronized_by_voter; };
     const auto told = static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), voting));
     if (std::all_of(peers_.begin(), peers_.end(), all) || told >= peers_.size() / 2 + 1)
       set_voter_state(now, VoterState::voting, out);
@@ -143,19 +143,20 @@
 
 // ---- what is committed
 
-bool Distributor::commit(Time now, const ServiceConfig& d, DistributorEffects& out) {
-  const VersionId known = committed(d.service);
-  if (known.version >= d.id.version) {
-    if (known.version == d.id.version && known != d.id)
-      log_event(DistributorLogKind::conflict, d.service, d.id.version, "another content is committed", out);
+bool Distributor::commit(Time now, const ServiceConfig& config, DistributorEffects& out) {
+  const VersionId known = committed(config.service);
+  if (known.version >= config.id.version) {
+    if (known.version == config.id.version && known != config.id)
+      log_event(DistributorLogKind::conflict, config.service, config.id.version,
+                "another content is committed", out);
     return false;
   }
-  if (!has_capacity_for(d.service)) {
-    log_event(DistributorLogKind::full, d.service, d.id.version, "services", out);
+  if (!has_capacity_for(config.service)) {
+    log_event(DistributorLogKind::full, config.service, config.id.version, "services", out);
     return false;
   }
-  ServiceRecord& record = record_of(d.service);
-  const ServiceConfig document = d;  // it may be the accepted one
+  ServiceRecord& record = record_of(config.service);
+  const ServiceConfig document = config;  // it may be the accepted one
   record.committed = document;
   record.highest_seen = std::max(record.highest_seen, document.id.version);
   if (record.accepted && record.accepted->id.version <= document.id.version) record.accepted.reset();
@@ -186,66 +187,67 @@
 
 // ---- publishing
 
-void Distributor::on(Time now, const PublishRequested& e, DistributorEffects& out) {
+void Distributor::on(Time now, const PublishRequested& event, DistributorEffects& out) {
   const auto refuse = [&](std::string why) {
-    out.emplace_back(PublishFinished{e.request, false, {}, std::move(why)});
+    out.emplace_back(PublishFinished{event.request, false, {}, std::move(why)});
   };
-  if (!is_service_name(e.service)) return refuse("not a service's name");
-  if (e.content.size() > kMaxConfigBytes) return refuse("too large");
+  if (!is_service_name(event.service)) return refuse("not a service's name");
+  if (event.content.size() > kMaxConfigBytes) return refuse("too large");
   if (voter_state_ != VoterState::voting) return refuse("not voting yet");
-  if (!has_capacity_for(e.service)) return refuse("too many services");
+  if (!has_capacity_for(event.service)) return refuse("too many services");
   if (publications_.size() >= kMaxProposals) return refuse("too many at once");
   for (const auto& [id, publication] : publications_) {
-    if (publication.config.service == e.service) return refuse("it is being published here");
+    if (publication.config.service == event.service) return refuse("it is being published here");
   }
   Publication publication;
-  publication.request = e.request;
-  publication.config = {e.service, {}, e.content};
-  publication.version_hint = e.version_hint != 0 ? e.version_hint : std::max<Version>(milliseconds(now), 1);
+  publication.request = event.request;
+  publication.config = {event.service, {}, event.content};
+  publication.version_hint =
+      event.version_hint != 0 ? event.version_hint : std::max<Version>(milliseconds(now), 1);
   propose(now, random_(), std::move(publication), out);
 }
 
 void Distributor::propose(Time now, std::uint64_t id, Publication publication, DistributorEffects& out) {
-  ServiceConfig& d = publication.config;
-  const Version known = std::max(highest_seen(d.service), committed(d.service).version);
+  ServiceConfig& config = publication.config;
+  const Version known = std::max(highest_seen(config.service), committed(config.service).version);
   Version number = std::max(publication.version_hint, known + 1);
-  if (const auto asking = pending_recoveries_.find(d.service);
+  if (const auto asking = pending_recoveries_.find(config.service);
       asking != pending_recoveries_.end() && asking->second.version < kMaxPlausibleVersion)
     number = std::max(number, asking->second.version + 1);
-  d.id = {number, digest_of(settings_.key, d.service, number, d.content)};
+  config.id = {number, digest_of(settings_.key, config.service, number, config.content)};
   ++publication.attempts;
   publication.proposed = true;
   publication.due_at = now + kProposalTtl;
   publication.accepted_by.clear();
   publication.rejected_by.clear();
   publication.version_taken = false;
-  ServiceRecord& record = record_of(d.service);
-  record.accepted = d;
+  ServiceRecord& record = record_of(config.service);
+  record.accepted = config;
   record.highest_seen = number;
-  out.emplace_back(SaveBucket{bucket_of(d.service)});
+  out.emplace_back(SaveBucket{bucket_of(config.service)});
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
-    if (peers_[i].connected) out.emplace_back(SendProposal{i, id, d});
+    if (peers_[i].connected) out.emplace_back(SendProposal{i, id, config});
   }
   publications_.insert_or_assign(id, std::move(publication));
   count_votes(now, id, out);
 }
 
 void Distributor::count_votes(Time now, std::uint64_t id, DistributorEffects& out) {
-  Publication& p = publications_.at(id);
-  if (p.accepted_by.size() + 1 >= majority()) {
-    if (committed(p.config.service).version >= p.config.id.version) {
+  Publication& publication = publications_.at(id);
+  if (publication.accepted_by.size() + 1 >= majority()) {
+    if (committed(publication.config.service).version >= publication.config.id.version) {
       // Another one's was committed above it meanwhile.
       retry_publication(now, id, "others publish it", out);
       return;
     }
-    const Publication done = p;
+    const Publication done = publication;
     publications_.erase(id);
     const bool committed = commit(now, done.config, out);
     out.emplace_back(PublishFinished{done.request, committed, committed ? done.config.id : VersionId{},
                                      committed ? "" : "too many services"});
     return;
   }
-  if (!p.version_taken || peers_.size() - p.rejected_by.size() + 1 >= majority()) return;
+  if (!publication.version_taken || peers_.size() - publication.rejected_by.size() + 1 >= majority()) return;
   retry_publication(now, id, "others publish it", out);
 }
 
@@ -253,15 +255,16 @@
 void Distributor::retry_publication(Time now, std::uint64_t id, const std::string& why,
                                     DistributorEffects& out) {
   auto node = publications_.extract(id);
-  Publication& p = node.mapped();
-  log_event(DistributorLogKind::abandoned, p.config.service, p.config.id.version, why, out);
-  if (p.attempts >= kMaxPublishAttempts) {
-    out.emplace_back(PublishFinished{p.request, false, {}, why});
+  Publication& publication = node.mapped();
+  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, why,
+            out);
+  if (publication.attempts >= kMaxPublishAttempts) {
+    out.emplace_back(PublishFinished{publication.request, false, {}, why});
     return;
   }
-  std::uniform_int_distribution<Duration::rep> draw(0, (kMaxPublishBackoff * p.attempts).count());
-  p.proposed = false;
-  p.due_at = now + Duration(draw(random_));
+  std::uniform_int_distribution<Duration::rep> draw(0, (kMaxPublishBackoff * publication.attempts).count());
+  publication.proposed = false;
+  publication.due_at = now + Duration(draw(random_));
   node.key() = random_();
   publications_.insert(std::move(node));
 }
@@ -274,87 +277,88 @@
 
 void Distributor::abandon_publication(std::uint64_t id, const std::string& why, DistributorEffects& out) {
   const auto it = publications_.find(id);
-  const Publication& p = it->second;
-  log_event(DistributorLogKind::abandoned, p.config.service, p.config.id.version, why, out);
-  out.emplace_back(PublishFinished{p.request, false, {}, why});
+  const Publication& publication = it->second;
+  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, why,
+            out);
+  out.emplace_back(PublishFinished{publication.request, false, {}, why});
   publications_.erase(it);
 }
 
-void Distributor::on(Time now, const ProposalAnswered& e, DistributorEffects& out) {
-  if (e.peer >= peers_.size()) return;
-  const auto it = publications_.find(e.proposal);
+void Distributor::on(Time now, const ProposalAnswered& event, DistributorEffects& out) {
+  if (event.peer >= peers_.size()) return;
+  const auto it = publications_.find(event.proposal);
   if (it == publications_.end() || !it->second.proposed) return;
-  Publication& p = it->second;
-  if (now >= p.due_at) return end_proposal(now, e.proposal, out);
-  if (e.accepted) {
-    p.accepted_by.insert(e.peer);
-    p.rejected_by.erase(e.peer);
+  Publication& publication = it->second;
+  if (now >= publication.due_at) return end_proposal(now, event.proposal, out);
+  if (event.accepted) {
+    publication.accepted_by.insert(event.peer);
+    publication.rejected_by.erase(event.peer);
   } else {
-    if (p.accepted_by.contains(e.peer)) return;
-    p.rejected_by.insert(e.peer);
-    if (e.highest_seen >= p.config.id.version) {
+    if (publication.accepted_by.contains(event.peer)) return;
+    publication.rejected_by.insert(event.peer);
+    if (event.highest_seen >= publication.config.id.version) {
       // Others may still make a majority, but it is not waited for long.
-      p.version_taken = true;
-      p.version_hint = std::max(p.version_hint, e.highest_seen + 1);
-      p.due_at = std::min(p.due_at, now + kVersionTakenDelay);
+      publication.version_taken = true;
+      publication.version_hint = std::max(publication.version_hint, event.highest_seen + 1);
+      publication.due_at = std::min(publication.due_at, now + kVersionTakenDelay);
     }
   }
-  count_votes(now, e.proposal, out);
+  count_votes(now, event.proposal, out);
 }
 
-void Distributor::on(Time, const ProposalReceived& e, DistributorEffects& out) {
-  const ServiceConfig& d = e.config;
-  if (!is_sound(settings_.key, d)) {
-    log_event(DistributorLogKind::unsound, d.service, d.id.version, "a proposal", out);
-    out.emplace_back(AnswerProposal{e.client, e.proposal, false, 0});
+void Distributor::on(Time, const ProposalReceived& event, DistributorEffects& out) {
+  const ServiceConfig& config = event.config;
+  if (!is_sound(settings_.key, config)) {
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a proposal", out);
+    out.emplace_back(AnswerProposal{event.client, event.proposal, false, 0});
     return;
   }
   const auto refuse = [&] {
-    out.emplace_back(AnswerProposal{e.client, e.proposal, false, highest_seen(d.service)});
+    out.emplace_back(AnswerProposal{event.client, event.proposal, false, highest_seen(config.service)});
   };
   if (voter_state_ != VoterState::voting) return refuse();
-  if (!has_capacity_for(d.service)) {
-    log_event(DistributorLogKind::full, d.service, d.id.version, "services", out);
+  if (!has_capacity_for(config.service)) {
+    log_event(DistributorLogKind::full, config.service, config.id.version, "services", out);
     return refuse();
   }
-  ServiceRecord& record = record_of(d.service);
+  ServiceRecord& record = record_of(config.service);
   // The same one for a second time, after its answer was lost, has the same answer.
-  const bool again = record.accepted == d;
-  if (!again && d.id.version <= record.highest_seen) {
-    log_event(DistributorLogKind::rejected, d.service, d.id.version, std::to_string(record.highest_seen),
-              out);
+  const bool again = record.accepted == config;
+  if (!again && config.id.version <= record.highest_seen) {
+    log_event(DistributorLogKind::rejected, config.service, config.id.version,
+              std::to_string(record.highest_seen), out);
     return refuse();
   }
   if (!again) {
-    record.accepted = d;
-    record.highest_seen = d.id.version;
-    out.emplace_back(SaveBucket{bucket_of(d.service)});
-    log_event(DistributorLogKind::accepted, d.service, d.id.version, {}, out);
+    record.accepted = config;
+    record.highest_seen = config.id.version;
+    out.emplace_back(SaveBucket{bucket_of(config.service)});
+    log_event(DistributorLogKind::accepted, config.service, config.id.version, {}, out);
   }
-  out.emplace_back(AnswerProposal{e.client, e.proposal, true, record.highest_seen});
+  out.emplace_back(AnswerProposal{event.client, event.proposal, true, record.highest_seen});
 }
 
 // ---- peers
 
-void Distributor::on(Time now, const PeerConnected& e, DistributorEffects& out) {
-  if (e.peer >= peers_.size()) return;
-  peers_[e.peer].connected = true;
-  peers_[e.peer].subscribed = false;
+void Distributor::on(Time now, const PeerConnected& event, DistributorEffects& out) {
+  if (event.peer >= peers_.size()) return;
+  peers_[event.peer].connected = true;
+  peers_[event.peer].subscribed = false;
   subscribe_to_peers(now, out);
   for (const auto& [id, p] : publications_) {
-    if (p.proposed && now < p.due_at) out.emplace_back(SendProposal{e.peer, id, p.config});
+    if (p.proposed && now < p.due_at) out.emplace_back(SendProposal{event.peer, id, p.config});
   }
 }
 
-void Distributor::on(Time now, const PeerDisconnected& e, DistributorEffects& out) {
-  if (e.peer >= peers_.size()) return;
-  peers_[e.peer].connected = false;
-  peers_[e.peer].subscribed = false;
+void Distributor::on(Time now, const PeerDisconnected& event, DistributorEffects& out) {
+  if (event.peer >= peers_.size()) return;
+  peers_[event.peer].connected = false;
+  peers_[event.peer].subscribed = false;
   for (auto it = pending_fetches_.begin(); it != pending_fetches_.end();) {
     PendingFetch& want = it->second;
-    want.offers.erase(e.peer);
-    want.not_before.erase(e.peer);
-    if (want.asked_peer == e.peer) {
+    want.offers.erase(event.peer);
+    want.not_before.erase(event.peer);
+    if (want.asked_peer == event.peer) {
       want.asked_peer.reset();
       --fetches_in_flight_;
     }
@@ -368,11 +372,11 @@
   start_peer_fetches(now, out);
 }
 
-void Distributor::on(Time now, const PeerVersionsNotified& e, DistributorEffects& out) {
-  if (e.peer >= peers_.size() || !peers_[e.peer].subscribed) return;
-  out.emplace_back(AcknowledgePeer{e.peer});
+void Distributor::on(Time now, const PeerVersionsNotified& event, DistributorEffects& out) {
+  if (event.peer >= peers_.size() || !peers_[event.peer].subscribed) return;
+  out.emplace_back(AcknowledgePeer{event.peer});
   std::set<std::size_t> touched;
-  for (const PeerVersionsNotified::Entry& entry : e.entries) {
+  for (const PeerVersionsNotified::Entry& entry : event.entries) {
     if (!is_service_name(entry.service) || !has_capacity_for(entry.service)) {
       log_event(is_service_name(entry.service) ? DistributorLogKind::full : DistributorLogKind::unsound,
                 entry.service, entry.id.version, "a peer's notice", out);
@@ -393,7 +397,7 @@
       if (entry.id != known)
         log_event(DistributorLogKind::conflict, entry.service, known.version, "a peer's", out);
     } else {
-      pending_fetches_[entry.service].offers[e.peer] = entry.id;
+      pending_fetches_[entry.service].offers[event.peer] = entry.id;
       const ServiceRecord& record = record_of(entry.service);
       // What was accepted here need not be fetched.
       if (record.accepted && record.accepted->id == entry.id)
@@ -401,42 +405,42 @@
     }
   }
   for (const std::size_t bucket : touched) out.emplace_back(SaveBucket{bucket});
-  if (e.complete) {
-    peers_[e.peer].synchronized = true;
-    if (e.voter_state == VoterState::voting) peers_[e.peer].synchronized_by_voter = true;
+  if (event.complete) {
+    peers_[event.peer].synchronized = true;
+    if (event.voter_state == VoterState::voting) peers_[event.peer].synchronized_by_voter = true;
   }
-  if (e.voter_state != VoterState::uninitialized && voter_state_ == VoterState::uninitialized)
+  if (event.voter_state != VoterState::uninitialized && voter_state_ == VoterState::uninitialized)
     set_voter_state(now, VoterState::recovering, out);
   update_recovery(now, out);
   start_peer_fetches(now, out);
 }
 
-void Distributor::on(Time now, const PeerConfigDelivered& e, DistributorEffects& out) {
-  if (e.peer >= peers_.size()) return;
-  const ServiceConfig& d = e.config;
-  const auto it = pending_fetches_.find(d.service);
-  if (it != pending_fetches_.end() && it->second.asked_peer == e.peer) {
+void Distributor::on(Time now, const PeerConfigDelivered& event, DistributorEffects& out) {
+  if (event.peer >= peers_.size()) return;
+  const ServiceConfig& config = event.config;
+  const auto it = pending_fetches_.find(config.service);
+  if (it != pending_fetches_.end() && it->second.asked_peer == event.peer) {
     it->second.asked_peer.reset();
     --fetches_in_flight_;
   }
-  if (!is_sound(settings_.key, d)) {
-    log_event(DistributorLogKind::unsound, d.service, d.id.version, "a peer's", out);
-    if (it != pending_fetches_.end()) it->second.not_before[e.peer] = now + kPeerRetryDelay;
+  if (!is_sound(settings_.key, config)) {
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a peer's", out);
+    if (it != pending_fetches_.end()) it->second.not_before[event.peer] = now + kPeerRetryDelay;
   } else {
-    commit(now, d, out);
+    commit(now, config, out);
   }
   start_peer_fetches(now, out);
   update_recovery(now, out);
 }
 
-void Distributor::on(Time now, const PeerConfigMissing& e, DistributorEffects& out) {
-  const auto it = pending_fetches_.find(e.service);
+void Distributor::on(Time now, const PeerConfigMissing& event, DistributorEffects& out) {
+  const auto it = pending_fetches_.find(event.service);
   if (it == pending_fetches_.end()) return;
-  if (it->second.asked_peer == e.peer) {
+  if (it->second.asked_peer == event.peer) {
     it->second.asked_peer.reset();
     --fetches_in_flight_;
   }
-  it->second.not_before[e.peer] = now + kPeerRetryDelay;
+  it->second.not_before[event.peer] = now + kPeerRetryDelay;
   start_peer_fetches(now, out);
 }
 
@@ -467,27 +471,29 @@
     if (best) candidates.push_back(*best);
   }
   std::stable_sort(candidates.begin(), candidates.end(),
-                   [](const Candidate& a, const Candidate& b) { return a.version > b.version; });
-  for (const Candidate& c : candidates) {
+                   [](const Candidate& left, const Candidate& right) {
+                     return left.version > right.version;
+                   });
+  for (const Candidate& candidate : candidates) {
     if (fetches_in_flight_ >= kMaxPeerFetches) break;
     ++fetches_in_flight_;
-    c.want->asked_peer = c.peer;
-    c.want->deadline = now + kPeerFetchTimeout;
-    out.emplace_back(FetchFromPeer{c.peer, *c.service, c.version});
+    candidate.want->asked_peer = candidate.peer;
+    candidate.want->deadline = now + kPeerFetchTimeout;
+    out.emplace_back(FetchFromPeer{candidate.peer, *candidate.service, candidate.version});
   }
 }
 
 // ---- clients
 
-void Distributor::on(Time now, const ClientConnected& e, DistributorEffects& out) {
+void Distributor::on(Time now, const ClientConnected& event, DistributorEffects& out) {
   if (clients_.size() >= kMaxClients) {
     log_event(DistributorLogKind::full, {}, 0, "clients", out);
-    out.emplace_back(CloseClient{e.client, "too many clients"});
+    out.emplace_back(CloseClient{event.client, "too many clients"});
     return;
   }
-  Client& client = clients_[e.client];
+  Client& client = clients_[event.client];
   client.last_sent_at = now;
-  heartbeats_.emplace(now + kHeartbeatInterval, e.client);
+  heartbeats_.emplace(now + kHeartbeatInterval, event.client);
 }
 
 void Distributor::remember_lost(Time now, const std::string& name) {
@@ -516,7 +522,7 @@
   }
   distributors_.erase(id);
   if (!client.queued_deliveries.empty())
-    std::erase_if(deliveries_, [&](const QueuedDelivery& q) { return q.client == id; });
+    std::erase_if(deliveries_, [&](const QueuedDelivery& delivery) { return delivery.client == id; });
   clients_.erase(it);
 }
 
@@ -525,54 +531,55 @@
   forget_client(now, id);
 }
 
-void Distributor::on(Time now, const ClientDisconnected& e, DistributorEffects&) {
-  forget_client(now, e.client);
+void Distributor::on(Time now, const ClientDisconnected& event, DistributorEffects&) {
+  forget_client(now, event.client);
 }
 
-void Distributor::on(Time now, const SubscriptionReceived& e, DistributorEffects& out) {
-  const auto it = clients_.find(e.client);
+void Distributor::on(Time now, const SubscriptionReceived& event, DistributorEffects& out) {
+  const auto it = clients_.find(event.client);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  if (client.subscribed) return close_client(now, e.client, "it has subscribed before", out);
-  const bool bad_name = e.name.empty() || e.name.size() > kMaxNameLength;
-  if (bad_name) return close_client(now, e.client, "its name is not one", out);
-  if (e.held.size() > kMaxSubscribedServices) return close_client(now, e.client, "too many services", out);
-  for (const VersionsNotified::Entry& held : e.held) {
-    if (!is_service_name(held.service)) return close_client(now, e.client, "not a service's name", out);
+  if (client.subscribed) return close_client(now, event.client, "it has subscribed before", out);
+  const bool bad_name = event.name.empty() || event.name.size() > kMaxNameLength;
+  if (bad_name) return close_client(now, event.client, "its name is not one", out);
+  if (event.held.size() > kMaxSubscribedServices)
+    return close_client(now, event.client, "too many services", out);
+  for (const VersionsNotified::Entry& held : event.held) {
+    if (!is_service_name(held.service)) return close_client(now, event.client, "not a service's name", out);
   }
   client.subscribed = true;
-  client.name = e.name;
-  client.is_distributor = e.all;
-  if (e.all) {
+  client.name = event.name;
+  client.is_distributor = event.all;
+  if (event.all) {
     if (distributors_.size() >= kMaxDistributors)
-      return close_client(now, e.client, "too many distributors", out);
-    distributors_.insert(e.client);
+      return close_client(now, event.client, "too many distributors", out);
+    distributors_.insert(event.client);
     for (const auto& [service, record] : records_) client.pending_services.insert(service);
   } else {
-    client.primary = e.primary;
-    by_name_[client.name].insert(e.client);
+    client.primary = event.primary;
+    by_name_[client.name].insert(event.client);
     lost_gatekeepers_.erase(client.name);
-    for (const VersionsNotified::Entry& held : e.held) {
+    for (const VersionsNotified::Entry& held : event.held) {
       client.services[held.service].active = held.id;
-      by_service_[held.service].insert(e.client);
+      by_service_[held.service].insert(event.client);
       const VersionId known = committed(held.service);
       if (known.version > held.id.version) client.pending_services.insert(held.service);
     }
   }
-  notify_client(now, e.client, client, out);
-  for (const VersionsNotified::Entry& held : e.held)
+  notify_client(now, event.client, client, out);
+  for (const VersionsNotified::Entry& held : event.held)
     compare_reported_version(now, held.service, held.id, out);
 }
 
-void Distributor::on(Time, const PrimaryChanged& e, DistributorEffects&) {
-  if (const auto it = clients_.find(e.client); it != clients_.end()) it->second.primary = e.primary;
+void Distributor::on(Time, const PrimaryChanged& event, DistributorEffects&) {
+  if (const auto it = clients_.find(event.client); it != clients_.end()) it->second.primary = event.primary;
 }
 
-void Distributor::on(Time now, const NotificationAcknowledged& e, DistributorEffects& out) {
-  const auto it = clients_.find(e.client);
+void Distributor::on(Time now, const NotificationAcknowledged& event, DistributorEffects& out) {
+  const auto it = clients_.find(event.client);
   if (it == clients_.end() || !it->second.notification_pending) return;
   it->second.notification_pending = false;
-  notify_client(now, e.client, it->second, out);
+  notify_client(now, event.client, it->second, out);
 }
 
 bool Distributor::may_complete(const Client& client) const { return client.is_distributor || settled_; }
@@ -621,24 +628,25 @@
   out.emplace_back(std::move(notice));
 }
 
-void Distributor::on(Time now, const FetchRequested& e, DistributorEffects& out) {
-  const auto it = clients_.find(e.client);
+void Distributor::on(Time now, const FetchRequested& event, DistributorEffects& out) {
+  const auto it = clients_.find(event.client);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  const VersionId known = committed(e.service);
-  if (known.none() || known.version < e.version) {
-    out.emplace_back(SendMissing{e.client, e.service});
+  const VersionId known = committed(event.service);
+  if (known.none() || known.version < event.version) {
+    out.emplace_back(SendMissing{event.client, event.service});
     return;
   }
-  if (client.queued_deliveries.contains(e.service)) return;
+  if (client.queued_deliveries.contains(event.service)) return;
   const bool full = deliveries_.size() >= kMaxQueuedDeliveries;
   if (full || client.queued_deliveries.size() >= (client.is_distributor ? kMaxPeerFetches : kMaxFetches)) {
-    log_event(DistributorLogKind::full, e.service, e.version, full ? "queue" : "a client's queue", out);
-    out.emplace_back(SendMissing{e.client, e.service});
+    log_event(DistributorLogKind::full, event.service, event.version, full ? "queue" : "a client's queue",
+              out);
+    out.emplace_back(SendMissing{event.client, event.service});
     return;
   }
-  client.queued_deliveries.insert(e.service);
-  deliveries_.insert({known.version, ++last_delivery_, e.client, e.service});
+  client.queued_deliveries.insert(event.service);
+  deliveries_.insert({known.version, ++last_delivery_, event.client, event.service});
   deliver_queued(now, out);
 }
 
@@ -659,23 +667,23 @@
   }
 }
 
-void Distributor::on(Time now, const StatusReported& e, DistributorEffects& out) {
-  const auto it = clients_.find(e.client);
+void Distributor::on(Time now, const StatusReported& event, DistributorEffects& out) {
+  const auto it = clients_.find(event.client);
   if (it == clients_.end()) return;
-  const auto subscription = it->second.services.find(e.service);
+  const auto subscription = it->second.services.find(event.service);
   if (subscription == it->second.services.end()) return;
   Subscription& s = subscription->second;
-  if (!e.active) {
-    s.rejected = e.id;
-    s.reason = e.reason.substr(0, kMaxReasonLength);
+  if (!event.active) {
+    s.rejected = event.id;
+    s.reason = event.reason.substr(0, kMaxReasonLength);
     return;
   }
-  s.active = e.id;
-  if (s.rejected && s.rejected->version <= e.id.version) {
+  s.active = event.id;
+  if (s.rejected && s.rejected->version <= event.id.version) {
     s.rejected.reset();
     s.reason.clear();
   }
-  compare_reported_version(now, e.service, e.id, out);
+  compare_reported_version(now, event.service, event.id, out);
 }
 
 // ---- what clients have and nobody here knows
@@ -724,17 +732,18 @@
   }
 }
 
-void Distributor::on(Time now, const ConfigReturned& e, DistributorEffects& out) {
-  const ServiceConfig& d = e.config;
-  if (!clients_.contains(e.client)) return;
-  if (!is_sound(settings_.key, d)) {
-    log_event(DistributorLogKind::unsound, d.service, d.id.version, "a gatekeeper's", out);
+void Distributor::on(Time now, const ConfigReturned& event, DistributorEffects& out) {
+  const ServiceConfig& config = event.config;
+  if (!clients_.contains(event.client)) return;
+  if (!is_sound(settings_.key, config)) {
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a gatekeeper's", out);
     return;
   }
-  const auto it = pending_recoveries_.find(d.service);
-  if (it == pending_recoveries_.end() || it->second.asked_client != e.client)
+  const auto it = pending_recoveries_.find(config.service);
+  if (it == pending_recoveries_.end() || it->second.asked_client != event.client)
     return;  // known since, or never asked for
-  if (commit(now, d, out)) log_event(DistributorLogKind::recovered, d.service, d.id.version, {}, out);
+  if (commit(now, config, out))
+    log_event(DistributorLogKind::recovered, config.service, config.id.version, {}, out);
 }
 
 // ---- time
@@ -793,15 +802,15 @@
     const Client& client = clients_.at(id);
     if (!client.primary) continue;
     ++status.subscribed;
-    const Subscription& s = client.services.find(service)->second;
-    if (s.rejected && s.rejected->version >= status.committed.version) {
+    const Subscription& subscription = client.services.find(service)->second;
+    if (subscription.rejected && subscription.rejected->version >= status.committed.version) {
       ++status.rejected_count;
       if (status.rejections.size() < kMaxNamesInStatus)
-        status.rejections.push_back({client.name, s.rejected->version, s.reason});
-    } else if (s.active.version < status.committed.version) {
+        status.rejections.push_back({client.name, subscription.rejected->version, subscription.reason});
+    } else if (subscription.active.version < status.committed.version) {
       ++status.behind_count;
       if (status.behind.size() < kMaxNamesInStatus) status.behind.push_back(client.name);
-    } else if (s.active == status.committed && !s.active.none()) {
+    } else if (subscription.active == status.committed && !subscription.active.none()) {
       ++status.active;
     }
   }
--- a/src/distribution/distributor.h
+++ b/src/distribution/distributor.h
@@ -359,24 +359,24 @@
     }
   };
 
-  void on(Time now, const Restored& e, DistributorEffects& out);
-  void on(Time now, const PeerConnected& e, DistributorEffects& out);
-  void on(Time now, const PeerDisconnected& e, DistributorEffects& out);
-  void on(Time now, const PeerVersionsNotified& e, DistributorEffects& out);
-  void on(Time now, const PeerConfigDelivered& e, DistributorEffects& out);
-  void on(Time now, const PeerConfigMissing& e, DistributorEffects& out);
-  void on(Time now, const ProposalAnswered& e, DistributorEffects& out);
-  void on(Time now, const ClientConnected& e, DistributorEffects& out);
-  void on(Time now, const ClientDisconnected& e, DistributorEffects& out);
-  void on(Time now, const SubscriptionReceived& e, DistributorEffects& out);
-  void on(Time now, const PrimaryChanged& e, DistributorEffects& out);
-  void on(Time now, const NotificationAcknowledged& e, DistributorEffects& out);
-  void on(Time now, const FetchRequested& e, DistributorEffects& out);
-  void on(Time now, const StatusReported& e, DistributorEffects& out);
-  void on(Time now, const ConfigReturned& e, DistributorEffects& out);
-  void on(Time now, const ProposalReceived& e, DistributorEffects& out);
-  void on(Time now, const PublishRequested& e, DistributorEffects& out);
-  void on(Time now, const Tick& e, DistributorEffects& out);
+  void on(Time now, const Restored& event, DistributorEffects& out);
+  void on(Time now, const PeerConnected& event, DistributorEffects& out);
+  void on(Time now, const PeerDisconnected& event, DistributorEffects& out);
+  void on(Time now, const PeerVersionsNotified& event, DistributorEffects& out);
+  void on(Time now, const PeerConfigDelivered& event, DistributorEffects& out);
+  void on(Time now, const PeerConfigMissing& event, DistributorEffects& out);
+  void on(Time now, const ProposalAnswered& event, DistributorEffects& out);
+  void on(Time now, const ClientConnected& event, DistributorEffects& out);
+  void on(Time now, const ClientDisconnected& event, DistributorEffects& out);
+  void on(Time now, const SubscriptionReceived& event, DistributorEffects& out);
+  void on(Time now, const PrimaryChanged& event, DistributorEffects& out);
+  void on(Time now, const NotificationAcknowledged& event, DistributorEffects& out);
+  void on(Time now, const FetchRequested& event, DistributorEffects& out);
+  void on(Time now, const StatusReported& event, DistributorEffects& out);
+  void on(Time now, const ConfigReturned& event, DistributorEffects& out);
+  void on(Time now, const ProposalReceived& event, DistributorEffects& out);
+  void on(Time now, const PublishRequested& event, DistributorEffects& out);
+  void on(Time now, const Tick& event, DistributorEffects& out);
 
   std::size_t majority() const { return (settings_.peers + 1) / 2 + 1; }
   ServiceRecord& record_of(const std::string& service);
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -50,7 +50,7 @@
 }
 
 void Subscriber::step(Time now, const SubscriberEvent& event, SubscriberEffects& out) {
-  std::visit([&](const auto& e) { on(now, e, out); }, event);
+  std::visit([&](const auto& notice) { on(now, notice, out); }, event);
   start_fetches(now, out);
   start_apply(now, out);
   maintain_sources(now, out);
@@ -63,30 +63,30 @@
   if (source < sources_.size()) sources_[source].last_received_at = now;
 }
 
-void Subscriber::on(Time now, const SourceConnected& e, SubscriberEffects& out) {
-  if (e.source >= sources_.size() || sources_[e.source].state != Source::State::opening) return;
-  Source& source = sources_[e.source];
+void Subscriber::on(Time now, const SourceConnected& event, SubscriberEffects& out) {
+  if (event.source >= sources_.size() || sources_[event.source].state != Source::State::opening) return;
+  Source& source = sources_[event.source];
   source.state = Source::State::connected;
   source.complete = false;
   source.state_since = now;
   source.last_received_at = now;
   out.emplace_back(
-      SubscriberLogEvent{SubscriberLogKind::source_connected, {}, 0, settings_.distributors[e.source]});
-  choose_primary(e.source, out);
-  Subscribe subscribe{e.source, {}, primary_ == e.source};
-  for (const Service& s : services_)
-    subscribe.held.push_back({s.name, s.active ? s.active->id : VersionId{}});
+      SubscriberLogEvent{SubscriberLogKind::source_connected, {}, 0, settings_.distributors[event.source]});
+  choose_primary(event.source, out);
+  Subscribe subscribe{event.source, {}, primary_ == event.source};
+  for (const Service& service : services_)
+    subscribe.held.push_back({service.name, service.active ? service.active->id : VersionId{}});
   out.emplace_back(std::move(subscribe));
-  for (const Service& s : services_) {
-    if (s.rejected) report_status(s, e.source, out);
+  for (const Service& service : services_) {
+    if (service.rejected) report_status(service, event.source, out);
   }
 }
 
 // What it told is no more to be had from it.
 void Subscriber::forget_source(std::uint32_t source) {
-  for (Service& s : services_) {
-    s.offers.erase(source);
-    if (s.fetch && s.fetch->source == source) s.fetch.reset();
+  for (Service& service : services_) {
+    service.offers.erase(source);
+    if (service.fetch && service.fetch->source == source) service.fetch.reset();
   }
 }
 
@@ -107,9 +107,9 @@
   choose_primary(std::nullopt, out);
 }
 
-void Subscriber::on(Time now, const SourceDisconnected& e, SubscriberEffects& out) {
-  if (e.source >= sources_.size() || sources_[e.source].state == Source::State::closed) return;
-  handle_source_lost(now, e.source, out);
+void Subscriber::on(Time now, const SourceDisconnected& event, SubscriberEffects& out) {
+  if (event.source >= sources_.size() || sources_[event.source].state == Source::State::closed) return;
+  handle_source_lost(now, event.source, out);
 }
 
 // The best ranked one of those that are up and have told all, or of those that are up: one that was stopped
@@ -160,15 +160,15 @@
   }
 }
 
-void Subscriber::on(Time now, const HeartbeatReceived& e, SubscriberEffects&) {
-  record_source_input(now, e.source);
+void Subscriber::on(Time now, const HeartbeatReceived& event, SubscriberEffects&) {
+  record_source_input(now, event.source);
 }
 
 void Subscriber::on(Time now, const Tick&, SubscriberEffects& out) {
   if (now - last_tick_at_ > kPauseThreshold) {
     for (Source& source : sources_) source.last_received_at = source.state_since = now;
-    for (Service& s : services_) {
-      if (s.fetch) s.fetch->deadline = now + kFetchTimeout;
+    for (Service& service : services_) {
+      if (service.fetch) service.fetch->deadline = now + kFetchTimeout;
     }
   }
   last_tick_at_ = now;
@@ -181,101 +181,104 @@
     out.emplace_back(CloseSource{i});
     handle_source_lost(now, i, out);
   }
-  for (Service& s : services_) {
-    if (!s.fetch || now < s.fetch->deadline) continue;
-    const std::uint32_t source = s.fetch->source;
-    out.emplace_back(
-        SubscriberLogEvent{SubscriberLogKind::fetch_timed_out, s.name, 0, settings_.distributors[source]});
-    if (const auto offer = s.offers.find(source); offer != s.offers.end())
+  for (Service& service : services_) {
+    if (!service.fetch || now < service.fetch->deadline) continue;
+    const std::uint32_t source = service.fetch->source;
+    out.emplace_back(SubscriberLogEvent{SubscriberLogKind::fetch_timed_out, service.name, 0,
+                                        settings_.distributors[source]});
+    if (const auto offer = service.offers.find(source); offer != service.offers.end())
       offer->second.not_before = now + kOfferRetryDelay;
     // Who was asked stays known: the document may still come from there.
-    s.fetch->deadline = Time::max();
+    service.fetch->deadline = Time::max();
   }
 }
 
 // ---- what is told
 
-void Subscriber::on(Time now, const VersionsNotified& e, SubscriberEffects& out) {
-  if (e.source >= sources_.size() || !is_connected(e.source)) return;
-  record_source_input(now, e.source);
-  for (const VersionsNotified::Entry& entry : e.entries) {
-    Service* s = find(entry.service);
-    if (s == nullptr) {
+void Subscriber::on(Time now, const VersionsNotified& event, SubscriberEffects& out) {
+  if (event.source >= sources_.size() || !is_connected(event.source)) return;
+  record_source_input(now, event.source);
+  for (const VersionsNotified::Entry& entry : event.entries) {
+    Service* service = find(entry.service);
+    if (service == nullptr) {
       out.emplace_back(
           SubscriberLogEvent{SubscriberLogKind::unrequested, entry.service, entry.id.version, {}});
       continue;
     }
-    s->offers.erase(e.source);
-    if (s->active && entry.id.version < s->active->id.version) {
-      out.emplace_back(SubscriberLogEvent{SubscriberLogKind::stale, s->name, entry.id.version, {}});
+    service->offers.erase(event.source);
+    if (service->active && entry.id.version < service->active->id.version) {
+      out.emplace_back(SubscriberLogEvent{SubscriberLogKind::stale, service->name, entry.id.version, {}});
       continue;
     }
-    for (const auto* held : {&s->active, &s->candidate}) {
+    for (const auto* held : {&service->active, &service->candidate}) {
       if (*held && (*held)->id.version == entry.id.version && (*held)->id != entry.id)
-        out.emplace_back(SubscriberLogEvent{SubscriberLogKind::conflict, s->name, entry.id.version, {}});
+        out.emplace_back(
+            SubscriberLogEvent{SubscriberLogKind::conflict, service->name, entry.id.version, {}});
     }
-    if (!entry.id.none()) s->offers[e.source] = {entry.id, {}};
+    if (!entry.id.none()) service->offers[event.source] = {entry.id, {}};
   }
-  if (!e.complete || std::exchange(sources_[e.source].complete, true)) return;
+  if (!event.complete || std::exchange(sources_[event.source].complete, true)) return;
   choose_primary(std::nullopt, out);
 }
 
-void Subscriber::on(Time now, const ConfigMissing& e, SubscriberEffects&) {
-  record_source_input(now, e.source);
-  Service* s = find(e.service);
-  if (s == nullptr) return;
-  if (const auto offer = s->offers.find(e.source); offer != s->offers.end())
+void Subscriber::on(Time now, const ConfigMissing& event, SubscriberEffects&) {
+  record_source_input(now, event.source);
+  Service* service = find(event.service);
+  if (service == nullptr) return;
+  if (const auto offer = service->offers.find(event.source); offer != service->offers.end())
     offer->second.not_before = now + kOfferRetryDelay;
-  if (s->fetch && s->fetch->source == e.source) s->fetch->deadline = Time::max();
+  if (service->fetch && service->fetch->source == event.source) service->fetch->deadline = Time::max();
 }
 
-void Subscriber::on(Time now, const ConfigRequested& e, SubscriberEffects& out) {
-  record_source_input(now, e.source);
-  const Service* s = find(e.service);
-  if (s != nullptr && s->active && e.source < sources_.size() && is_connected(e.source))
-    out.emplace_back(ReturnConfig{e.source, *s->active});
+void Subscriber::on(Time now, const ConfigRequested& event, SubscriberEffects& out) {
+  record_source_input(now, event.source);
+  const Service* service = find(event.service);
+  if (service != nullptr && service->active && event.source < sources_.size() && is_connected(event.source))
+    out.emplace_back(ReturnConfig{event.source, *service->active});
 }
 
-void Subscriber::on(Time now, const ConfigDelivered& e, SubscriberEffects& out) {
-  record_source_input(now, e.source);
-  const ServiceConfig& d = e.config;
-  Service* s = find(d.service);
+void Subscriber::on(Time now, const ConfigDelivered& event, SubscriberEffects& out) {
+  record_source_input(now, event.source);
+  const ServiceConfig& config = event.config;
+  Service* service = find(config.service);
   const auto tell = [&](SubscriberLogKind what) {
-    out.emplace_back(SubscriberLogEvent{what, d.service, d.id.version, {}});
+    out.emplace_back(SubscriberLogEvent{what, config.service, config.id.version, {}});
   };
-  if (s == nullptr) return tell(SubscriberLogKind::unrequested);
+  if (service == nullptr) return tell(SubscriberLogKind::unrequested);
   const auto was_asked = [&] {
-    return s->fetch && std::find(s->fetch->asked_sources.begin(), s->fetch->asked_sources.end(), e.source) !=
-                           s->fetch->asked_sources.end();
+    return service->fetch &&
+           std::find(service->fetch->asked_sources.begin(), service->fetch->asked_sources.end(),
+                     event.source) != service->fetch->asked_sources.end();
   };
-  for (const auto* held : {&s->active, &s->candidate}) {
-    if (!*held || (*held)->id.version != d.id.version) continue;
+  for (const auto* held : {&service->active, &service->candidate}) {
+    if (!*held || (*held)->id.version != config.id.version) continue;
     // The same one for a second time is no news.
-    if ((*held)->id != d.id) tell(SubscriberLogKind::conflict);
+    if ((*held)->id != config.id) tell(SubscriberLogKind::conflict);
     return;
   }
-  if (s->active && d.id.version < s->active->id.version) return tell(SubscriberLogKind::stale);
+  if (service->active && config.id.version < service->active->id.version)
+    return tell(SubscriberLogKind::stale);
   if (!was_asked()) return tell(SubscriberLogKind::unrequested);
-  if (d.id.version < s->floor()) return tell(SubscriberLogKind::stale);
-  const auto offer = s->offers.find(e.source);
-  const bool other =
-      offer != s->offers.end() && offer->second.id.version == d.id.version && offer->second.id != d.id;
-  if (!is_sound(settings_.key, d) || other) {
-    if (offer != s->offers.end()) offer->second.not_before = now + kOfferRetryDelay;
-    if (s->fetch->source == e.source) s->fetch->deadline = Time::max();
-    return tell(other && is_sound(settings_.key, d) ? SubscriberLogKind::conflict
-                                                    : SubscriberLogKind::unsound);
+  if (config.id.version < service->floor()) return tell(SubscriberLogKind::stale);
+  const auto offer = service->offers.find(event.source);
+  const bool other = offer != service->offers.end() && offer->second.id.version == config.id.version &&
+                     offer->second.id != config.id;
+  if (!is_sound(settings_.key, config) || other) {
+    if (offer != service->offers.end()) offer->second.not_before = now + kOfferRetryDelay;
+    if (service->fetch->source == event.source) service->fetch->deadline = Time::max();
+    return tell(other && is_sound(settings_.key, config) ? SubscriberLogKind::conflict
+                                                         : SubscriberLogKind::unsound);
   }
-  s->fetch.reset();
-  s->candidate = d;
-  s->candidate_rejected = false;
+  service->fetch.reset();
+  service->candidate = config;
+  service->candidate_rejected = false;
   if (!gathering_since_) gathering_since_ = now;
 }
 
 bool Subscriber::has_to_fetch() const {
-  return std::any_of(services_.begin(), services_.end(), [](const Service& s) {
-    return std::any_of(s.offers.begin(), s.offers.end(),
-                       [&](const auto& offer) { return offer.second.id.version > s.floor(); });
+  return std::any_of(services_.begin(), services_.end(), [](const Service& service) {
+    return std::any_of(service.offers.begin(), service.offers.end(),
+                       [&](const auto& offer) { return offer.second.id.version > service.floor(); });
   });
 }
 
@@ -287,34 +290,36 @@
   };
   std::vector<Candidate> candidates;
   std::size_t out_now = 0;
-  for (Service& s : services_) {
-    if (s.fetch && s.fetch->deadline != Time::max()) {
+  for (Service& state : services_) {
+    if (state.fetch && state.fetch->deadline != Time::max()) {
       ++out_now;
       continue;
     }
     std::optional<Candidate> best;
     for (const std::uint32_t source : ranking_) {
-      const auto offer = s.offers.find(source);
-      if (offer == s.offers.end() || offer->second.not_before > now || !is_connected(source)) continue;
+      const auto offer = state.offers.find(source);
+      if (offer == state.offers.end() || offer->second.not_before > now || !is_connected(source)) continue;
       const Version version = offer->second.id.version;
-      if (version <= s.floor() || (best && version <= best->version)) continue;
-      best = Candidate{&s, source, version};
+      if (version <= state.floor() || (best && version <= best->version)) continue;
+      best = Candidate{&state, source, version};
     }
     if (best) candidates.push_back(*best);
   }
   std::stable_sort(candidates.begin(), candidates.end(),
-                   [](const Candidate& a, const Candidate& b) { return a.version > b.version; });
-  for (const Candidate& c : candidates) {
+                   [](const Candidate& left, const Candidate& right) {
+                     return left.version > right.version;
+                   });
+  for (const Candidate& candidate : candidates) {
     if (out_now >= kMaxFetches) break;
     ++out_now;
-    if (!c.service->fetch) c.service->fetch.emplace();
-    PendingFetch& fetch = *c.service->fetch;
-    fetch.source = c.source;
+    if (!candidate.service->fetch) candidate.service->fetch.emplace();
+    PendingFetch& fetch = *candidate.service->fetch;
+    fetch.source = candidate.source;
     fetch.deadline = now + kFetchTimeout;
-    if (std::find(fetch.asked_sources.begin(), fetch.asked_sources.end(), c.source) ==
+    if (std::find(fetch.asked_sources.begin(), fetch.asked_sources.end(), candidate.source) ==
         fetch.asked_sources.end())
-      fetch.asked_sources.push_back(c.source);
-    out.emplace_back(FetchConfig{c.source, c.service->name, c.version});
+      fetch.asked_sources.push_back(candidate.source);
+    out.emplace_back(FetchConfig{candidate.source, candidate.service->name, candidate.version});
   }
 }
 
@@ -323,7 +328,7 @@
 bool Subscriber::has_to_apply() const {
   return is_applying_ || !to_apply_alone_.empty() ||
          std::any_of(services_.begin(), services_.end(),
-                     [](const Service& s) { return s.candidate && !s.candidate_rejected; });
+                     [](const Service& service) { return service.candidate && !service.candidate_rejected; });
 }
 
 void Subscriber::start_apply(Time now, SubscriberEffects& out) {
@@ -362,28 +367,28 @@
   configs_applying_.clear();
   ApplyConfigs apply;
   for (std::size_t i = 0; i < services_.size(); ++i) {
-    Service& s = services_[i];
+    Service& service = services_[i];
     if (std::find(applying_.begin(), applying_.end(), i) != applying_.end()) {
-      s.candidate_rejected = true;
-      configs_applying_.push_back(*s.candidate);
-      apply.configs.push_back(*s.candidate);
-    } else if (s.active) {
-      apply.configs.push_back(*s.active);
+      service.candidate_rejected = true;
+      configs_applying_.push_back(*service.candidate);
+      apply.configs.push_back(*service.candidate);
+    } else if (service.active) {
+      apply.configs.push_back(*service.active);
     }
   }
   out.emplace_back(std::move(apply));
 }
 
-void Subscriber::on(Time, const ApplyFinished& e, SubscriberEffects& out) {
+void Subscriber::on(Time, const ApplyFinished& event, SubscriberEffects& out) {
   if (!is_applying_) return;
   is_applying_ = false;
   const std::vector<std::size_t> places = std::exchange(applying_, {});
   const std::vector<ServiceConfig> documents = std::exchange(configs_applying_, {});
-  if (e.succeeded) {
+  if (event.succeeded) {
     activated_alone_ = true;
     for (std::size_t i = 0; i < places.size(); ++i) activate(services_[places[i]], documents[i], out);
   } else if (places.size() == 1) {
-    reject(services_[places[0]], documents[0], e.reason, out);
+    reject(services_[places[0]], documents[0], event.reason, out);
     rejected_alone_.push_back(places[0]);
   } else {
     to_apply_alone_.assign(places.rbegin(), places.rend());
@@ -391,38 +396,39 @@
     activated_alone_ = false;
   }
   if (!std::exchange(base_changed_, false)) return;
-  for (Service& s : services_) s.candidate_rejected = false;
+  for (Service& service : services_) service.candidate_rejected = false;
 }
 
-void Subscriber::activate(Service& s, ServiceConfig document, SubscriberEffects& out) {
-  if (s.candidate && s.candidate->id == document.id) s.candidate.reset();
-  if (s.rejected && s.rejected->version <= document.id.version) {
-    s.rejected.reset();
-    s.reason.clear();
+void Subscriber::activate(Service& service, ServiceConfig document, SubscriberEffects& out) {
+  if (service.candidate && service.candidate->id == document.id) service.candidate.reset();
+  if (service.rejected && service.rejected->version <= document.id.version) {
+    service.rejected.reset();
+    service.reason.clear();
   }
-  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::activated, s.name, document.id.version, {}});
-  s.active = std::move(document);
-  report_status(s, std::nullopt, out);
+  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::activated, service.name, document.id.version, {}});
+  service.active = std::move(document);
+  report_status(service, std::nullopt, out);
 }
 
-void Subscriber::reject(Service& s, const ServiceConfig& document, const std::string& reason,
+void Subscriber::reject(Service& service, const ServiceConfig& document, const std::string& reason,
                         SubscriberEffects& out) {
-  const bool known = s.rejected == document.id && s.reason == reason;
-  s.rejected = document.id;
-  s.reason = reason;
+  const bool known = service.rejected == document.id && service.reason == reason;
+  service.rejected = document.id;
+  service.reason = reason;
   if (known) return;
-  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::rejected, s.name, document.id.version, reason});
-  report_status(s, std::nullopt, out);
+  out.emplace_back(
+      SubscriberLogEvent{SubscriberLogKind::rejected, service.name, document.id.version, reason});
+  report_status(service, std::nullopt, out);
 }
 
-void Subscriber::report_status(const Service& s, std::optional<std::uint32_t> to,
+void Subscriber::report_status(const Service& service, std::optional<std::uint32_t> to,
                                SubscriberEffects& out) const {
   for (std::uint32_t i = 0; i < sources_.size(); ++i) {
     if (!is_connected(i) || (to && *to != i)) continue;
-    if (s.rejected) {
-      out.emplace_back(ReportStatus{i, s.name, *s.rejected, false, s.reason});
-    } else if (s.active) {
-      out.emplace_back(ReportStatus{i, s.name, s.active->id, true, {}});
+    if (service.rejected) {
+      out.emplace_back(ReportStatus{i, service.name, *service.rejected, false, service.reason});
+    } else if (service.active) {
+      out.emplace_back(ReportStatus{i, service.name, service.active->id, true, {}});
     }
   }
 }
@@ -432,7 +438,7 @@
     base_changed_ = true;  // its answer may be about the old one
     return;
   }
-  for (Service& s : services_) s.candidate_rejected = false;
+  for (Service& service : services_) service.candidate_rejected = false;
 }
 
 // ---- what is known of it
@@ -449,22 +455,24 @@
 }
 
 bool Subscriber::is_current() const {
-  const bool told = std::any_of(sources_.begin(), sources_.end(), [](const Source& s) {
-    return s.state == Source::State::connected && s.complete;
+  const bool told = std::any_of(sources_.begin(), sources_.end(), [](const Source& source) {
+    return source.state == Source::State::connected && source.complete;
   });
   return told && !has_to_fetch() && !has_to_apply();
 }
 
 std::vector<std::pair<std::string, Subscriber::ServiceState>> Subscriber::service_states() const {
   std::vector<std::pair<std::string, ServiceState>> all;
-  for (const Service& s : services_)
-    all.emplace_back(s.name, ServiceState{s.active ? s.active->id : VersionId{}, s.rejected, s.reason});
+  for (const Service& service : services_)
+    all.emplace_back(service.name, ServiceState{service.active ? service.active->id : VersionId{},
+                                                service.rejected, service.reason});
   return all;
 }
 
 std::size_t Subscriber::connected_sources() const {
-  return static_cast<std::size_t>(std::count_if(
-      sources_.begin(), sources_.end(), [](const Source& s) { return s.state == Source::State::connected; }));
+  return static_cast<std::size_t>(std::count_if(sources_.begin(), sources_.end(), [](const Source& source) {
+    return source.state == Source::State::connected;
+  }));
 }
 
 }  // namespace graniterun::distribution
--- a/src/distribution/subscriber.h
+++ b/src/distribution/subscriber.h
@@ -220,16 +220,16 @@
 
   Service* find(std::string_view name);
   bool is_connected(std::uint32_t source) const { return sources_[source].state == Source::State::connected; }
-  void on(Time now, const SourceConnected& e, SubscriberEffects& out);
-  void on(Time now, const SourceDisconnected& e, SubscriberEffects& out);
-  void on(Time now, const VersionsNotified& e, SubscriberEffects& out);
-  void on(Time now, const ConfigDelivered& e, SubscriberEffects& out);
-  void on(Time now, const ConfigMissing& e, SubscriberEffects& out);
-  void on(Time now, const ConfigRequested& e, SubscriberEffects& out);
-  void on(Time now, const HeartbeatReceived& e, SubscriberEffects& out);
-  void on(Time now, const ApplyFinished& e, SubscriberEffects& out);
-  void on(Time now, const BaseChanged& e, SubscriberEffects& out);
-  void on(Time now, const Tick& e, SubscriberEffects& out);
+  void on(Time now, const SourceConnected& event, SubscriberEffects& out);
+  void on(Time now, const SourceDisconnected& event, SubscriberEffects& out);
+  void on(Time now, const VersionsNotified& event, SubscriberEffects& out);
+  void on(Time now, const ConfigDelivered& event, SubscriberEffects& out);
+  void on(Time now, const ConfigMissing& event, SubscriberEffects& out);
+  void on(Time now, const ConfigRequested& event, SubscriberEffects& out);
+  void on(Time now, const HeartbeatReceived& event, SubscriberEffects& out);
+  void on(Time now, const ApplyFinished& event, SubscriberEffects& out);
+  void on(Time now, const BaseChanged& event, SubscriberEffects& out);
+  void on(Time now, const Tick& event, SubscriberEffects& out);
   void record_source_input(Time now, std::uint32_t source);
   void handle_source_lost(Time now, std::uint32_t source, SubscriberEffects& out);
   void forget_source(std::uint32_t source);
--- a/src/front/connection_reaper.h
+++ b/src/downstream/connection_reaper.h
@@ -11,7 +11,7 @@
 
 #include "net/events.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 
 class ConnectionReaper {
  public:
@@ -90,4 +90,4 @@
   std::map<net::ConnId, Open> open_;
 };
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/load_control.cpp
+++ b/src/downstream/load_control.cpp
@@ -1,10 +1,10 @@
-#include "front/load_control.h"
+#include "downstream/load_control.h"
 
 #include <algorithm>
 
-#include "proto/number.h"
+#include "codec/number.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 namespace {
 
 using namespace std::chrono_literals;
@@ -142,7 +142,7 @@
   control::LoadControlDocument document;
   document.version = s.version++;
   std::size_t left_out = 0;
-  for (const limits::GapState& gap : source_.gaps(now)) {
+  for (const call_gapping::GapState& gap : source_.gaps(now)) {
     if (gap.announcement->end <= now) continue;
     const auto rule = control::rule_of(*gap.announcement);
     if (!rule || document.rules.size() >= control::kMaxRules) {
@@ -282,16 +282,16 @@
 void LoadControl::store_gaps(Time now, Neighbour& n, Outbox& out) {
   if (!n.document || !source_.announce) return;
   const Time until = n.ends.value_or(now + kMaxSubscription);
-  const std::vector<limits::Announcement> gaps = control::gaps_of(*n.document, n.address, now, until);
+  const std::vector<call_gapping::Announcement> gaps = control::gaps_of(*n.document, n.address, now, until);
   std::set<std::string> held;
-  for (const limits::Announcement& a : gaps) {
+  for (const call_gapping::Announcement& a : gaps) {
     source_.announce(now, a, out);
     held.insert(a.id);
   }
   std::swap(held, n.held);
   for (const std::string& id : held) {
     if (n.held.contains(id)) continue;
-    limits::Announcement lift;
+    call_gapping::Announcement lift;
     lift.id = id;
     lift.author = n.address;
     lift.version = static_cast<std::uint64_t>(
@@ -322,4 +322,4 @@
   }
 }
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/load_control.h
+++ b/src/downstream/load_control.h
@@ -11,20 +11,20 @@
 #include <string>
 #include <vector>
 
+#include "call_gapping/gap_register.h"
 #include "control/load_control.h"
 #include "core/counters.h"
 #include "core/random_id.h"
-#include "limits/gap_register.h"
 #include "net/outbox.h"
 #include "sip/transactions.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 
 // The register of gaps, as far as neighbours have to do with it.
 struct GapSource {
-  std::function<std::vector<limits::GapState>(Time)> gaps{};
+  std::function<std::vector<call_gapping::GapState>(Time)> gaps{};
   std::function<std::uint64_t()> digest{};
-  std::function<void(Time, const limits::Announcement&, Outbox&)> announce{};
+  std::function<void(Time, const call_gapping::Announcement&, Outbox&)> announce{};
 };
 
 struct LoadControlSettings {
@@ -99,4 +99,4 @@
   RandomIdGenerator ids_;
 };
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -1,11 +1,11 @@
-#include "front/platform.h"
+#include "downstream/platform.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "proto/number.h"
+#include "codec/number.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 namespace {
 
 // Causes of Q.850.
@@ -355,4 +355,4 @@
   calls_.erase(it);
 }
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/platform.h
+++ b/src/downstream/platform.h
@@ -9,13 +9,13 @@
 #include <unordered_map>
 #include <vector>
 
+#include "codec/jsonl.h"
 #include "core/classes.h"
 #include "core/counters.h"
-#include "front/connection_reaper.h"
+#include "downstream/connection_reaper.h"
 #include "net/outbox.h"
-#include "proto/jsonl.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 
 struct PlatformFrontSettings {
   std::shared_ptr<const core::Classes> classes{};
@@ -98,4 +98,4 @@
   bool handed_over_ = false;
 };
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -1,11 +1,11 @@
-#include "front/sip.h"
+#include "downstream/sip.h"
 
 #include <algorithm>
 
-#include "proto/jsonl.h"
-#include "proto/number.h"
+#include "codec/jsonl.h"
+#include "codec/number.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 namespace {
 
 using namespace std::chrono_literals;
@@ -23,7 +23,7 @@
 }
 
 // RFC 3326. The words hold no control characters; what would end the text early is left out.
-std::string reason(const limits::Treatment& treatment) {
+std::string reason(const call_gapping::Treatment& treatment) {
   std::string text = "Q.850;cause=" + std::to_string(treatment.cause);
   std::string words = treatment.text;
   std::erase_if(words, [](char c) { return c == '"' || c == '\\'; });
@@ -544,4 +544,4 @@
   return "<sip:" + address(flow) + (flow.reliable ? ";transport=tcp>" : ">");
 }
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/front/sip.h
+++ b/src/downstream/sip.h
@@ -13,12 +13,12 @@
 #include "core/classes.h"
 #include "core/counters.h"
 #include "core/random_id.h"
-#include "front/connection_reaper.h"
-#include "front/load_control.h"
+#include "downstream/connection_reaper.h"
+#include "downstream/load_control.h"
 #include "net/outbox.h"
 #include "sip/transactions.h"
 
-namespace graniterun::front {
+namespace graniterun::downstream {
 
 struct SipFrontSettings {
   std::optional<std::string> udp{};  // where it listens; none: it is off
@@ -119,4 +119,4 @@
   bool ready_ = false;
 };
 
-}  // namespace graniterun::front
+}  // namespace graniterun::downstream
--- a/src/fleet/datagram.cpp
+++ b/src/fleet/datagram.cpp
@@ -16,10 +16,10 @@
 
 struct Malformed {};
 
-json to_json(const Record& r) {
-  return json::array({r.name, r.incarnation, r.start_nonce, r.address, r.refutation,
-                      static_cast<unsigned>(r.state), static_cast<unsigned>(r.evidence), r.suspecting_member,
-                      r.handing_over ? 1U : 0U});
+json to_json(const Record& record) {
+  return json::array({record.name, record.incarnation, record.start_nonce, record.address, record.refutation,
+                      static_cast<unsigned>(record.state), static_cast<unsigned>(record.evidence),
+                      record.suspecting_member, record.handing_over ? 1U : 0U});
 }
 
 std::uint64_t number_in(const json& j, std::uint64_t most = ~std::uint64_t{0}) {
@@ -37,22 +37,22 @@
 
 Record record_in(const json& j) {
   array_in(j, 9);
-  Record r;
-  r.name = text_in(j[0], kMaxNameLength);
-  r.incarnation = number_in(j[1], ~std::uint64_t{0} >> 1);  // lives are stepped
-  r.start_nonce = number_in(j[2]);
-  r.address = text_in(j[3], kMaxAddressLength);
-  r.refutation = static_cast<std::uint32_t>(number_in(j[4], 0x7fffffff));
-  r.state = static_cast<State>(number_in(j[5], static_cast<unsigned>(State::left)));
-  r.evidence = static_cast<Evidence>(number_in(j[6], static_cast<unsigned>(Evidence::replaced)));
-  r.suspecting_member = text_in(j[7], kMaxNameLength);
-  r.handing_over = number_in(j[8], 1) == 1;
-  if (r.name.empty() || r.address.empty()) throw Malformed{};
-  return r;
+  Record record;
+  record.name = text_in(j[0], kMaxNameLength);
+  record.incarnation = number_in(j[1], ~std::uint64_t{0} >> 1);  // lives are stepped
+  record.start_nonce = number_in(j[2]);
+  record.address = text_in(j[3], kMaxAddressLength);
+  record.refutation = static_cast<std::uint32_t>(number_in(j[4], 0x7fffffff));
+  record.state = static_cast<State>(number_in(j[5], static_cast<unsigned>(State::left)));
+  record.evidence = static_cast<Evidence>(number_in(j[6], static_cast<unsigned>(Evidence::replaced)));
+  record.suspecting_member = text_in(j[7], kMaxNameLength);
+  record.handing_over = number_in(j[8], 1) == 1;
+  if (record.name.empty() || record.address.empty()) throw Malformed{};
+  return record;
 }
 
 // The records of one process may be its own or what another holds of it: none is written as null.
-json maybe(bool known, const Record& r) { return known ? to_json(r) : json(); }
+json maybe(bool known, const Record& record) { return known ? to_json(record) : json(); }
 
 json body_of(const Body& body) {
   return std::visit(
@@ -76,25 +76,25 @@
 }
 
 Body body_in(std::uint64_t kind, const json& j) {
-  const auto record = [](const json& r, bool& known, Record& into) {
-    known = !r.is_null();
-    if (known) into = record_in(r);
+  const auto record = [](const json& object, bool& known, Record& into) {
+    known = !object.is_null();
+    if (known) into = record_in(object);
   };
   switch (kind) {
     case 0: {
       array_in(j, 3);
-      Ping b;
-      b.token = number_in(j[0]);
-      b.by_non_member = number_in(j[1], 1) == 1;
-      record(j[2], b.known, b.about_receiver);
-      return b;
+      Ping ping;
+      ping.token = number_in(j[0]);
+      ping.by_non_member = number_in(j[1], 1) == 1;
+      record(j[2], ping.known, ping.about_receiver);
+      return ping;
     }
     case 1: {
       array_in(j, 2);
-      Ack b;
-      b.token = number_in(j[0]);
-      record(j[1], b.known, b.about_receiver);
-      return b;
+      Ack ack;
+      ack.token = number_in(j[0]);
+      record(j[1], ack.known, ack.about_receiver);
+      return ack;
     }
     case 2:
       array_in(j, 3);
@@ -104,9 +104,9 @@
     case 4:
       return Nack{number_in(array_in(j, 1)[0])};
     case 5: {
-      SyncRequest b;
-      for (const json& one : array_in(j, kBuckets)) b.buckets.push_back(number_in(one));
-      return b;
+      SyncRequest request;
+      for (const json& one : array_in(j, kBuckets)) request.buckets.push_back(number_in(one));
+      return request;
     }
     case 6:
       array_in(j, 0);
@@ -132,11 +132,12 @@
   return kWords[static_cast<std::size_t>(refusal)];
 }
 
-std::string encode(const Datagram& d, std::string_view fleet, const Key& key) {
+std::string encode(const Datagram& datagram, std::string_view fleet, const Key& key) {
   json records = json::array();
-  for (const Record& r : d.records) records.push_back(to_json(r));
-  json whole = json::array({kVersion, fleet, d.body.index(), to_json(d.from), d.to, d.number, d.digest,
-                            d.catching_up ? 1U : 0U, body_of(d.body), std::move(records)});
+  for (const Record& record : datagram.records) records.push_back(to_json(record));
+  json whole = json::array({kVersion, fleet, datagram.body.index(), to_json(datagram.from), datagram.to,
+                            datagram.number, datagram.digest, datagram.catching_up ? 1U : 0U,
+                            body_of(datagram.body), std::move(records)});
   std::vector<std::uint8_t> bytes = json::to_cbor(whole);
   while (kTag + bytes.size() > kMaxDatagramBytes && !whole[9].empty()) {
     whole[9].erase(whole[9].size() - 1);
@@ -173,16 +174,16 @@
   try {
     array_in(whole, 10);
     if (text_in(whole[1], kMaxNameLength) != fleet) return DecodeError::fleet;
-    Datagram d;
-    d.from = record_in(whole[3]);
-    d.to = text_in(whole[4], kMaxNameLength);
-    d.number = number_in(whole[5]);
-    d.digest = number_in(whole[6]);
-    d.catching_up = number_in(whole[7], 1) == 1;
-    d.body = body_in(number_in(whole[2], 255), whole[8]);
+    Datagram datagram;
+    datagram.from = record_in(whole[3]);
+    datagram.to = text_in(whole[4], kMaxNameLength);
+    datagram.number = number_in(whole[5]);
+    datagram.digest = number_in(whole[6]);
+    datagram.catching_up = number_in(whole[7], 1) == 1;
+    datagram.body = body_in(number_in(whole[2], 255), whole[8]);
     if (!whole[9].is_array() || whole[9].size() > kMaxRecords) throw Malformed{};
-    for (const json& r : whole[9]) d.records.push_back(record_in(r));
-    return d;
+    for (const json& object : whole[9]) datagram.records.push_back(record_in(object));
+    return datagram;
   } catch (const Malformed&) {
     return DecodeError::malformed;
   }
--- a/src/fleet/datagram.h
+++ b/src/fleet/datagram.h
@@ -30,7 +30,7 @@
 std::string_view to_string(DecodeError refusal);
 
 // Records that make it too long are left out, from the end.
-std::string encode(const membership::Datagram& d, std::string_view fleet, const Key& key);
+std::string encode(const membership::Datagram& datagram, std::string_view fleet, const Key& key);
 // Any bytes with their tag before them.
 std::string sealed(std::string_view bytes, const Key& key);
 // The tag is looked at before anything else is read.
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -14,7 +14,9 @@
 constexpr std::uint64_t kTickTimer = 0;
 constexpr std::uint64_t kBindTimer = 1;
 
-std::int64_t ms_of(Duration d) { return std::chrono::duration_cast<std::chrono::milliseconds>(d).count(); }
+std::int64_t ms_of(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
+}
 
 net::Level level_of(MemberEventKind what) {
   switch (what) {
@@ -30,20 +32,20 @@
 
 }  // namespace
 
-json to_json(Time now, const MemberView& m) {
-  const Record& r = m.record;
-  json j = {{"name", r.name},
-            {"life", r.incarnation},
-            {"address", r.address},
-            {"incarnation", r.refutation},
-            {"state", to_string(r.state)},
-            {"since_ms", ms_of(now - m.state_since)},
-            {"evidence", to_string(r.evidence)},
-            {"reach", to_string(m.reachability)},
-            {"self", m.self}};
-  if (!r.suspecting_member.empty()) j["accuser"] = r.suspecting_member;
-  if (r.handing_over) j["handing_over"] = true;
-  if (m.last_received_at) j["heard_ms_ago"] = ms_of(now - *m.last_received_at);
+json to_json(Time now, const MemberView& member) {
+  const Record& record = member.record;
+  json j = {{"name", record.name},
+            {"life", record.incarnation},
+            {"address", record.address},
+            {"incarnation", record.refutation},
+            {"state", to_string(record.state)},
+            {"since_ms", ms_of(now - member.state_since)},
+            {"evidence", to_string(record.evidence)},
+            {"reach", to_string(member.reachability)},
+            {"self", member.self}};
+  if (!record.suspecting_member.empty()) j["accuser"] = record.suspecting_member;
+  if (record.handing_over) j["handing_over"] = true;
+  if (member.last_received_at) j["heard_ms_ago"] = ms_of(now - *member.last_received_at);
   return j;
 }
 
@@ -68,9 +70,9 @@
   out.arm(net::Concern::fleet, kBindTimer, now + kBindRetryDelay);
 }
 
-void Fleet::on(Time now, const net::TimerFired& e, Outbox& out) {
+void Fleet::on(Time now, const net::TimerFired& event, Outbox& out) {
   if (stopped_) return;
-  if (e.key.number == kBindTimer) {
+  if (event.key.number == kBindTimer) {
     out.net.push_back(net::Bind{net::Concern::fleet, settings_.listen, true});
     return;
   }
@@ -84,9 +86,9 @@
   out.log(net::Level::info, "the fleet's port is left to the next process");
 }
 
-void Fleet::on(Time now, const net::Datagram& e, Outbox& out) {
+void Fleet::on(Time now, const net::Datagram& datagram, Outbox& out) {
   counters_.add("fleet.datagrams_in");
-  auto read = decode(e.bytes, settings_.fleet, settings_.key);
+  auto read = decode(datagram.bytes, settings_.fleet, settings_.key);
   if (const auto* refusal = std::get_if<DecodeError>(&read)) {
     counters_.add("fleet.refused." + std::string(to_string(*refusal)));
     return decode_warning_.line(
@@ -95,10 +97,10 @@
   step(now, DatagramReceived{std::move(std::get<membership::Datagram>(read))}, out);
 }
 
-void Fleet::on(Time now, const net::Unreachable& e, Outbox& out) {
+void Fleet::on(Time now, const net::Unreachable& event, Outbox& out) {
   counters_.add("fleet.ports_refused");
-  PortUnreachable refused{e.peer, {}};
-  const auto read = decode(e.bytes, settings_.fleet, settings_.key);
+  PortUnreachable refused{event.peer, {}};
+  const auto read = decode(event.bytes, settings_.fleet, settings_.key);
   if (const auto* own = std::get_if<membership::Datagram>(&read)) {
     if (const auto* ping = std::get_if<Ping>(&own->body)) refused.token = ping->token;
   }
@@ -124,10 +126,11 @@
       if (places_.port_released) places_.port_released(now, gone->name, gone->probed_at);
       continue;
     }
-    const auto& e = std::get<MemberEvent>(effect);
-    out.log(level_of(e.kind), "fleet: " + e.record.name + " (life " + std::to_string(e.record.incarnation) +
-                                  ") " + std::string(to_string(e.kind)) + ": " + e.evidence);
-    for (const Watcher& watcher : watchers_) watcher(now, e, out);
+    const auto& notice = std::get<MemberEvent>(effect);
+    out.log(level_of(notice.kind), "fleet: " + notice.record.name + " (life " +
+                                       std::to_string(notice.record.incarnation) + ") " +
+                                       std::string(to_string(notice.kind)) + ": " + notice.evidence);
+    for (const Watcher& watcher : watchers_) watcher(now, notice, out);
   }
 }
 
@@ -141,9 +144,9 @@
         line.value("after", json("")).is_string() ? line.value("after", std::string()) : "";
     json page = json::array();
     std::size_t bytes = 0;
-    for (const MemberView& m : membership_.members()) {
-      if (m.record.name <= after) continue;
-      json one = to_json(now, m);
+    for (const MemberView& member : membership_.members()) {
+      if (member.record.name <= after) continue;
+      json one = to_json(now, member);
       bytes += one.dump().size();
       if (bytes > kPageBytes) {
         j["more"] = true;
@@ -171,7 +174,8 @@
 std::vector<Gauge> Fleet::gauges(Time now) const {
   if (settings_.listen.empty()) return {};
   std::array<std::size_t, 4> by_state{};
-  for (const MemberView& m : membership_.members()) ++by_state[static_cast<std::size_t>(m.record.state)];
+  for (const MemberView& member : membership_.members())
+    ++by_state[static_cast<std::size_t>(member.record.state)];
   std::vector<Gauge> all;
   for (std::size_t i = 0; i < by_state.size(); ++i) {
     all.push_back({"fleet.members",
@@ -190,20 +194,20 @@
 
 void Fleet::count(Counters& all) const {
   if (settings_.listen.empty()) return;
-  const Metrics& f = membership_.metrics();
-  for (const auto& [name, value] : {std::pair{"fleet.suspicions_raised", f.suspicions_raised},
-                                    {"fleet.suspicions_held", f.suspicions_known},
-                                    {"fleet.suspicions_refuted", f.refuted},
-                                    {"fleet.suspicions_confirmed", f.confirmed},
-                                    {"fleet.suspicions_of_self_refuted", f.own_suspicions_refuted},
-                                    {"fleet.deaths_by_refusal", f.deaths_by_unreachable_port},
-                                    {"fleet.deaths_turned_down", f.deaths_disproved},
-                                    {"fleet.own_pauses", f.pauses},
-                                    {"fleet.lives_taken", f.incarnations_taken},
-                                    {"fleet.syncs", f.syncs}})
+  const Metrics& figures = membership_.metrics();
+  for (const auto& [name, value] : {std::pair{"fleet.suspicions_raised", figures.suspicions_raised},
+                                    {"fleet.suspicions_held", figures.suspicions_known},
+                                    {"fleet.suspicions_refuted", figures.refuted},
+                                    {"fleet.suspicions_confirmed", figures.confirmed},
+                                    {"fleet.suspicions_of_self_refuted", figures.own_suspicions_refuted},
+                                    {"fleet.deaths_by_refusal", figures.deaths_by_unreachable_port},
+                                    {"fleet.deaths_turned_down", figures.deaths_disproved},
+                                    {"fleet.own_pauses", figures.pauses},
+                                    {"fleet.lives_taken", figures.incarnations_taken},
+                                    {"fleet.syncs", figures.syncs}})
     all.add(name, value);
   for (std::size_t i = 0; i < kDropReasons; ++i)
-    all.add("fleet.dropped." + std::string(to_string(static_cast<DropReason>(i))), f.dropped[i]);
+    all.add("fleet.dropped." + std::string(to_string(static_cast<DropReason>(i))), figures.dropped[i]);
 }
 
 }  // namespace graniterun::fleet
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -18,7 +18,7 @@
 class Fleet {
  public:
   // Told of each change, after it has been taken.
-  using Watcher = std::function<void(Time now, const membership::MemberEvent& e, Outbox& out)>;
+  using Watcher = std::function<void(Time now, const membership::MemberEvent& event, Outbox& out)>;
   // Told when this process has the fleet's port, and when it has it no more; and of members that are gone for
   // sure.
   struct SlotPlaces {
@@ -30,11 +30,11 @@
   Fleet(FleetSettings settings, Counters& counters);
 
   void start(Time now, Outbox& out);
-  void on(Time now, const net::Datagram& e, Outbox& out);
-  void on(Time now, const net::Unreachable& e, Outbox& out);
-  void on(Time now, const net::Bound& e, Outbox& out);
-  void on(Time now, const net::BindFailed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Datagram& datagram, Outbox& out);
+  void on(Time now, const net::Unreachable& event, Outbox& out);
+  void on(Time now, const net::Bound& event, Outbox& out);
+  void on(Time now, const net::BindFailed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
   // At the end of this process, or because an operator says so. With a successor its port is free at once.
   void leave(Time now, bool successor, Outbox& out);
 
@@ -58,6 +58,6 @@
   bool stopped_ = false;
 };
 
-nlohmann::json to_json(Time now, const membership::MemberView& m);
+nlohmann::json to_json(Time now, const membership::MemberView& member);
 
 }  // namespace graniterun::fleet
--- a/src/app/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -1,4 +1,4 @@
-#include "app/gatekeeper.h"
+#include "gatekeeper/gatekeeper.h"
 
 #include <algorithm>
 #include <utility>
@@ -30,18 +30,18 @@
   using Fs::operator()...;
 };
 
-front::PlatformFrontSettings platform_settings(const PlatformConfig& config, const DeployConfig& deploy,
-                                               const core::ClassTable& classes) {
-  front::PlatformFrontSettings s;
+downstream::PlatformFrontSettings platform_settings(const PlatformConfig& config, const DeployConfig& deploy,
+                                                    const core::ClassTable& classes) {
+  downstream::PlatformFrontSettings s;
   s.classes = classes.classes;
   const std::size_t most = descriptor_shares(config.sockets).callers;
   s.max_connections = deploy.sip_tcp ? most - most / 2 : most;
   return s;
 }
 
-front::SipFrontSettings sip_settings(const PlatformConfig& config, const DeployConfig& deploy,
-                                     const core::ClassTable& classes) {
-  front::SipFrontSettings s;
+downstream::SipFrontSettings sip_settings(const PlatformConfig& config, const DeployConfig& deploy,
+                                          const core::ClassTable& classes) {
+  downstream::SipFrontSettings s;
   s.udp = deploy.sip_udp;
   s.tcp = deploy.sip_tcp;
   s.classes = classes.classes;
@@ -99,9 +99,9 @@
     config_.text = {};  // nothing is laid over it
   }
   if (deploy.sip_server_transport != "platform") {
-    trunk_.emplace(
-        back::SipTrunkSettings{deploy.sip_server_transport == "tcp", deploy.sip_servers_from, config.seed},
-        config.areas, counters_);
+    trunk_.emplace(upstream::SipTrunkSettings{deploy.sip_server_transport == "tcp", deploy.sip_servers_from,
+                                              config.seed},
+                   config.areas, counters_);
   }
   connect_parts();
 }
@@ -170,7 +170,7 @@
   if (deploy_.control) {
     sip_.share_gaps({[this](Time now) { return control_.gaps().list(now); },
                      [this] { return control_.gaps().digest(); },
-                     [this](Time now, const limits::Announcement& a, Outbox& out) {
+                     [this](Time now, const call_gapping::Announcement& a, Outbox& out) {
                        control_.store_announcement(now, a, out);
                      }});
   }
--- a/src/app/gatekeeper.h
+++ b/src/gatekeeper/gatekeeper.h
@@ -7,19 +7,19 @@
 #include <functional>
 #include <optional>
 
-#include "back/discovery.h"
-#include "back/setup_servers.h"
-#include "back/sip_trunk.h"
 #include "config/config.h"
 #include "control/control.h"
 #include "control/subscription.h"
 #include "core/broker.h"
+#include "downstream/platform.h"
+#include "downstream/sip.h"
 #include "fleet/fleet.h"
-#include "front/platform.h"
-#include "front/sip.h"
 #include "management/management.h"
 #include "net/outbox.h"
 #include "otlp/exporter.h"
+#include "upstream/discovery.h"
+#include "upstream/setup_servers.h"
+#include "upstream/sip_trunk.h"
 
 namespace graniterun {
 
@@ -70,12 +70,12 @@
   fleet::Fleet fleet_;
   std::optional<control::Subscription> subscription_{};  // where configuration is distributed
   core::Broker broker_;
-  front::Platform platform_;
-  front::Sip sip_;
+  downstream::Platform platform_;
+  downstream::Sip sip_;
   // One of them speaks to the setup servers.
-  back::SetupServers servers_;
-  std::optional<back::SipTrunk> trunk_{};
-  back::DiscoveryClient journal_;
+  upstream::SetupServers servers_;
+  std::optional<upstream::SipTrunk> trunk_{};
+  upstream::DiscoveryClient journal_;
   otlp::Exporter exporter_;
   std::array<Handler, net::kConcerns> handlers_{};  // who is told of a concern's events
   management::Management management_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,11 +9,11 @@
 #include <random>
 #include <string>
 
-#include "app/gatekeeper.h"
+#include "codec/number.h"
 #include "config/descriptors.h"
+#include "gatekeeper/gatekeeper.h"
 #include "net/counted.h"
 #include "net/runtime.h"
-#include "proto/number.h"
 
 namespace {
 
@@ -63,16 +63,16 @@
   }
   if (!deploy.fleet) return;
   deploy.fleet->key = key_of("the fleet's", deploy.fleet_key_file);
-  membership::Settings& m = deploy.fleet->membership;
-  m.start_nonce = draw();
-  m.seed = draw();
+  membership::Settings& settings = deploy.fleet->membership;
+  settings.start_nonce = draw();
+  settings.seed = draw();
   const auto unix_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(net::clock_now().time_since_epoch());
-  m.incarnation = static_cast<membership::Incarnation>(
+  settings.incarnation = static_cast<membership::Incarnation>(
       std::max<std::int64_t>(1, unix_ms.count() + deploy.fleet_clock_offset_ms));
 }
 
-limits::Fleet fleet_of(const PlatformConfig& config) {
+call_gapping::Fleet fleet_of(const PlatformConfig& config) {
   const std::uint32_t size = std::max<std::uint32_t>(1, config.settings.senders);
   return {size, std::min(config.index, size - 1)};
 }
--- a/src/management/management.cpp
+++ b/src/management/management.cpp
@@ -26,39 +26,40 @@
   out.arm(net::Concern::management, 0, now + kReapInterval);
 }
 
-void Management::on(Time now, const net::Accepted& e, Outbox& out) {
+void Management::on(Time now, const net::Accepted& event, Outbox& out) {
   counters_.add("management.connections");
-  waiting_.push_back({e.conn, now});
+  waiting_.push_back({event.conn, now});
   if (waiting_.size() <= kMaxWaiting) return;
   counters_.add("management.dropped_for_room");
   out.drop(waiting_.front().conn);
   waiting_.pop_front();
 }
 
-void Management::on(Time now, const net::Received& e, Outbox& out) {
-  const auto it =
-      std::find_if(waiting_.begin(), waiting_.end(), [&](const Waiting& w) { return w.conn == e.conn; });
+void Management::on(Time now, const net::Received& event, Outbox& out) {
+  const auto it = std::find_if(waiting_.begin(), waiting_.end(),
+                               [&](const Waiting& waiting) { return waiting.conn == event.conn; });
   if (it == waiting_.end()) return;
-  const std::size_t end = e.bytes.substr(0, kLineBound).find('\n');
+  const std::size_t end = event.bytes.substr(0, kLineBound).find('\n');
   if (end == std::string_view::npos) {
-    if (e.bytes.size() >= kLineBound) reply(e.conn, "ERR the line has no end within 256 bytes\n", out);
+    if (event.bytes.size() >= kLineBound)
+      reply(event.conn, "ERR the line has no end within 256 bytes\n", out);
     return;
   }
-  out.net.push_back(net::Consume{e.conn, e.bytes.size()});
-  std::string_view line = e.bytes.substr(0, end);
+  out.net.push_back(net::Consume{event.conn, event.bytes.size()});
+  std::string_view line = event.bytes.substr(0, end);
   if (line.ends_with('\r')) line.remove_suffix(1);
   counters_.add("management.calls");
-  if (!is_plain(line)) return reply(e.conn, "ERR the line is not plain text\n", out);
+  if (!is_plain(line)) return reply(event.conn, "ERR the line is not plain text\n", out);
   const auto call = calls_.find(line);
   if (call == calls_.end()) {
     std::string known;
     for (const auto& [name, answer] : calls_) known += (known.empty() ? "" : ", ") + name;
-    return reply(e.conn, "ERR unknown call; there are: " + known + "\n", out);
+    return reply(event.conn, "ERR unknown call; there are: " + known + "\n", out);
   }
-  reply(e.conn, call->second(now), out);
+  reply(event.conn, call->second(now), out);
 }
 
-void Management::on(Time, const net::Closed& e, Outbox&) { forget(e.conn); }
+void Management::on(Time, const net::Closed& event, Outbox&) { forget(event.conn); }
 
 void Management::on(Time now, const net::TimerFired&, Outbox& out) {
   out.arm(net::Concern::management, 0, now + kReapInterval);
@@ -76,7 +77,7 @@
 }
 
 void Management::forget(net::ConnId conn) {
-  std::erase_if(waiting_, [conn](const Waiting& w) { return w.conn == conn; });
+  std::erase_if(waiting_, [conn](const Waiting& waiting) { return waiting.conn == conn; });
 }
 
 }  // namespace graniterun::management
--- a/src/management/management.h
+++ b/src/management/management.h
@@ -32,10 +32,10 @@
   }
 
   void start(Time now, Outbox& out) const;
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
 
  private:
   struct Waiting {  // for a whole line
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -49,13 +49,13 @@
   bool is_member() const { return state == State::alive || state == State::suspect; }
 };
 
-// Whether `a` holds over `b`, both of one name. Irreflexive: equal rank holds over nothing.
-inline bool supersedes(const Record& a, const Record& b) {
-  const auto rank = [](const Record& r) {
-    const bool gone = r.state == State::left;
-    return std::tuple(r.incarnation, r.start_nonce, gone, r.refutation, r.state);
+// Whether `left` holds over `right`, both of one name. Irreflexive: equal rank holds over nothing.
+inline bool supersedes(const Record& left, const Record& right) {
+  const auto rank = [](const Record& record) {
+    const bool gone = record.state == State::left;
+    return std::tuple(record.incarnation, record.start_nonce, gone, record.refutation, record.state);
   };
-  return rank(a) > rank(b);
+  return rank(left) > rank(right);
 }
 
 constexpr std::string_view to_string(State state) {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -46,23 +46,23 @@
 std::size_t bucket_of(const std::string& name) { return XXH3_64bits(name.data(), name.size()) % kBuckets; }
 
 // Suspicions come and go at different times everywhere: they are no part of what is compared.
-std::uint64_t hash_of(const Record& r) {
-  const State state = r.state == State::suspect ? State::alive : r.state;
-  const std::string text = r.name + '\n' + std::to_string(r.incarnation) + '\n' +
-                           std::to_string(r.start_nonce) + '\n' + std::to_string(r.refutation) + '\n' +
-                           std::to_string(static_cast<int>(state));
+std::uint64_t hash_of(const Record& record) {
+  const State state = record.state == State::suspect ? State::alive : record.state;
+  const std::string text = record.name + '\n' + std::to_string(record.incarnation) + '\n' +
+                           std::to_string(record.start_nonce) + '\n' + std::to_string(record.refutation) +
+                           '\n' + std::to_string(static_cast<int>(state));
   return XXH3_64bits(text.data(), text.size());
 }
 
 // As it was before it was doubted.
-Record without_suspicion(Record r) {
-  r.state = State::alive;
-  r.suspecting_member.clear();
-  return r;
+Record without_suspicion(Record record) {
+  record.state = State::alive;
+  record.suspecting_member.clear();
+  return record;
 }
 
-std::string ms_text(Duration d) {
-  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count()) + " ms";
+std::string ms_text(Duration duration) {
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count()) + " ms";
 }
 
 }  // namespace
@@ -92,7 +92,7 @@
 
 void Membership::step(Time now, const Event& event, Effects& effects) {
   out_ = &effects;
-  std::visit([&](const auto& e) { on(now, e); }, event);
+  std::visit([&](const auto& notice) { on(now, notice); }, event);
   out_ = nullptr;
 }
 
@@ -109,76 +109,78 @@
   return it == peers_.end() ? nullptr : &it->second.record;
 }
 
-void Membership::update_digest(const Record& r, int sign) {
-  const std::uint64_t hash = sign > 0 ? hash_of(r) : std::uint64_t{0} - hash_of(r);
-  buckets_[bucket_of(r.name)] += hash;
+void Membership::update_digest(const Record& record, int sign) {
+  const std::uint64_t hash = sign > 0 ? hash_of(record) : std::uint64_t{0} - hash_of(record);
+  buckets_[bucket_of(record.name)] += hash;
   digest_ += hash;
 }
 
 // Takes `r` for what is known of that name now, and keeps all that follows from it in step.
-void Membership::store_record(Time now, Peer& p, const Record& r) {
-  const bool was = p.record.is_member();
-  const bool moved = p.record.address != r.address || was != r.is_member();
-  if (!p.broadcast_ended) update_digest(p.record, -1);
-  if (moved && was) by_address_.erase(p.record.address);
-  if (!p.record.same_incarnation(r) || !r.is_member()) {
-    if (p.verified) --verified_;
-    p.verified = false;
+void Membership::store_record(Time now, Peer& peer, const Record& record) {
+  const bool was = peer.record.is_member();
+  const bool moved = peer.record.address != record.address || was != record.is_member();
+  if (!peer.broadcast_ended) update_digest(peer.record, -1);
+  if (moved && was) by_address_.erase(peer.record.address);
+  if (!peer.record.same_incarnation(record) || !record.is_member()) {
+    if (peer.verified) --verified_;
+    peer.verified = false;
   }
-  if (!p.record.same_incarnation(r)) {
-    p.window = ReplayWindow{};
-    p.first_unanswered_at.reset();
-    p.last_ack_at.reset();
+  if (!peer.record.same_incarnation(record)) {
+    peer.window = ReplayWindow{};
+    peer.first_unanswered_at.reset();
+    peer.last_ack_at.reset();
   }
-  if (p.record.state != r.state || !p.record.same_incarnation(r) || p.record.handing_over != r.handing_over)
-    p.state_since = now;
-  p.record = r;
-  p.broadcast_ended = false;
-  update_digest(r, 1);
-  r.state == State::dead ? void(dead_members_.insert(r.name)) : void(dead_members_.erase(r.name));
-  if (r.state != State::suspect) {
-    p.suspicion.reset();
-    suspects_.clear(r.name);
+  if (peer.record.state != record.state || !peer.record.same_incarnation(record) ||
+      peer.record.handing_over != record.handing_over)
+    peer.state_since = now;
+  peer.record = record;
+  peer.broadcast_ended = false;
+  update_digest(record, 1);
+  record.state == State::dead ? void(dead_members_.insert(record.name))
+                              : void(dead_members_.erase(record.name));
+  if (record.state != State::suspect) {
+    peer.suspicion.reset();
+    suspects_.clear(record.name);
   }
-  p.reported_death.reset();
-  reported_deaths_.clear(r.name);
-  if (r.state == State::alive) p.unreachable_since.reset();
-  if (moved && r.is_member()) by_address_[r.address] = r.name;
-  if (was != r.is_member()) {
-    r.is_member() ? ++members_ : --members_;
-    if (r.is_member()) {
-      expirations_.clear(r.name);
+  peer.reported_death.reset();
+  reported_deaths_.clear(record.name);
+  if (record.state == State::alive) peer.unreachable_since.reset();
+  if (moved && record.is_member()) by_address_[record.address] = record.name;
+  if (was != record.is_member()) {
+    record.is_member() ? ++members_ : --members_;
+    if (record.is_member()) {
+      expirations_.clear(record.name);
       // Anywhere in the round, so that nobody knows who is probed next.
       const std::size_t at = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
-      if (std::find(probe_order_.begin(), probe_order_.end(), r.name) == probe_order_.end())
-        probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(at), r.name);
+      if (std::find(probe_order_.begin(), probe_order_.end(), record.name) == probe_order_.end())
+        probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(at), record.name);
     } else {
-      expirations_.set(r.name, now + settings_.dead_member_retention / 2);
+      expirations_.set(record.name, now + settings_.dead_member_retention / 2);
     }
   }
   changed_at_ = now;
-  broadcast(r.name);
+  broadcast(record.name);
 }
 
-Membership::Peer& Membership::add_peer(Time now, const Record& r) {
-  Peer& p = peers_[r.name];
-  p.record = r;
-  p.state_since = now;
-  update_digest(r, 1);
-  if (r.state == State::dead) dead_members_.insert(r.name);
-  if (r.is_member()) {
+Membership::Peer& Membership::add_peer(Time now, const Record& record) {
+  Peer& peer = peers_[record.name];
+  peer.record = record;
+  peer.state_since = now;
+  update_digest(record, 1);
+  if (record.state == State::dead) dead_members_.insert(record.name);
+  if (record.is_member()) {
     ++members_;
-    by_address_[r.address] = r.name;
+    by_address_[record.address] = record.name;
     probe_order_.insert(
         probe_order_.begin() +
             static_cast<std::ptrdiff_t>(probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1)),
-        r.name);
+        record.name);
   } else {
-    expirations_.set(r.name, now + settings_.dead_member_retention / 2);
+    expirations_.set(record.name, now + settings_.dead_member_retention / 2);
   }
   changed_at_ = now;
-  broadcast(r.name);
-  return p;
+  broadcast(record.name);
+  return peer;
 }
 
 void Membership::erase_peer(Peers::iterator it) {
@@ -211,12 +213,12 @@
 std::vector<MemberView> Membership::members() const {
   std::vector<MemberView> all;
   const auto self = [&] {
-    MemberView v;
-    v.record = self_;
-    v.state_since = incarnation_taken_at_ != Time{} ? incarnation_taken_at_ : started_at_;
-    v.reachability = Reachability::direct;
-    v.self = true;
-    return v;
+    MemberView member;
+    member.record = self_;
+    member.state_since = incarnation_taken_at_ != Time{} ? incarnation_taken_at_ : started_at_;
+    member.reachability = Reachability::direct;
+    member.self = true;
+    return member;
   };
   bool said = false;
   for (const auto& [name, p] : peers_) {
@@ -224,18 +226,18 @@
       all.push_back(self());
       said = true;
     }
-    MemberView v;
-    v.record = p.record;
-    v.state_since = p.state_since;
-    v.last_received_at = p.last_received_at;
+    MemberView member;
+    member.record = p.record;
+    member.state_since = p.state_since;
+    member.last_received_at = p.last_received_at;
     if (p.first_unanswered_at) {
-      v.reachability = p.last_relayed_ack_at && *p.last_relayed_ack_at >= *p.first_unanswered_at
-                           ? Reachability::through_others
-                           : Reachability::none;
+      member.reachability = p.last_relayed_ack_at && *p.last_relayed_ack_at >= *p.first_unanswered_at
+                                ? Reachability::through_others
+                                : Reachability::none;
     } else if (p.last_ack_at) {
-      v.reachability = Reachability::direct;
+      member.reachability = Reachability::direct;
     }
-    all.push_back(std::move(v));
+    all.push_back(std::move(member));
   }
   if (!said) all.push_back(self());
   return all;
@@ -260,20 +262,21 @@
 
 // ---- saying
 
-void Membership::attach_broadcasts(Datagram& d) {
+void Membership::attach_broadcasts(Datagram& datagram) {
   std::size_t bytes = 0;
   // Whoever has just been stopped may know what is long refuted.
   const auto fits = [&](const std::string& name) {
-    const Record* r = record_of(name);
-    if (r == nullptr || (catching_up_ && name != self_.name)) return true;  // counts as told, and is left out
-    if (bytes + bytes_of(*r) > kRecordBytes) return false;
-    bytes += bytes_of(*r);
+    const Record* record = record_of(name);
+    if (record == nullptr || (catching_up_ && name != self_.name))
+      return true;  // counts as told, and is left out
+    if (bytes + bytes_of(*record) > kRecordBytes) return false;
+    bytes += bytes_of(*record);
     return true;
   };
   for (const std::string& name : broadcasts_.next_batch(transmission_limit(), fits)) {
-    const Record* r = record_of(name);
-    if (r == nullptr || (catching_up_ && name != self_.name)) continue;
-    if (name != self_.name) d.records.push_back(*r);  // itself is in `from`
+    const Record* record = record_of(name);
+    if (record == nullptr || (catching_up_ && name != self_.name)) continue;
+    if (name != self_.name) datagram.records.push_back(*record);  // itself is in `from`
   }
 }
 
@@ -284,27 +287,27 @@
 
 void Membership::send_datagram(const std::string& address, const std::string& to, Body body,
                                bool with_rumours) {
-  Datagram d;
-  d.from = self_;
-  d.to = to;
-  d.number = ++number_;
-  d.digest = digest_;
-  d.catching_up = catching_up_;
-  d.body = std::move(body);
-  if (with_rumours && announced_) attach_broadcasts(d);
-  out_->push_back(SendDatagram{address, std::move(d)});
+  Datagram datagram;
+  datagram.from = self_;
+  datagram.to = to;
+  datagram.number = ++number_;
+  datagram.digest = digest_;
+  datagram.catching_up = catching_up_;
+  datagram.body = std::move(body);
+  if (with_rumours && announced_) attach_broadcasts(datagram);
+  out_->push_back(SendDatagram{address, std::move(datagram)});
 }
 
 std::uint64_t Membership::ping(Time now, const std::string& name, const std::string& address, Purpose purpose,
                                const Record* said) {
-  Ping p;
-  p.token = random_();
-  p.by_non_member = !announced_ || purpose == Purpose::duplicate_name;
+  Ping ping;
+  ping.token = random_();
+  ping.by_non_member = !announced_ || purpose == Purpose::duplicate_name;
   if (said == nullptr && !name.empty() && purpose != Purpose::duplicate_name) said = record_of(name);
   // A suspect hears of it from everybody who asks it; without the refinement only by rumour.
   if (said != nullptr && (settings_.refinements.notify_suspect_at_once || said->state != State::suspect)) {
-    p.known = true;
-    p.about_receiver = *said;
+    ping.known = true;
+    ping.about_receiver = *said;
   }
   while (pending_pings_.size() >= kMaxPendingPings) pending_pings_.erase(pending_pings_.begin());
   PendingPing a;
@@ -312,17 +315,17 @@
   a.name = name;
   a.address = address;
   a.sent_at = now;
-  pending_pings_.emplace(p.token, std::move(a));
-  const std::uint64_t token = p.token;
+  pending_pings_.emplace(ping.token, std::move(a));
+  const std::uint64_t token = ping.token;
   // To one that is gone it is short, so that a refusal brings it back whole.
-  send_datagram(address, purpose == Purpose::duplicate_name ? std::string() : name, std::move(p),
+  send_datagram(address, purpose == Purpose::duplicate_name ? std::string() : name, std::move(ping),
                 purpose != Purpose::reconnect);
   return token;
 }
 
-void Membership::emit_event(Time now, MemberEventKind what, const Record& r, std::string evidence) {
+void Membership::emit_event(Time now, MemberEventKind what, const Record& record, std::string evidence) {
   if (what != MemberEventKind::settled && what != MemberEventKind::caught_up) changed_at_ = now;
-  out_->push_back(MemberEvent{what, r, std::move(evidence)});
+  out_->push_back(MemberEvent{what, record, std::move(evidence)});
 }
 
 std::vector<Membership::Peer*> Membership::random_members(std::size_t most, const std::string& but) {
@@ -330,8 +333,8 @@
   if (probe_order_.empty()) return found;
   const std::size_t size = probe_order_.size();
   const auto take = [&](std::size_t at) {
-    Peer* p = find(probe_order_[at]);
-    if (p != nullptr && p->record.is_member() && p->record.name != but) found.push_back(p);
+    Peer* peer = find(probe_order_[at]);
+    if (peer != nullptr && peer->record.is_member() && peer->record.name != but) found.push_back(peer);
   };
   if (2 * most >= size) {  // nearly all: in turn, from anywhere on
     const std::size_t first = random_() % size;
@@ -347,118 +350,118 @@
   return found;
 }
 
-Duration Membership::scaled_by_health(Duration d) const {
-  return settings_.refinements.local_health ? d * (1 + health_score_) : d;
+Duration Membership::scaled_by_health(Duration duration) const {
+  return settings_.refinements.local_health ? duration * (1 + health_score_) : duration;
 }
 
 void Membership::adjust_health(int by) { health_score_ = std::clamp(health_score_ + by, 0, kWorstHealth); }
 
 // ---- hearing
 
-void Membership::on(Time now, const DatagramReceived& e) {
+void Membership::on(Time now, const DatagramReceived& event) {
   if (stopped_) return;
-  const Datagram& d = e.datagram;
-  if (d.from.name == self_.name) return handle_duplicate_name(now, d);
-  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(d.from.name))
+  const Datagram& datagram = event.datagram;
+  if (datagram.from.name == self_.name) return handle_duplicate_name(now, datagram);
+  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(datagram.from.name))
     return count_drop(DropReason::not_allowed);
-  if (!d.to.empty() && d.to != self_.name) return count_drop(DropReason::misdirected);
-  Peer* p = find(d.from.name);
-  const auto rank = [](const Record& r) { return std::pair(r.incarnation, r.start_nonce); };
-  const Ping* ping = std::get_if<Ping>(&d.body);
-  if (p != nullptr && rank(d.from) < rank(p->record)) {
+  if (!datagram.to.empty() && datagram.to != self_.name) return count_drop(DropReason::misdirected);
+  Peer* peer = find(datagram.from.name);
+  const auto rank = [](const Record& record) { return std::pair(record.incarnation, record.start_nonce); };
+  const Ping* ping = std::get_if<Ping>(&datagram.body);
+  if (peer != nullptr && rank(datagram.from) < rank(peer->record)) {
     count_drop(DropReason::old_incarnation);
     // It may be a restart whose clock stepped back: told what is known of its name, it takes a later life.
-    if (ping != nullptr) handle_ping(now, d, *ping);
+    if (ping != nullptr) handle_ping(now, datagram, *ping);
     return;
   }
-  const bool verified = p != nullptr && p->verified && p->record.same_incarnation(d.from);
+  const bool verified = peer != nullptr && peer->verified && peer->record.same_incarnation(datagram.from);
   if (verified) {
-    const auto verdict = p->window.accept(d.number);
+    const auto verdict = peer->window.accept(datagram.number);
     if (verdict != ReplayWindow::Verdict::fresh)
       return count_drop(verdict == ReplayWindow::Verdict::duplicate ? DropReason::duplicate
                                                                     : DropReason::too_old);
-    return handle_datagram(now, *p, d);
+    return handle_datagram(now, *peer, datagram);
   }
   // Not enough to believe it, but no silence either.
-  if (p != nullptr && p->record.same_incarnation(d.from)) p->last_unverified_at = now;
-  if (const auto* ack = std::get_if<Ack>(&d.body)) {
-    if (!handle_ack(now, d, *ack)) count_drop(DropReason::unverified);
+  if (peer != nullptr && peer->record.same_incarnation(datagram.from)) peer->last_unverified_at = now;
+  if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
+    if (!handle_ack(now, datagram, *ack)) count_drop(DropReason::unverified);
     return;
   }
   // Anything could have been recorded and be played again: a stranger is asked, and what it says otherwise
   // does not count.
-  if (ping != nullptr) handle_ping(now, d, *ping);
+  if (ping != nullptr) handle_ping(now, datagram, *ping);
   if (ping == nullptr) count_drop(DropReason::unverified);
-  if (!announced_ || (ping != nullptr && ping->by_non_member) || d.from.state == State::left) return;
-  auto& last = unknown_senders_[d.from.address];
+  if (!announced_ || (ping != nullptr && ping->by_non_member) || datagram.from.state == State::left) return;
+  auto& last = unknown_senders_[datagram.from.address];
   if (last != Time{} && now - last < kUnknownSenderInterval) return;
   last = now;
   if (unknown_senders_.size() > kMaxUnknownSenders) unknown_senders_.erase(unknown_senders_.begin());
-  this->ping(now, d.from.name, d.from.address, Purpose::join);
+  this->ping(now, datagram.from.name, datagram.from.address, Purpose::join);
 }
 
-void Membership::handle_ping(Time, const Datagram& d, const Ping& ping) {
+void Membership::handle_ping(Time, const Datagram& datagram, const Ping& ping) {
   if (!announced_ || stood_down_for_) return;
   // What is known of the sender is told to it, so that it can overrule it.
   Ack ack{ping.token, false, {}};
-  if (const Record* r = record_of(d.from.name); r != nullptr) {
+  if (const Record* record = record_of(datagram.from.name); record != nullptr) {
     ack.known = true;
-    ack.about_receiver = *r;
+    ack.about_receiver = *record;
   }
-  send_datagram(d.from.address, d.from.name, std::move(ack));
+  send_datagram(datagram.from.address, datagram.from.name, std::move(ack));
 }
 
 // From the very process that the record is of.
-void Membership::handle_datagram(Time now, Peer& from, const Datagram& d) {
-  const std::string name = d.from.name;
+void Membership::handle_datagram(Time now, Peer& from, const Datagram& datagram) {
+  const std::string name = datagram.from.name;
   from.last_received_at = now;
   from.unreachable_since.reset();
-  merge_record(now, d.from, true);
-  if (!d.catching_up) {
-    for (const Record& r : d.records) merge_record(now, r, false);
-    if (d.digest == digest_) {
+  merge_record(now, datagram.from, true);
+  if (!datagram.catching_up) {
+    for (const Record& record : datagram.records) merge_record(now, record, false);
+    if (datagram.digest == digest_) {
       differs_since_.reset();
     } else {
       if (!differs_since_) differs_since_ = now;
       differs_with_ = name;
     }
   }
-  if (const auto* ping = std::get_if<Ping>(&d.body)) {
+  if (const auto* ping = std::get_if<Ping>(&datagram.body)) {
     if (ping->known) merge_own_record(now, ping->about_receiver);
-    handle_ping(now, d, *ping);
-  } else if (const auto* ack = std::get_if<Ack>(&d.body)) {
-    handle_ack(now, d, *ack);
-  } else if (const auto* request = std::get_if<PingRequest>(&d.body)) {
-    handle_ping_request(now, d, *request);
-  } else if (const auto* for_us = std::get_if<RelayedAck>(&d.body)) {
+    handle_ping(now, datagram, *ping);
+  } else if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
+    handle_ack(now, datagram, *ack);
+  } else if (const auto* request = std::get_if<PingRequest>(&datagram.body)) {
+    handle_ping_request(now, datagram, *request);
+  } else if (const auto* for_us = std::get_if<RelayedAck>(&datagram.body)) {
     if (probe_ && for_us->token == probe_->token) {
       ++probe_->witnesses;
       probe_->answered = true;
-      if (Peer* p = find(probe_->name)) p->last_relayed_ack_at = now;
+      if (Peer* peer = find(probe_->name)) peer->last_relayed_ack_at = now;
     }
-  } else if (const auto* nack = std::get_if<Nack>(&d.body)) {
+  } else if (const auto* nack = std::get_if<Nack>(&datagram.body)) {
     if (probe_ && nack->token == probe_->token) ++probe_->witnesses;
-  } else if (const auto* ask = std::get_if<SyncRequest>(&d.body)) {
-    handle_sync_request(now, d, *ask);
+  } else if (const auto* ask = std::get_if<SyncRequest>(&datagram.body)) {
+    handle_sync_request(now, datagram, *ask);
   }
 }
 
 // Whether it answers a ping of ours: that proves that its sender is there and hears us.
-bool Membership::handle_ack(Time now, const Datagram& d, const Ack& ack) {
+bool Membership::handle_ack(Time now, const Datagram& datagram, const Ack& ack) {
   const auto it = pending_pings_.find(ack.token);
   if (it == pending_pings_.end()) return false;
   const PendingPing asked = it->second;
-  if (!asked.name.empty() && asked.name != d.from.name) return false;
+  if (!asked.name.empty() && asked.name != datagram.from.name) return false;
   pending_pings_.erase(it);
   if (asked.purpose == Purpose::duplicate_name) return true;
   if (ack.known) merge_own_record(now, ack.about_receiver);
   if (!announced_ && !duplicate_) announce_self(now);
-  handle_non_member(now, d);
+  handle_non_member(now, datagram);
   if (probe_ && (ack.token == probe_->token || ack.token == probe_->repeat_token)) probe_->answered = true;
   if (asked.purpose == Purpose::relay)
     send_datagram(asked.for_address, asked.for_name, RelayedAck{asked.for_token});
   if (catching_up_) {
-    answered_since_.insert(d.from.name);
+    answered_since_.insert(datagram.from.name);
     if (answered_since_.size() >= std::min<std::size_t>(2, std::max<std::size_t>(1, members_))) {
       catching_up_ = false;
       emit_event(now, MemberEventKind::caught_up, self_,
@@ -467,51 +470,52 @@
   }
   if (asked.name.empty() && announced_) {
     // A seed, now known by name: told again who we are, it takes us in.
-    ping(now, d.from.name, d.from.address, Purpose::join);
+    ping(now, datagram.from.name, datagram.from.address, Purpose::join);
   }
   return true;
 }
 
-void Membership::handle_non_member(Time now, const Datagram& d) {
-  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(d.from.name))
+void Membership::handle_non_member(Time now, const Datagram& datagram) {
+  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(datagram.from.name))
     return count_drop(DropReason::not_allowed);
-  merge_record(now, d.from, true);
-  Peer* p = find(d.from.name);
-  if (p == nullptr) return;
+  merge_record(now, datagram.from, true);
+  Peer* peer = find(datagram.from.name);
+  if (peer == nullptr) return;
   // Held dead at a later incarnation, it has not heard of it yet; its next answer will say otherwise.
-  if (!p->record.same_incarnation(d.from) || !p->record.is_member()) return;
-  if (!p->verified) {
-    p->verified = true;
+  if (!peer->record.same_incarnation(datagram.from) || !peer->record.is_member()) return;
+  if (!peer->verified) {
+    peer->verified = true;
     ++verified_;
-    p->window.accept(d.number);  // of the same life, what was taken before a silence is not taken again
+    peer->window.accept(
+        datagram.number);  // of the same life, what was taken before a silence is not taken again
     if (verified_ == 1 && settings_.refinements.anti_entropy) {
       // The first who is known for sure: all that it knows is asked for.
       differs_since_ = now - kSyncDelay;
-      differs_with_ = p->record.name;
+      differs_with_ = peer->record.name;
     }
   }
-  p->last_received_at = p->last_ack_at = now;
-  p->first_unanswered_at.reset();
-  p->unreachable_since.reset();
-  if (p->reported_death) {
+  peer->last_received_at = peer->last_ack_at = now;
+  peer->first_unanswered_at.reset();
+  peer->unreachable_since.reset();
+  if (peer->reported_death) {
     ++metrics_.deaths_disproved;
-    p->reported_death.reset();
-    reported_deaths_.clear(p->record.name);
+    peer->reported_death.reset();
+    reported_deaths_.clear(peer->record.name);
   }
 }
 
-void Membership::handle_ping_request(Time now, const Datagram& d, const PingRequest& request) {
+void Membership::handle_ping_request(Time now, const Datagram& datagram, const PingRequest& request) {
   if (request.name == self_.name || !announced_) return;
-  const Peer* p = find(request.name);
-  const std::string address = p != nullptr ? p->record.address : request.address;
+  const Peer* peer = find(request.name);
+  const std::string address = peer != nullptr ? peer->record.address : request.address;
   const std::uint64_t token = ping(now, request.name, address, Purpose::relay);
   PendingPing& asked = pending_pings_.at(token);
-  asked.for_address = d.from.address;
-  asked.for_name = d.from.name;
+  asked.for_address = datagram.from.address;
+  asked.for_name = datagram.from.name;
   asked.for_token = request.token;
 }
 
-void Membership::handle_sync_request(Time, const Datagram& d, const SyncRequest& ask) {
+void Membership::handle_sync_request(Time, const Datagram& datagram, const SyncRequest& ask) {
   if (ask.buckets.size() != kBuckets || !announced_ || catching_up_) return;
   std::array<bool, kBuckets> wanted{};
   bool any = false;
@@ -524,12 +528,12 @@
   const auto send = [&] {
     Datagram out;
     out.from = self_;
-    out.to = d.from.name;
+    out.to = datagram.from.name;
     out.number = ++number_;
     out.digest = digest_;
     out.body = Gossip{};
     out.records = std::exchange(records, {});
-    out_->push_back(SendDatagram{d.from.address, std::move(out)});
+    out_->push_back(SendDatagram{datagram.from.address, std::move(out)});
     bytes = 0;
     ++datagrams;
   };
@@ -555,115 +559,117 @@
 
 // ---- learning
 
-void Membership::merge_record(Time now, const Record& r, bool first_hand) {
-  if (r.name == self_.name) return merge_own_record(now, r);
-  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(r.name)) return;
-  Peer* p = find(r.name);
-  if (p == nullptr) {
-    if (r.is_member() && !make_room()) return count_drop(DropReason::full);
-    if (!r.is_member() && peers_.size() >= 2 * kMaxMembers) return;
-    if (r.state == State::suspect) {
-      const Record alive = without_suspicion(r);
+void Membership::merge_record(Time now, const Record& record, bool first_hand) {
+  if (record.name == self_.name) return merge_own_record(now, record);
+  if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(record.name)) return;
+  Peer* peer = find(record.name);
+  if (peer == nullptr) {
+    if (record.is_member() && !make_room()) return count_drop(DropReason::full);
+    if (!record.is_member() && peers_.size() >= 2 * kMaxMembers) return;
+    if (record.state == State::suspect) {
+      const Record alive = without_suspicion(record);
       Peer& fresh = add_peer(now, alive);
       emit_event(now, MemberEventKind::joined, alive, "told");
-      return merge_suspicion(now, fresh, r);
+      return merge_suspicion(now, fresh, record);
     }
-    add_peer(now, r);
-    if (r.is_member()) emit_event(now, MemberEventKind::joined, r, first_hand ? "it answered" : "told");
+    add_peer(now, record);
+    if (record.is_member())
+      emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
     return;
   }
-  if (!supersedes(r, p->record)) {
+  if (!supersedes(record, peer->record)) {
     // Another one's doubt of what is doubted already confirms it.
-    if (r.state == State::suspect && p->record.state == State::suspect && r.same_incarnation(p->record) &&
-        r.refutation == p->record.refutation && p->suspicion && p->suspicion->confirm(r.suspecting_member)) {
-      suspects_.set(r.name, p->suspicion->deadline());
-      broadcast(r.name);
+    if (record.state == State::suspect && peer->record.state == State::suspect &&
+        record.same_incarnation(peer->record) && record.refutation == peer->record.refutation &&
+        peer->suspicion && peer->suspicion->confirm(record.suspecting_member)) {
+      suspects_.set(record.name, peer->suspicion->deadline());
+      broadcast(record.name);
     }
     return;
   }
-  const Record before = p->record;
-  const bool newer_life = !r.same_incarnation(before);
-  switch (r.state) {
+  const Record before = peer->record;
+  const bool newer_life = !record.same_incarnation(before);
+  switch (record.state) {
     case State::alive:
       if (!before.is_member() && members_known() >= kMaxMembers) return count_drop(DropReason::full);
-      if (p->reported_death) ++metrics_.deaths_disproved;
-      store_record(now, *p, r);
+      if (peer->reported_death) ++metrics_.deaths_disproved;
+      store_record(now, *peer, record);
       if (newer_life && before.is_member()) {
         Record ended = before;
         ended.state = State::dead;
         ended.evidence = Evidence::replaced;
         emit_event(now, MemberEventKind::died, ended,
                    "its life " + std::to_string(before.incarnation) + " was ended by life " +
-                       std::to_string(r.incarnation));
+                       std::to_string(record.incarnation));
       }
       if (newer_life || !before.is_member()) {
-        emit_event(now, MemberEventKind::joined, r, first_hand ? "it answered" : "told");
+        emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
       } else if (before.state == State::suspect) {
         ++metrics_.refuted;
-        emit_event(now, MemberEventKind::refuted, r,
-                   "it says so, in incarnation " + std::to_string(r.refutation));
+        emit_event(now, MemberEventKind::refuted, record,
+                   "it says so, in incarnation " + std::to_string(record.refutation));
       }
       return;
     case State::suspect:
       if (newer_life || !before.is_member()) {
-        const Record alive = without_suspicion(r);
-        store_record(now, *p, alive);
+        const Record alive = without_suspicion(record);
+        store_record(now, *peer, alive);
         emit_event(now, MemberEventKind::joined, alive, "told");
       }
-      return merge_suspicion(now, *p, r);
+      return merge_suspicion(now, *peer, record);
     case State::dead: {
-      const bool own_finding = p->suspicion && p->suspicion->deadline() <= now;
+      const bool own_finding = peer->suspicion && peer->suspicion->deadline() <= now;
       if (!before.is_member() || newer_life || own_finding || !settings_.refinements.verify_reported_deaths) {
-        return declare_dead(now, *p, r);
+        return declare_dead(now, *peer, record);
       }
       // Two sides of a cut hold each other dead for good reason; a side that has one in reach asks it.
-      if (p->reported_death && !supersedes(r, *p->reported_death)) return;
-      p->reported_death = r;
-      reported_deaths_.set(r.name, now + kReportedDeathTimeout);
-      ping(now, r.name, before.address, Purpose::check, &r);
+      if (peer->reported_death && !supersedes(record, *peer->reported_death)) return;
+      peer->reported_death = record;
+      reported_deaths_.set(record.name, now + kReportedDeathTimeout);
+      ping(now, record.name, before.address, Purpose::check, &record);
       return;
     }
     case State::left:
-      store_record(now, *p, r);
-      if (before.is_member()) emit_event(now, MemberEventKind::left, r, "it said so");
+      store_record(now, *peer, record);
+      if (before.is_member()) emit_event(now, MemberEventKind::left, record, "it said so");
       return;
   }
 }
 
-void Membership::merge_suspicion(Time now, Peer& p, const Record& r) {
-  store_record(now, p, r);
+void Membership::merge_suspicion(Time now, Peer& peer, const Record& record) {
+  store_record(now, peer, record);
   ++metrics_.suspicions_known;
-  p.suspicion.emplace(now, settings_.min_suspicion_timeout, settings_.max_suspicion_timeout,
-                      settings_.refinements.shrinking_suspicion, r.suspecting_member);
-  suspects_.set(r.name, p.suspicion->deadline());
-  emit_event(now, MemberEventKind::suspected, r,
-             std::string(to_string(r.evidence)) + ", says " + r.suspecting_member);
+  peer.suspicion.emplace(now, settings_.min_suspicion_timeout, settings_.max_suspicion_timeout,
+                         settings_.refinements.shrinking_suspicion, record.suspecting_member);
+  suspects_.set(record.name, peer.suspicion->deadline());
+  emit_event(now, MemberEventKind::suspected, record,
+             std::string(to_string(record.evidence)) + ", says " + record.suspecting_member);
 }
 
 // This process finds that it can't reach the member.
-void Membership::raise_suspicion(Time now, Peer& p, Evidence evidence) {
+void Membership::raise_suspicion(Time now, Peer& peer, Evidence evidence) {
   if (catching_up_ || !announced_) return;
-  Record r = p.record;
-  r.state = State::suspect;
-  r.evidence = evidence;
-  r.suspecting_member = self_.name;
+  Record record = peer.record;
+  record.state = State::suspect;
+  record.evidence = evidence;
+  record.suspecting_member = self_.name;
   ++metrics_.suspicions_raised;
-  if (p.record.state == State::suspect) {
-    if (p.suspicion && p.suspicion->confirm(self_.name)) {
-      suspects_.set(r.name, p.suspicion->deadline());
-      p.record.suspecting_member = self_.name;  // told on as our own doubt
-      broadcast(r.name);
+  if (peer.record.state == State::suspect) {
+    if (peer.suspicion && peer.suspicion->confirm(self_.name)) {
+      suspects_.set(record.name, peer.suspicion->deadline());
+      peer.record.suspecting_member = self_.name;  // told on as our own doubt
+      broadcast(record.name);
     }
   } else {
-    merge_suspicion(now, p, r);
+    merge_suspicion(now, peer, record);
   }
-  if (settings_.refinements.notify_suspect_at_once) ping(now, p, Purpose::check);
+  if (settings_.refinements.notify_suspect_at_once) ping(now, peer, Purpose::check);
 }
 
-void Membership::declare_dead(Time now, Peer& p, const Record& dead) {
-  const bool member = p.record.is_member();
-  const std::size_t accusers = p.suspicion ? p.suspicion->suspecting_members() : 0;
-  store_record(now, p, dead);
+void Membership::declare_dead(Time now, Peer& peer, const Record& dead) {
+  const bool member = peer.record.is_member();
+  const std::size_t accusers = peer.suspicion ? peer.suspicion->suspecting_members() : 0;
+  store_record(now, peer, dead);
   if (!member) return;
   ++metrics_.confirmed;
   if (dead.evidence == Evidence::port_unreachable) ++metrics_.deaths_by_unreachable_port;
@@ -672,14 +678,14 @@
                  (accusers > 1 ? " and " + std::to_string(accusers - 1) + " more" : ""));
 }
 
-void Membership::merge_own_record(Time now, const Record& r) {
-  if (r.same_incarnation(self_)) {
+void Membership::merge_own_record(Time now, const Record& record) {
+  if (record.same_incarnation(self_)) {
     if (self_.state == State::left) return;
-    if (r.state == State::left) return take_incarnation(now, self_.incarnation + 1);
-    if (r.refutation < self_.refutation) return;
-    if (r.state == State::alive && r.refutation == self_.refutation) return;
+    if (record.state == State::left) return take_incarnation(now, self_.incarnation + 1);
+    if (record.refutation < self_.refutation) return;
+    if (record.state == State::alive && record.refutation == self_.refutation) return;
     update_digest(self_, -1);
-    self_.refutation = r.refutation + 1;
+    self_.refutation = record.refutation + 1;
     update_digest(self_, 1);
     ++metrics_.own_suspicions_refuted;
     if (settings_.refinements.local_health) adjust_health(1);
@@ -689,52 +695,53 @@
   }
   // An older life at another address may be a process of the same name: who is not a member yet asks it, who
   // is one leaves it to the other to hear of the later life.
-  const bool older = r.incarnation < self_.incarnation;
-  if (older && (announced_ || !r.is_member() || r.address == self_.address)) return;
-  contest_name(now, r);
+  const bool older = record.incarnation < self_.incarnation;
+  if (older && (announced_ || !record.is_member() || record.address == self_.address)) return;
+  contest_name(now, record);
 }
 
-void Membership::on(Time now, const PortUnreachable& e) {
+void Membership::on(Time now, const PortUnreachable& event) {
   if (!settings_.refinements.unreachable_ports || stopped_) return;
-  if (const auto asked = e.token ? pending_pings_.find(*e.token) : pending_pings_.end();
+  if (const auto asked = event.token ? pending_pings_.find(*event.token) : pending_pings_.end();
       asked != pending_pings_.end()) {
     const Peer* gone = find(asked->second.name);
     if (gone != nullptr && watched_ports_.contains(asked->second.name) && gone->record.state == State::dead &&
         gone->record.evidence == Evidence::port_unreachable)
       out_->push_back(PortReleased{asked->second.name, asked->second.sent_at});
   }
-  const auto it = by_address_.find(e.address);
+  const auto it = by_address_.find(event.address);
   if (it == by_address_.end()) return;
-  Peer* p = find(it->second);
-  if (p == nullptr || !p->record.is_member()) return;
-  if (p->record.handing_over && now - p->state_since < kHandoverTimeout) return;
+  Peer* peer = find(it->second);
+  if (peer == nullptr || !peer->record.is_member()) return;
+  if (peer->record.handing_over && now - peer->state_since < kHandoverTimeout) return;
   // Another member's word that it is dead, or that its port refuses it too, makes two.
-  if (p->reported_death) return declare_dead(now, *p, Record(*p->reported_death));
-  const bool second = p->record.state == State::suspect && p->record.evidence == Evidence::port_unreachable &&
-                      p->record.suspecting_member != self_.name && !catching_up_;
-  if (!p->unreachable_since && !second) {
-    p->unreachable_since = now;
-    unreachable_checks_.set(p->record.name, now + kUnreachableRecheckDelay);
-    return raise_suspicion(now, *p, Evidence::port_unreachable);
+  if (peer->reported_death) return declare_dead(now, *peer, Record(*peer->reported_death));
+  const bool second = peer->record.state == State::suspect &&
+                      peer->record.evidence == Evidence::port_unreachable &&
+                      peer->record.suspecting_member != self_.name && !catching_up_;
+  if (!peer->unreachable_since && !second) {
+    peer->unreachable_since = now;
+    unreachable_checks_.set(peer->record.name, now + kUnreachableRecheckDelay);
+    return raise_suspicion(now, *peer, Evidence::port_unreachable);
   }
-  if (!second && (now - *p->unreachable_since < kUnreachableRecheckDelay || catching_up_)) return;
-  Record dead = p->record;
+  if (!second && (now - *peer->unreachable_since < kUnreachableRecheckDelay || catching_up_)) return;
+  Record dead = peer->record;
   dead.state = State::dead;
   dead.evidence = Evidence::port_unreachable;
   dead.suspecting_member = self_.name;
-  declare_dead(now, *p, dead);
+  declare_dead(now, *peer, dead);
 }
 
 // ---- one name, one process
 
 // Another process has this one's name, or an earlier life of it is still known. At this address nobody else
 // can be: it is gone. At another one it may be there, and is asked.
-void Membership::contest_name(Time now, const Record& r) {
-  if (!r.is_member() || r.address == self_.address)
-    return take_incarnation(now, std::max(r.incarnation, self_.incarnation) + 1);
+void Membership::contest_name(Time now, const Record& record) {
+  if (!record.is_member() || record.address == self_.address)
+    return take_incarnation(now, std::max(record.incarnation, self_.incarnation) + 1);
   if (stood_down_for_ || duplicate_) return;
   duplicate_.emplace();
-  duplicate_->record = r;
+  duplicate_->record = record;
 }
 
 void Membership::check_duplicate_name(Time now) {
@@ -763,31 +770,34 @@
   duplicate_->token = ping(now, self_.name, duplicate_->record.address, Purpose::duplicate_name);
 }
 
-void Membership::handle_duplicate_name(Time now, const Datagram& d) {
-  if (d.from.start_nonce == self_.start_nonce) return count_drop(DropReason::own);  // ours, sent back
-  if (const auto* ack = std::get_if<Ack>(&d.body)) {
+void Membership::handle_duplicate_name(Time now, const Datagram& datagram) {
+  if (datagram.from.start_nonce == self_.start_nonce) return count_drop(DropReason::own);  // ours, sent back
+  if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
     if (!duplicate_ || ack->token != duplicate_->token) return count_drop(DropReason::own);
     pending_pings_.erase(ack->token);
     duplicate_->tries = 0;
     // It is there. Whoever is a member already stays, unless the other one's life is the later.
     if (stood_down_for_ || !announced_ ||
-        std::pair(d.from.incarnation, d.from.start_nonce) > std::pair(self_.incarnation, self_.start_nonce))
-      return stand_down(now, d.from);
+        std::pair(datagram.from.incarnation, datagram.from.start_nonce) >
+            std::pair(self_.incarnation, self_.start_nonce))
+      return stand_down(now, datagram.from);
     duplicate_.reset();
     return;
   }
-  if (d.from.address == self_.address) return count_drop(DropReason::own);  // an earlier life of ours, late
-  if (const auto* ping = std::get_if<Ping>(&d.body)) {
+  if (datagram.from.address == self_.address)
+    return count_drop(DropReason::own);  // an earlier life of ours, late
+  if (const auto* ping = std::get_if<Ping>(&datagram.body)) {
     if (ping->by_non_member && duplicate_addresses_.size() < 16 &&
-        duplicate_addresses_.insert(d.from.address).second)
-      emit_event(now, MemberEventKind::name_taken, d.from,
-                 "another process at " + d.from.address + " has this one's name");
+        duplicate_addresses_.insert(datagram.from.address).second)
+      emit_event(now, MemberEventKind::name_taken, datagram.from,
+                 "another process at " + datagram.from.address + " has this one's name");
     if (announced_ && !stood_down_for_)
-      send_datagram(d.from.address, self_.name, Ack{ping->token, false, {}}, false);
+      send_datagram(datagram.from.address, self_.name, Ack{ping->token, false, {}}, false);
     if (ping->by_non_member) return;
   }
-  if (std::pair(d.from.incarnation, d.from.start_nonce) > std::pair(self_.incarnation, self_.start_nonce))
-    contest_name(now, d.from);
+  if (std::pair(datagram.from.incarnation, datagram.from.start_nonce) >
+      std::pair(self_.incarnation, self_.start_nonce))
+    contest_name(now, datagram.from);
 }
 
 void Membership::stand_down(Time now, const Record& to) {
@@ -831,25 +841,25 @@
   if (settings_.seeds.empty()) announce_self(now);
 }
 
-void Membership::on(Time now, const LeaveRequested& e) {
+void Membership::on(Time now, const LeaveRequested& event) {
   if (stopped_ || stops_at_ || self_.state == State::left) return;
   update_digest(self_, -1);
   ++self_.refutation;
-  if (e.successor) {
+  if (event.successor) {
     self_.handing_over = true;
   } else {
     self_.state = State::left;
   }
   update_digest(self_, 1);
   broadcast(self_.name);
-  if (!e.successor) emit_event(now, MemberEventKind::left, self_, "it was asked to");
+  if (!event.successor) emit_event(now, MemberEventKind::left, self_, "it was asked to");
   if (announced_) {
-    for (const Peer* p : random_members(kMaxLeaveNotifications, {}))
-      send_datagram(p->record.address, p->record.name, Gossip{}, false);
+    for (const Peer* peer : random_members(kMaxLeaveNotifications, {}))
+      send_datagram(peer->record.address, peer->record.name, Gossip{}, false);
   }
   // It goes on for a moment: those who have not spoken with it yet ask first, and may tell nobody else in
   // time.
-  if (e.successor) stops_at_ = now + kHandoverNoticePeriod;
+  if (event.successor) stops_at_ = now + kHandoverNoticePeriod;
 }
 
 void Membership::on(Time now, const Tick&) {
@@ -890,7 +900,7 @@
   if (has_no_members() || !announced_) return;
   catching_up_ = true;
   answered_since_.clear();
-  for (const Peer* p : random_members(3, {})) ping(now, *p, Purpose::check);
+  for (const Peer* peer : random_members(3, {})) ping(now, *peer, Purpose::check);
 }
 
 void Membership::check_ping_timeouts(Time now) {
@@ -913,17 +923,17 @@
     return;
   }
   while (const auto name = suspects_.pop_due(now)) {
-    Peer* p = find(*name);
-    if (p == nullptr || p->record.state != State::suspect) continue;
-    Record dead = p->record;
+    Peer* peer = find(*name);
+    if (peer == nullptr || peer->record.state != State::suspect) continue;
+    Record dead = peer->record;
     dead.state = State::dead;
-    declare_dead(now, *p, dead);
+    declare_dead(now, *peer, dead);
   }
   while (const auto name = reported_deaths_.pop_due(now)) {
-    Peer* p = find(*name);
-    if (p == nullptr || !p->reported_death) continue;
-    const Record dead = *p->reported_death;
-    if (supersedes(dead, p->record)) declare_dead(now, *p, dead);
+    Peer* peer = find(*name);
+    if (peer == nullptr || !peer->reported_death) continue;
+    const Record dead = *peer->reported_death;
+    if (supersedes(dead, peer->record)) declare_dead(now, *peer, dead);
   }
   while (const auto name = expirations_.pop_due(now)) {
     const auto it = peers_.find(*name);
@@ -940,8 +950,8 @@
   }
   // A refusal is looked at again: two make a death.
   while (const auto name = unreachable_checks_.pop_due(now)) {
-    Peer* p = find(*name);
-    if (p != nullptr && p->unreachable_since) ping(now, *p, Purpose::check);
+    Peer* peer = find(*name);
+    if (peer != nullptr && peer->unreachable_since) ping(now, *peer, Purpose::check);
   }
 }
 
@@ -950,20 +960,20 @@
     if (probe_position_ >= probe_order_.size()) {
       probe_position_ = 0;
       std::erase_if(probe_order_, [&](const std::string& name) {
-        const Peer* p = find(name);
-        return p == nullptr || !p->record.is_member();
+        const Peer* peer = find(name);
+        return peer == nullptr || !peer->record.is_member();
       });
       std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
       if (probe_order_.empty()) return;
     }
     const std::string name = probe_order_[probe_position_++];
-    Peer* p = find(name);
-    if (p == nullptr || !p->record.is_member()) continue;
+    Peer* peer = find(name);
+    if (peer == nullptr || !peer->record.is_member()) continue;
     Probe probe;
     probe.name = name;
     probe.indirect_at = now + scaled_by_health(settings_.ack_timeout);
     probe.deadline = now + scaled_by_health(settings_.probe_interval);
-    probe.token = ping(now, name, p->record.address, Purpose::probe);
+    probe.token = ping(now, name, peer->record.address, Purpose::probe);
     probe_ = probe;
     return;
   }
@@ -973,21 +983,21 @@
   if (!announced_ || self_.state == State::left) return;
   if (probe_ && !probe_->answered && !probe_->indirect_sent && now >= probe_->indirect_at) {
     probe_->indirect_sent = true;
-    Peer* p = find(probe_->name);
-    if (p != nullptr && p->record.is_member()) {
-      if (!p->first_unanswered_at) p->first_unanswered_at = now;
-      probe_->repeat_token = ping(now, probe_->name, p->record.address, Purpose::probe);
+    Peer* peer = find(probe_->name);
+    if (peer != nullptr && peer->record.is_member()) {
+      if (!peer->first_unanswered_at) peer->first_unanswered_at = now;
+      probe_->repeat_token = ping(now, probe_->name, peer->record.address, Purpose::probe);
       if (settings_.refinements.indirect_probing) {
         // Those heard of late are the likelier to answer.
         std::vector<Peer*> helpers = random_members(3 * settings_.indirect_probes, probe_->name);
-        std::stable_sort(helpers.begin(), helpers.end(), [](const Peer* a, const Peer* b) {
-          return a->last_received_at > b->last_received_at;
+        std::stable_sort(helpers.begin(), helpers.end(), [](const Peer* left, const Peer* right) {
+          return left->last_received_at > right->last_received_at;
         });
         if (helpers.size() > settings_.indirect_probes) helpers.resize(settings_.indirect_probes);
         for (const Peer* helper : helpers) {
           ++probe_->helpers;
           send_datagram(helper->record.address, helper->record.name,
-                        PingRequest{probe_->token, probe_->name, p->record.address});
+                        PingRequest{probe_->token, probe_->name, peer->record.address});
         }
       }
     }
@@ -995,19 +1005,19 @@
   if (probe_ && now >= probe_->deadline) {
     const Probe probe = *probe_;
     probe_.reset();
-    Peer* p = find(probe.name);
+    Peer* peer = find(probe.name);
     if (probe.answered) {
       adjust_health(-1);
-    } else if (p != nullptr && p->record.is_member() && !catching_up_) {
+    } else if (peer != nullptr && peer->record.is_member() && !catching_up_) {
       // Helpers that answered speak for this process' own health (Lifeguard, section IV-A).
       if (probe.helpers == 0 || probe.witnesses < probe.helpers) adjust_health(1);
       // Where those who were asked say nothing either, it is more likely this process that is not heard.
-      const Time last = std::max({p->last_received_at.value_or(p->state_since),
-                                  p->last_unverified_at.value_or(p->state_since), listening_since_});
+      const Time last = std::max({peer->last_received_at.value_or(peer->state_since),
+                                  peer->last_unverified_at.value_or(peer->state_since), listening_since_});
       const bool witnessed = !settings_.refinements.indirect_probing || members_ < 2 || probe.witnesses > 0;
-      const bool handing = p->record.handing_over && now - p->state_since < kHandoverTimeout;
+      const bool handing = peer->record.handing_over && now - peer->state_since < kHandoverTimeout;
       if (!handing && (witnessed || now - last > kIsolationTimeout))
-        raise_suspicion(now, *p, Evidence::unresponsive);
+        raise_suspicion(now, *peer, Evidence::unresponsive);
     }
   }
   if (!probe_ && now - last_probe_at_ >= settings_.probe_interval) {
@@ -1028,8 +1038,8 @@
   if (announced_ && now - ports_checked_at_ >= settings_.probe_interval) {
     ports_checked_at_ = now;
     for (const std::string& name : watched_ports_) {
-      const Peer* p = find(name);
-      if (p != nullptr && p->record.state == State::dead) ping(now, *p, Purpose::reconnect);
+      const Peer* peer = find(name);
+      if (peer != nullptr && peer->record.state == State::dead) ping(now, *peer, Purpose::reconnect);
     }
   }
   if (!announced_ || now - last_reconnect_at_ < kReconnectInterval) return;
@@ -1038,15 +1048,15 @@
   auto it = dead_members_.upper_bound(last_reconnect_);
   if (it == dead_members_.end()) it = dead_members_.begin();
   last_reconnect_ = *it;
-  if (const Peer* p = find(last_reconnect_)) ping(now, *p, Purpose::reconnect);
+  if (const Peer* peer = find(last_reconnect_)) ping(now, *peer, Purpose::reconnect);
 }
 
 void Membership::send_gossip(Time now) {
   if (!announced_ || broadcasts_.empty() || now - last_gossip_at_ < settings_.gossip_interval) return;
   last_gossip_at_ = now;
-  for (const Peer* p : random_members(settings_.gossip_fanout, {})) {
+  for (const Peer* peer : random_members(settings_.gossip_fanout, {})) {
     if (broadcasts_.empty()) return;
-    send_datagram(p->record.address, p->record.name, Gossip{});
+    send_datagram(peer->record.address, peer->record.name, Gossip{});
   }
 }
 
@@ -1057,13 +1067,14 @@
   // Large fleets differ more often, and by less.
   const Duration every = kSyncDelay * (members_known() > 100 ? 4 : 1);
   if (now - sync_requested_at_ < every) return;
-  Peer* p = find(differs_with_);
-  if (p == nullptr || !p->record.is_member()) {
+  Peer* peer = find(differs_with_);
+  if (peer == nullptr || !peer->record.is_member()) {
     differs_since_.reset();
     return;
   }
   sync_requested_at_ = now;
-  send_datagram(p->record.address, p->record.name, SyncRequest{{buckets_.begin(), buckets_.end()}}, false);
+  send_datagram(peer->record.address, peer->record.name, SyncRequest{{buckets_.begin(), buckets_.end()}},
+                false);
 }
 
 void Membership::update_view(Time now) {
@@ -1079,9 +1090,9 @@
   view_.changed_at = now;
   view_.names.clear();
   std::string text;
-  const auto add = [&](const Record& r) {
-    view_.names.push_back(r.name);
-    text += r.name + '\n' + std::to_string(r.incarnation) + '\n';
+  const auto add = [&](const Record& record) {
+    view_.names.push_back(record.name);
+    text += record.name + '\n' + std::to_string(record.incarnation) + '\n';
   };
   bool said = !self_.is_member();
   for (const auto& [name, p] : peers_) {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -224,32 +224,32 @@
     int tries = 0;
   };
 
-  void on(Time now, const Started& e);
-  void on(Time now, const DatagramReceived& e);
-  void on(Time now, const PortUnreachable& e);
-  void on(Time now, const Tick& e);
-  void on(Time now, const LeaveRequested& e);
-  void on(Time, const WatchPorts& e) { watched_ports_ = e.names; }
+  void on(Time now, const Started& event);
+  void on(Time now, const DatagramReceived& event);
+  void on(Time now, const PortUnreachable& event);
+  void on(Time now, const Tick& event);
+  void on(Time now, const LeaveRequested& event);
+  void on(Time, const WatchPorts& notice) { watched_ports_ = notice.names; }
 
-  void handle_datagram(Time now, Peer& from, const Datagram& d);
-  bool handle_ack(Time now, const Datagram& d, const Ack& ack);
-  void handle_non_member(Time now, const Datagram& d);
-  void handle_ping(Time now, const Datagram& d, const Ping& ping);
-  void handle_ping_request(Time now, const Datagram& d, const PingRequest& request);
-  void handle_sync_request(Time now, const Datagram& d, const SyncRequest& ask);
-  void handle_duplicate_name(Time now, const Datagram& d);
+  void handle_datagram(Time now, Peer& from, const Datagram& datagram);
+  bool handle_ack(Time now, const Datagram& datagram, const Ack& ack);
+  void handle_non_member(Time now, const Datagram& datagram);
+  void handle_ping(Time now, const Datagram& datagram, const Ping& ping);
+  void handle_ping_request(Time now, const Datagram& datagram, const PingRequest& request);
+  void handle_sync_request(Time now, const Datagram& datagram, const SyncRequest& ask);
+  void handle_duplicate_name(Time now, const Datagram& datagram);
 
-  void merge_record(Time now, const Record& r, bool first_hand);
-  void merge_own_record(Time now, const Record& r);
-  void merge_suspicion(Time now, Peer& p, const Record& r);
-  void declare_dead(Time now, Peer& p, const Record& dead);
-  void raise_suspicion(Time now, Peer& p, Evidence evidence);
-  void store_record(Time now, Peer& p, const Record& r);
-  Peer& add_peer(Time now, const Record& r);
+  void merge_record(Time now, const Record& record, bool first_hand);
+  void merge_own_record(Time now, const Record& record);
+  void merge_suspicion(Time now, Peer& peer, const Record& record);
+  void declare_dead(Time now, Peer& peer, const Record& dead);
+  void raise_suspicion(Time now, Peer& peer, Evidence evidence);
+  void store_record(Time now, Peer& peer, const Record& record);
+  Peer& add_peer(Time now, const Record& record);
   bool make_room();
   void erase_peer(Peers::iterator it);
 
-  void contest_name(Time now, const Record& r);
+  void contest_name(Time now, const Record& record);
   void take_incarnation(Time now, Incarnation life);
   void check_duplicate_name(Time now);
   void stand_down(Time now, const Record& to);
@@ -269,9 +269,11 @@
   // `said`: what it is told of itself; none: what is known of it.
   std::uint64_t ping(Time now, const std::string& name, const std::string& address, Purpose purpose,
                      const Record* said = nullptr);
-  void ping(Time now, const Peer& p, Purpose purpose) { ping(now, p.record.name, p.record.address, purpose); }
-  void attach_broadcasts(Datagram& d);
-  void emit_event(Time now, MemberEventKind what, const Record& r, std::string evidence);
+  void ping(Time now, const Peer& peer, Purpose purpose) {
+    ping(now, peer.record.name, peer.record.address, purpose);
+  }
+  void attach_broadcasts(Datagram& datagram);
+  void emit_event(Time now, MemberEventKind what, const Record& record, std::string evidence);
   void count_drop(DropReason why) { ++metrics_.dropped[static_cast<std::size_t>(why)]; }
   void broadcast(const std::string& name) { broadcasts_.add(name); }
   Peer* find(const std::string& name);
@@ -279,9 +281,9 @@
   std::vector<Peer*> random_members(std::size_t most, const std::string& but);
   std::size_t members_known() const { return members_ + 1; }  // with this one
   int transmission_limit() const;
-  Duration scaled_by_health(Duration d) const;
+  Duration scaled_by_health(Duration duration) const;
   void adjust_health(int by);
-  void update_digest(const Record& r, int sign);
+  void update_digest(const Record& record, int sign);
   bool has_no_members() const { return members_ == 0; }
 
   Settings settings_;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -59,8 +59,8 @@
 // No more bytes than this in one datagram's records, as bytes_of() reckons them.
 constexpr std::size_t kRecordBytes = 700;
 // No less than what a record takes on the wire (fleet/datagram).
-inline std::size_t bytes_of(const Record& r) {
-  return 36 + r.name.size() + r.address.size() + r.suspecting_member.size();
+inline std::size_t bytes_of(const Record& record) {
+  return 36 + record.name.size() + record.address.size() + record.suspecting_member.size();
 }
 
 }  // namespace graniterun::membership
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -113,10 +113,10 @@
 // Whose event it is; none: the whole program's.
 inline std::optional<Concern> concern_of(const Event& event) {
   return std::visit(
-      [](const auto& e) -> std::optional<Concern> {
-        if constexpr (requires { e.conn; }) return e.conn.concern;
-        if constexpr (requires { e.concern; }) return e.concern;
-        if constexpr (requires { e.key; }) return e.key.concern;
+      [](const auto& notice) -> std::optional<Concern> {
+        if constexpr (requires { notice.conn; }) return notice.conn.concern;
+        if constexpr (requires { notice.concern; }) return notice.concern;
+        if constexpr (requires { notice.key; }) return notice.key.concern;
         return std::nullopt;
       },
       event);
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -285,39 +285,40 @@
   }
 
   // Tells the kernel what the connection is to be watched for, where that has changed.
-  void update_watch(Connection& c) {
-    const std::uint32_t wanted = c.reading | (c.writing ? std::uint32_t{EPOLLOUT} : 0U);
-    if (wanted == c.watched) return;
-    if (c.token == 0) by_token_.emplace(c.token = ++last_token_, &c);
+  void update_watch(Connection& connection) {
+    const std::uint32_t wanted = connection.reading | (connection.writing ? std::uint32_t{EPOLLOUT} : 0U);
+    if (wanted == connection.watched) return;
+    if (connection.token == 0) by_token_.emplace(connection.token = ++last_token_, &connection);
     epoll_event event{};
     event.events = wanted;
-    event.data.u64 = c.token;
-    const int what = c.watched == 0 ? EPOLL_CTL_ADD : wanted == 0 ? EPOLL_CTL_DEL : EPOLL_CTL_MOD;
-    const bool done = epoll_ctl(poll_, what, g_socket_get_fd(c.socket.get()), &event) == 0;
+    event.data.u64 = connection.token;
+    const int what = connection.watched == 0 ? EPOLL_CTL_ADD : wanted == 0 ? EPOLL_CTL_DEL : EPOLL_CTL_MOD;
+    const bool done = epoll_ctl(poll_, what, g_socket_get_fd(connection.socket.get()), &event) == 0;
     if (!done && wanted != 0) {  // no memory for it: nothing would ever be told of it
       logger_.line(Level::error, "a connection can't be watched: it is closed");
-      broken_.push_back(c.id);
+      broken_.push_back(connection.id);
     }
-    c.watched = wanted;
+    connection.watched = wanted;
   }
   void sockets_ready() {
     epoll_event events[kMaxEventsPerTurn];
     const int count = epoll_wait(poll_, events, kMaxEventsPerTurn, 0);
     // The oldest ones first, as the loop has it with its own sources. The kernel puts who was heard last turn
     // ahead of who has just spoken: a set-up then waited for two rounds of callers that flood.
-    std::sort(events, events + std::max(0, count),
-              [](const epoll_event& a, const epoll_event& b) { return a.data.u64 < b.data.u64; });
+    std::sort(events, events + std::max(0, count), [](const epoll_event& left, const epoll_event& right) {
+      return left.data.u64 < right.data.u64;
+    });
     for (int i = 0; i < count && !status_; ++i) {
       // What came before in this turn may have ended it, or changed what it is watched for.
       const std::uint32_t told = events[i].events;
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
-        const Connection& c = *it->second;
-        if (c.reading != 0 && (told & (c.reading | kErrorEvents)) != 0)
-          readable(c.id, (told & c.reading & EPOLLRDHUP) != 0);
+        const Connection& connection = *it->second;
+        if (connection.reading != 0 && (told & (connection.reading | kErrorEvents)) != 0)
+          readable(connection.id, (told & connection.reading & EPOLLRDHUP) != 0);
       }
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
-        const Connection& c = *it->second;
-        if (c.writing && (told & (EPOLLOUT | kErrorEvents)) != 0) writable(c.id);
+        const Connection& connection = *it->second;
+        if (connection.writing && (told & (EPOLLOUT | kErrorEvents)) != 0) writable(connection.id);
       }
     }
   }
@@ -328,7 +329,7 @@
     reducer_(clock_now(), event, effects);
     for (Effect& effect : effects) {
       if (status_) break;
-      std::visit([this](auto& e) { carry_out(e); }, effect);
+      std::visit([this](auto& notice) { carry_out(notice); }, effect);
     }
     // One write for all that a step sends on a connection.
     for (const ConnId id : std::exchange(dirty_, {})) flush(id);
@@ -477,29 +478,29 @@
 
   // A caller's end (EPOLLRDHUP) is looked for beside what it sends, until it is told: it is news though much
   // else has come before it, or though nothing is read from the connection for now.
-  void resume_reading(Connection& c) {
-    if (c.reading != 0 && !c.reading_paused) return;
-    c.reading_paused = false;
-    const bool told = c.from == nullptr || c.peer_closed;
-    c.reading = told ? EPOLLIN : EPOLLIN | EPOLLRDHUP;
-    update_watch(c);
-  }
-  void pause_reading(Connection& c) {
-    if (c.reading_paused || c.peer_closed) return;
-    c.reading_paused = true;
-    c.reading = c.from == nullptr ? 0U : std::uint32_t{EPOLLRDHUP};
-    update_watch(c);
+  void resume_reading(Connection& connection) {
+    if (connection.reading != 0 && !connection.reading_paused) return;
+    connection.reading_paused = false;
+    const bool told = connection.from == nullptr || connection.peer_closed;
+    connection.reading = told ? EPOLLIN : EPOLLIN | EPOLLRDHUP;
+    update_watch(connection);
+  }
+  void pause_reading(Connection& connection) {
+    if (connection.reading_paused || connection.peer_closed) return;
+    connection.reading_paused = true;
+    connection.reading = connection.from == nullptr ? 0U : std::uint32_t{EPOLLRDHUP};
+    update_watch(connection);
   }
   void readable(ConnId id, bool peer_closed) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    Connection& c = *it->second;
-    if (peer_closed && !c.peer_closed) {
-      c.peer_closed = true;
+    Connection& connection = *it->second;
+    if (peer_closed && !connection.peer_closed) {
+      connection.peer_closed = true;
       // What it did not read keeps nothing back any more: the rest of what it sent is read to its end.
-      c.reading_paused = true;
-      resume_reading(c);
-      if (!c.closing) step(PeerClosed{id});
+      connection.reading_paused = true;
+      resume_reading(connection);
+      if (!connection.closing) step(PeerClosed{id});
     }
     read(id);
   }
@@ -573,18 +574,18 @@
   void carry_out(const WithdrawSend& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end()) return;
-    Connection& c = *it->second;
-    const auto message = std::find_if(c.ticketed.begin(), c.ticketed.end(),
+    Connection& connection = *it->second;
+    const auto message = std::find_if(connection.ticketed.begin(), connection.ticketed.end(),
                                       [&](const auto& m) { return m.ticket == e.ticket; });
-    if (message == c.ticketed.end() || message->begin < c.written()) {  // written, or begun
+    if (message == connection.ticketed.end() || message->begin < connection.written()) {  // written, or begun
       if (!e.fallback.empty()) carry_out(Send{e.conn, e.fallback});
       return;
     }
     const std::uint64_t length = message->end - message->begin;
-    c.out.cut(message->begin - c.written(), length);
-    c.sent -= length;
+    connection.out.cut(message->begin - connection.written(), length);
+    connection.sent -= length;
     outbound_ -= length;
-    for (auto after = c.ticketed.erase(message); after != c.ticketed.end(); ++after) {
+    for (auto after = connection.ticketed.erase(message); after != connection.ticketed.end(); ++after) {
       after->begin -= length;
       after->end -= length;
     }
@@ -657,9 +658,9 @@
     }
     carry_out(Close{e.conn});
   }
-  static bool has_unread(const Connection& c) {
+  static bool has_unread(const Connection& connection) {
     int unread = 0;
-    return ioctl(g_socket_get_fd(c.socket.get()), FIONREAD, &unread) == 0 && unread > 0;
+    return ioctl(g_socket_get_fd(connection.socket.get()), FIONREAD, &unread) == 0 && unread > 0;
   }
 
   void carry_out(const ArmTimer& e) { arm(Timer{e.at, ++timer_order_, e.key}); }
@@ -776,10 +777,10 @@
 
   // Whether a caller to whom something is left to write reads at all. The kernel's own queue counts: of two
   // megabytes and more there a slow reader may take some without anything being written for long.
-  void watch_writing(Connection& c) {
-    if (c.from == nullptr || std::exchange(c.unread_check_armed, true)) return;
-    c.taken = taken_from(c);
-    schedule_unread_check(c.id);
+  void watch_writing(Connection& connection) {
+    if (connection.from == nullptr || std::exchange(connection.unread_check_armed, true)) return;
+    connection.taken = taken_from(connection);
+    schedule_unread_check(connection.id);
   }
   void schedule_unread_check(ConnId id) {
     arm(Timer{clock_now() + limits_.unread_timeout, ++timer_order_, {id.concern, kUnreadTimer | id.number}});
@@ -787,41 +788,41 @@
   void check_unread_timeout(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    Connection& c = *it->second;
-    c.unread_check_armed = !c.out.empty();
-    if (!c.unread_check_armed) return;
-    if (const std::uint64_t taken = taken_from(c); taken != c.taken) {
-      c.taken = taken;
+    Connection& connection = *it->second;
+    connection.unread_check_armed = !connection.out.empty();
+    if (!connection.unread_check_armed) return;
+    if (const std::uint64_t taken = taken_from(connection); taken != connection.taken) {
+      connection.taken = taken;
       return schedule_unread_check(id);
     }
     overflowed(id);
     for (const ConnId broken : std::exchange(broken_, {})) lose(broken, true);
   }
   // Bytes that the other side's kernel has taken since the start.
-  static std::uint64_t taken_from(const Connection& c) {
+  static std::uint64_t taken_from(const Connection& connection) {
     int queued = 0;
-    ioctl(g_socket_get_fd(c.socket.get()), SIOCOUTQ, &queued);
-    return c.written() - static_cast<std::uint64_t>(queued);
+    ioctl(g_socket_get_fd(connection.socket.get()), SIOCOUTQ, &queued);
+    return connection.written() - static_cast<std::uint64_t>(queued);
   }
 
   // ---- reading and writing
   void writable(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    Connection& c = *it->second;
-    if (!c.connected) {
-      c.writing = false;
-      update_watch(c);
+    Connection& connection = *it->second;
+    if (!connection.connected) {
+      connection.writing = false;
+      update_watch(connection);
       GError* error = nullptr;
-      if (!g_socket_check_connect_result(c.socket.get(), &error)) {
+      if (!g_socket_check_connect_result(connection.socket.get(), &error)) {
         const bool refused = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
         g_clear_error(&error);
         connections_.erase(it);
         step(ConnectFailed{id, refused});
         return;
       }
-      c.connected = true;
-      resume_reading(c);
+      connection.connected = true;
+      resume_reading(connection);
       step(Connected{id});
     }
     flush(id);
@@ -831,22 +832,22 @@
   bool write_some(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end() || !it->second->connected) return true;
-    Connection& c = *it->second;
-    while (!c.out.empty()) {
-      const std::string_view bytes = c.out.contents();
+    Connection& connection = *it->second;
+    while (!connection.out.empty()) {
+      const std::string_view bytes = connection.out.contents();
       GError* error = nullptr;
-      const gssize sent = g_socket_send(c.socket.get(), bytes.data(), bytes.size(), nullptr, &error);
+      const gssize sent = g_socket_send(connection.socket.get(), bytes.data(), bytes.size(), nullptr, &error);
       if (sent <= 0) {
         const bool wait = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
         g_clear_error(&error);
         return wait;
       }
       counters.bytes_out += static_cast<std::uint64_t>(sent);
-      c.out.drop(static_cast<std::size_t>(sent));
+      connection.out.drop(static_cast<std::size_t>(sent));
       outbound_ -= static_cast<std::size_t>(sent);
-      while (!c.ticketed.empty() && c.ticketed.front().end <= c.written()) {
+      while (!connection.ticketed.empty() && connection.ticketed.front().end <= connection.written()) {
         ++counters.counted_written;
-        c.ticketed.pop_front();
+        connection.ticketed.pop_front();
       }
     }
     return true;
@@ -855,45 +856,46 @@
   void flush(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end() || !it->second->connected) return;
-    Connection& c = *it->second;
+    Connection& connection = *it->second;
     if (!write_some(id)) return lose(id, true);
-    if (!c.out.empty()) {
-      if (c.out.size() > limits_.outbound_pause)
-        pause_reading(c);  // takes no more requests than it reads answers
-      watch_writing(c);
-      c.writing = true;
-      update_watch(c);
+    if (!connection.out.empty()) {
+      if (connection.out.size() > limits_.outbound_pause)
+        pause_reading(connection);  // takes no more requests than it reads answers
+      watch_writing(connection);
+      connection.writing = true;
+      update_watch(connection);
       return;
     }
-    c.writing = false;
-    update_watch(c);
-    if (c.closing && !c.write_closed) {
-      c.write_closed = true;
-      g_socket_shutdown(c.socket.get(), FALSE, TRUE, nullptr);
+    connection.writing = false;
+    update_watch(connection);
+    if (connection.closing && !connection.write_closed) {
+      connection.write_closed = true;
+      g_socket_shutdown(connection.socket.get(), FALSE, TRUE, nullptr);
     }
-    resume_reading(c);
+    resume_reading(connection);
   }
 
   void read(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    Connection& c = *it->second;
-    if (c.closing) {
+    Connection& connection = *it->second;
+    if (connection.closing) {
       char buffer[16384];
-      const gssize got = g_socket_receive(c.socket.get(), buffer, sizeof buffer, nullptr, nullptr);
-      if (got > 0) c.discarded_bytes += static_cast<std::size_t>(got);
-      if (got <= 0 || c.discarded_bytes > kMaxDiscardedBytes) connections_.erase(it);
+      const gssize got = g_socket_receive(connection.socket.get(), buffer, sizeof buffer, nullptr, nullptr);
+      if (got > 0) connection.discarded_bytes += static_cast<std::size_t>(got);
+      if (got <= 0 || connection.discarded_bytes > kMaxDiscardedBytes) connections_.erase(it);
       return;
     }
-    if (c.in.room() == 0) return lose(id, true);  // the reducer leaves a whole ring unread: it is stuck
-    c.in.reserve(std::min(c.in.size() + 4096, limits_.inbound));
-    const std::span<char> gap = c.in.gap();
+    if (connection.in.room() == 0)
+      return lose(id, true);  // the reducer leaves a whole ring unread: it is stuck
+    connection.in.reserve(std::min(connection.in.size() + 4096, limits_.inbound));
+    const std::span<char> gap = connection.in.gap();
     GError* error = nullptr;
-    const gssize got = g_socket_receive(c.socket.get(), gap.data(), gap.size(), nullptr, &error);
+    const gssize got = g_socket_receive(connection.socket.get(), gap.data(), gap.size(), nullptr, &error);
     if (got > 0) {
       counters.bytes_in += static_cast<std::uint64_t>(got);
-      c.in.filled(static_cast<std::size_t>(got));
-      step(Received{id, c.in.contents()});
+      connection.in.filled(static_cast<std::size_t>(got));
+      step(Received{id, connection.in.contents()});
       return;
     }
     const bool wait = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
--- a/src/otlp/exporter.cpp
+++ b/src/otlp/exporter.cpp
@@ -53,7 +53,7 @@
   if (settings_.collector) out.arm(net::Concern::collector, 0, now + settings_.interval);
 }
 
-void Exporter::record_request(Time now, const core::RequestAnswered& e,
+void Exporter::record_request(Time now, const core::RequestAnswered& effect,
                               const std::function<std::string(ServerId)>& name_of) {
   if (!settings_.collector) return;
   if (spans_.size() >= kMaxSpans) {
@@ -66,15 +66,15 @@
                   {"spanId", root},
                   {"name", "request"},
                   {"kind", kServer},
-                  {"startTimeUnixNano", nanos(e.received_at)},
+                  {"startTimeUnixNano", nanos(effect.received_at)},
                   {"endTimeUnixNano", nanos(now)},
-                  {"status", {{"code", e.served ? kOk : kError}}}};
+                  {"status", {{"code", effect.served ? kOk : kError}}}};
   request["attributes"] = {
-      attribute("call.id", e.request->correlation_id), attribute("call.class", e.request->class_name),
-      attribute("call.team", e.request->team),
-      attribute("call.answer", e.reject_reason ? to_string(*e.reject_reason) : "served")};
+      attribute("call.id", effect.request->correlation_id),
+      attribute("call.class", effect.request->class_name), attribute("call.team", effect.request->team),
+      attribute("call.answer", effect.reject_reason ? to_string(*effect.reject_reason) : "served")};
   json spans = json::array({request});
-  for (const core::AttemptRecord& a : e.attempts) {
+  for (const core::AttemptRecord& a : effect.attempts) {
     const bool good = !a.outcome || *a.outcome == Outcome::ok;
     json attempt = {{"traceId", trace},
                     {"spanId", ids_.next()},
@@ -124,12 +124,12 @@
   // One metric for each name, with a point for each thing it is told of.
   std::map<std::string, json> by_name;
   for (std::size_t i = 0; i < gauges.size() && i < kMaxGauges; ++i) {
-    const Gauge& g = gauges[i];
-    json& metric = by_name[g.name];
-    metric["name"] = g.name;
-    metric["unit"] = g.unit;
-    json point = {{"timeUnixNano", nanos(now)}, {"asDouble", g.value}};
-    for (const auto& [name, value] : g.attributes)
+    const Gauge& gauge = gauges[i];
+    json& metric = by_name[gauge.name];
+    metric["name"] = gauge.name;
+    metric["unit"] = gauge.unit;
+    json point = {{"timeUnixNano", nanos(now)}, {"asDouble", gauge.value}};
+    for (const auto& [name, value] : gauge.attributes)
       point["attributes"].push_back(attribute(name.c_str(), value));
     metric["gauge"]["dataPoints"].push_back(std::move(point));
   }
@@ -190,55 +190,55 @@
   connecting_ = false;
 }
 
-void Exporter::on(Time now, const net::Connected& e, Outbox& out) {
-  if (e.conn.number != conn_) return;
+void Exporter::on(Time now, const net::Connected& event, Outbox& out) {
+  if (event.conn.number != conn_) return;
   connecting_ = false;
   up_ = true;
   send_next(now, out);
 }
 
-void Exporter::on(Time, const net::ConnectFailed& e, Outbox& out) {
-  if (e.conn.number != conn_) return;
+void Exporter::on(Time, const net::ConnectFailed& event, Outbox& out) {
+  if (event.conn.number != conn_) return;
   counters_.add("otlp.connects_failed");
   failed(out, true);
 }
 
-void Exporter::on(Time, const net::Closed& e, Outbox& out) {
-  if (e.conn.number == conn_) failed(out, true);
+void Exporter::on(Time, const net::Closed& event, Outbox& out) {
+  if (event.conn.number == conn_) failed(out, true);
 }
 
-void Exporter::on(Time now, const net::Received& e, Outbox& out) {
-  if (e.conn.number != conn_ || !in_flight_) {
-    out.net.push_back(net::Consume{e.conn, e.bytes.size()});
+void Exporter::on(Time now, const net::Received& event, Outbox& out) {
+  if (event.conn.number != conn_ || !in_flight_) {
+    out.net.push_back(net::Consume{event.conn, event.bytes.size()});
     return;
   }
   std::size_t used = 0;
   if (!head_) {
     http::Head head;
-    const http::HeadState state = http::read_head(e.bytes, head);
+    const http::HeadState state = http::read_head(event.bytes, head);
     if (state == http::HeadState::more) return;
     if (state == http::HeadState::malformed) {
       counters_.add("otlp.malformed");
-      out.close(e.conn);
+      out.close(event.conn);
       return failed(out, false);
     }
     head_ = head;
     body_.emplace(head);
     used = head.size;
   }
-  const auto taken = body_->take(e.bytes.substr(used), answer_);
-  if (taken) out.net.push_back(net::Consume{e.conn, used + *taken});
+  const auto taken = body_->take(event.bytes.substr(used), answer_);
+  if (taken) out.net.push_back(net::Consume{event.conn, used + *taken});
   const bool empty = head_->length == std::size_t{0};
   if (!taken || answer_.size() > http::kHeadBound) {
     counters_.add("otlp.malformed");
-    out.close(e.conn);
+    out.close(event.conn);
     return failed(out, false);
   }
   if (!body_->done() && !empty) return;
   const int status = head_->status;
   if (status / 100 != 2) {
     counters_.add("otlp.posts_refused");
-    out.close(e.conn);
+    out.close(event.conn);
     return failed(out, retryable(status));
   }
   counters_.add("otlp.posts");
@@ -246,7 +246,7 @@
   posts_.pop_front();
   in_flight_ = false;
   if (head_->closes) {
-    out.close(e.conn);
+    out.close(event.conn);
     up_ = false;
   }
   send_next(now, out);
--- a/src/otlp/exporter.h
+++ b/src/otlp/exporter.h
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
+#include "codec/http.h"
 #include "core/counters.h"
 #include "core/random_id.h"
 #include "net/outbox.h"
-#include "proto/http.h"
 
 namespace graniterun::otlp {
 
@@ -32,13 +32,13 @@
   Exporter(ExporterSettings settings, Counters& counters);
 
   void start(Time now, Outbox& out);
-  void record_request(Time now, const core::RequestAnswered& e,
+  void record_request(Time now, const core::RequestAnswered& effect,
                       const std::function<std::string(ServerId)>& name_of);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, const Counters& all, const std::vector<Gauge>& gauges,
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, const Counters& all, const std::vector<Gauge>& gauges,
           Outbox& out);
 
  private:
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -7,8 +7,8 @@
 
 constexpr std::size_t kMaxServerTransactions = 20000;
 
-std::string_view top_via(const Message& m) {
-  const std::string_view via = m.header("Via");
+std::string_view top_via(const Message& message) {
+  const std::string_view via = message.header("Via");
   return via.substr(0, via.find(','));
 }
 
@@ -35,9 +35,9 @@
   return key.append("|").append(by_method);
 }
 
-std::string client_key(const Message& m) {
-  const auto cseq = cseq_of(m);
-  return std::string(parameter(top_via(m), "branch")).append("|").append(cseq ? cseq->method : "");
+std::string client_key(const Message& message) {
+  const auto cseq = cseq_of(message);
+  return std::string(parameter(top_via(message), "branch")).append("|").append(cseq ? cseq->method : "");
 }
 
 }  // namespace
@@ -92,17 +92,17 @@
 }
 
 Message answer_to(const Message& request, int status, std::string_view phrase, std::string_view tag) {
-  Message m;
-  m.status = status;
-  m.phrase = phrase;
-  for (const std::string_view via : request.all("Via")) m.add("Via", std::string(via));
-  m.add("From", std::string(request.header("From")));
+  Message message;
+  message.status = status;
+  message.phrase = phrase;
+  for (const std::string_view via : request.all("Via")) message.add("Via", std::string(via));
+  message.add("From", std::string(request.header("From")));
   std::string to(request.header("To"));
   if (status > 100 && !tag.empty() && parameter(to, "tag").empty()) to.append(";tag=").append(tag);
-  m.add("To", std::move(to));
-  m.add("Call-ID", std::string(request.header("Call-ID")));
-  m.add("CSeq", std::string(request.header("CSeq")));
-  return m;
+  message.add("To", std::move(to));
+  message.add("Call-ID", std::string(request.header("Call-ID")));
+  message.add("CSeq", std::string(request.header("CSeq")));
+  return message;
 }
 
 // ---- timers
@@ -135,9 +135,10 @@
   if (timer.server) {
     const auto tx = servers_.find(timer.key);
     if (tx == servers_.end() || !current(tx->second)) return lapses;
-    Server& s = tx->second;
+    Server& server = tx->second;
     if (timer.kind == Kind::retransmit) {  // timer G, or a 2xx that was not acknowledged
-      if (s.state == State::completed || s.state == State::accepted) retransmit(now, true, timer.key, s, out);
+      if (server.state == State::completed || server.state == State::accepted)
+        retransmit(now, true, timer.key, server, out);
     } else {
       if (timer.kind == Kind::timeout) lapses.push_back({TimerExpiry::What::no_ack, timer.key});  // timer H
       servers_.erase(tx);  // timers H, I, J, L
@@ -146,12 +147,14 @@
   }
   const auto tx = clients_.find(timer.key);
   if (tx == clients_.end() || !current(tx->second)) return lapses;
-  Client& c = tx->second;
+  Client& client = tx->second;
   if (timer.kind == Kind::retransmit) {  // timers A and E
-    const bool waiting = c.state == State::trying || (!c.invite && c.state == State::proceeding);
-    if (waiting) retransmit(now, false, timer.key, c, out);
+    const bool waiting =
+        client.state == State::trying || (!client.invite && client.state == State::proceeding);
+    if (waiting) retransmit(now, false, timer.key, client, out);
   } else if (timer.kind == Kind::timeout) {  // timers B and F
-    const bool waiting = c.state == State::trying || (!c.invite && c.state == State::proceeding);
+    const bool waiting =
+        client.state == State::trying || (!client.invite && client.state == State::proceeding);
     if (!waiting) return lapses;
     lapses.push_back({TimerExpiry::What::no_answer, timer.key});
     clients_.erase(tx);
@@ -169,71 +172,72 @@
   const auto it = servers_.find(key);
   if (request.method == "ACK") {
     if (it == servers_.end() || it->second.state == State::accepted) return RequestKind::ack;
-    Server& s = it->second;
-    if (s.state == State::completed) {
-      s.state = State::confirmed;
-      s.timers.erase(Kind::retransmit);
-      s.timers.erase(Kind::timeout);
-      arm(now, true, key, s, Kind::end, s.flow.reliable ? Duration{} : kT4, out);  // timer I
+    Server& server = it->second;
+    if (server.state == State::completed) {
+      server.state = State::confirmed;
+      server.timers.erase(Kind::retransmit);
+      server.timers.erase(Kind::timeout);
+      arm(now, true, key, server, Kind::end, server.flow.reliable ? Duration{} : kT4, out);  // timer I
     }
     return RequestKind::absorbed;
   }
   if (it != servers_.end()) {
     // A repeat, however late: it gets the same answer and starts nothing.
     counters_.add("sip.repeats_absorbed");
-    const Server& s = it->second;
-    if (!s.sent.empty() && s.state != State::confirmed) transport_.send(s.flow, s.sent, out);
+    const Server& server = it->second;
+    if (!server.sent.empty() && server.state != State::confirmed)
+      transport_.send(server.flow, server.sent, out);
     return RequestKind::absorbed;
   }
   if (servers_.size() >= kMaxServerTransactions) {  // dropped: it is sent again, or its caller goes elsewhere
     counters_.add("sip.requests_dropped");
     return RequestKind::absorbed;
   }
-  Server s;
-  s.flow = flow;
-  s.invite = request.method == "INVITE";
-  s.state = s.invite ? State::proceeding : State::trying;
-  s.request = request;
-  servers_.emplace(key, std::move(s));
+  Server server;
+  server.flow = flow;
+  server.invite = request.method == "INVITE";
+  server.state = server.invite ? State::proceeding : State::trying;
+  server.request = request;
+  servers_.emplace(key, std::move(server));
   return RequestKind::initial;
 }
 
 void Transactions::respond(Time now, const std::string& key, const Message& answer, Outbox& out) {
   const auto it = servers_.find(key);
   if (it == servers_.end() || it->second.final_sent) return;
-  Server& s = it->second;
-  s.sent = answer.text();
-  transport_.send(s.flow, s.sent, out);
+  Server& server = it->second;
+  server.sent = answer.text();
+  transport_.send(server.flow, server.sent, out);
   if (answer.status < 200) {
-    s.state = State::proceeding;
+    server.state = State::proceeding;
     return;
   }
-  s.final_sent = true;
-  if (!s.invite) {
-    s.state = State::completed;
-    arm(now, true, key, s, Kind::end, s.flow.reliable ? Duration{} : k64T1, out);  // timer J
+  server.final_sent = true;
+  if (!server.invite) {
+    server.state = State::completed;
+    arm(now, true, key, server, Kind::end, server.flow.reliable ? Duration{} : k64T1, out);  // timer J
     return;
   }
-  s.gap = kT1;
+  server.gap = kT1;
   if (answer.status < 300) {
     // Sent again until the ACK comes, over TCP too (§13.3.1.4).
-    s.state = State::accepted;
-    arm(now, true, key, s, Kind::retransmit, s.gap, out);
+    server.state = State::accepted;
+    arm(now, true, key, server, Kind::retransmit, server.gap, out);
   } else {
-    s.state = State::completed;
-    if (!s.flow.reliable) arm(now, true, key, s, Kind::retransmit, s.gap, out);  // timer G
+    server.state = State::completed;
+    if (!server.flow.reliable) arm(now, true, key, server, Kind::retransmit, server.gap, out);  // timer G
   }
-  arm(now, true, key, s, Kind::timeout, k64T1, out);  // timer H
+  arm(now, true, key, server, Kind::timeout, k64T1, out);  // timer H
 }
 
 void Transactions::acknowledged(Time now, const std::string& key, Outbox& out) {
   const auto it = servers_.find(key);
   if (it == servers_.end() || it->second.state != State::accepted) return;
-  Server& s = it->second;
-  if (!s.timers.contains(Kind::timeout)) return;  // acknowledged before
-  s.timers.erase(Kind::retransmit);
-  s.timers.erase(Kind::timeout);
-  arm(now, true, key, s, Kind::end, k64T1, out);  // timer L
+  Server& server = it->second;
+  if (!server.timers.contains(Kind::timeout)) return;  // acknowledged before
+  server.timers.erase(Kind::retransmit);
+  server.timers.erase(Kind::timeout);
+  arm(now, true, key, server, Kind::end, k64T1, out);  // timer L
 }
 
 const Message* Transactions::request_of(const std::string& key) const {
@@ -261,17 +265,17 @@
 std::string Transactions::send_request(Time now, const Flow& flow, const Message& request, Outbox& out,
                                        std::uint64_t ticket) {
   const std::string key = client_key(request);
-  Client c;
-  c.flow = flow;
-  c.invite = request.method == "INVITE";
-  c.state = State::trying;
-  c.request = request;
-  c.sent = request.text();
-  c.gap = kT1;
-  transport_.send(flow, c.sent, out, ticket);
-  if (!flow.reliable) arm(now, false, key, c, Kind::retransmit, c.gap, out);  // timers A and E
-  arm(now, false, key, c, Kind::timeout, k64T1, out);                         // timers B and F
-  clients_.insert_or_assign(key, std::move(c));
+  Client client;
+  client.flow = flow;
+  client.invite = request.method == "INVITE";
+  client.state = State::trying;
+  client.request = request;
+  client.sent = request.text();
+  client.gap = kT1;
+  transport_.send(flow, client.sent, out, ticket);
+  if (!flow.reliable) arm(now, false, key, client, Kind::retransmit, client.gap, out);  // timers A and E
+  arm(now, false, key, client, Kind::timeout, k64T1, out);                              // timers B and F
+  clients_.insert_or_assign(key, std::move(client));
   return key;
 }
 
@@ -282,28 +286,28 @@
     counters_.add("sip.answers_unknown");
     return {};
   }
-  Client& c = it->second;
+  Client& client = it->second;
   if (answer.status < 200) {
-    if (c.state == State::trying) c.state = State::proceeding;
-    return c.state == State::proceeding ? key : std::string();
+    if (client.state == State::trying) client.state = State::proceeding;
+    return client.state == State::proceeding ? key : std::string();
   }
-  if (!c.invite) {
-    if (c.state == State::completed) return {};
-    c.state = State::completed;
-    arm(now, false, key, c, Kind::end, c.flow.reliable ? Duration{} : kT4, out);  // timer K
+  if (!client.invite) {
+    if (client.state == State::completed) return {};
+    client.state = State::completed;
+    arm(now, false, key, client, Kind::end, client.flow.reliable ? Duration{} : kT4, out);  // timer K
     return key;
   }
   if (answer.status < 300) {
-    if (c.state == State::completed) return {};
-    if (c.state != State::accepted) arm(now, false, key, c, Kind::end, k64T1, out);  // timer M
-    c.state = State::accepted;
+    if (client.state == State::completed) return {};
+    if (client.state != State::accepted) arm(now, false, key, client, Kind::end, k64T1, out);  // timer M
+    client.state = State::accepted;
     return key;  // repeats too: the user acknowledges each
   }
-  if (c.state == State::accepted) return {};
-  ack_failure(c, answer, out);
-  if (c.state == State::completed) return {};
-  c.state = State::completed;
-  arm(now, false, key, c, Kind::end, c.flow.reliable ? Duration{} : k64T1, out);  // timer D
+  if (client.state == State::accepted) return {};
+  ack_failure(client, answer, out);
+  if (client.state == State::completed) return {};
+  client.state = State::completed;
+  arm(now, false, key, client, Kind::end, client.flow.reliable ? Duration{} : k64T1, out);  // timer D
   return key;
 }
 
@@ -313,19 +317,19 @@
 }
 
 // §17.1.1.3: within the transaction, on the same branch.
-void Transactions::ack_failure(Client& c, const Message& answer, Outbox& out) {
+void Transactions::ack_failure(Client& client, const Message& answer, Outbox& out) {
   Message ack;
   ack.method = "ACK";
-  ack.uri = c.request.uri;
-  ack.add("Via", std::string(c.request.header("Via")));
+  ack.uri = client.request.uri;
+  ack.add("Via", std::string(client.request.header("Via")));
   ack.add("Max-Forwards", "70");
-  for (const std::string_view route : c.request.all("Route")) ack.add("Route", std::string(route));
-  ack.add("From", std::string(c.request.header("From")));
+  for (const std::string_view route : client.request.all("Route")) ack.add("Route", std::string(route));
+  ack.add("From", std::string(client.request.header("From")));
   ack.add("To", std::string(answer.header("To")));
-  ack.add("Call-ID", std::string(c.request.header("Call-ID")));
-  const auto cseq = cseq_of(c.request);
+  ack.add("Call-ID", std::string(client.request.header("Call-ID")));
+  const auto cseq = cseq_of(client.request);
   ack.add("CSeq", std::to_string(cseq ? cseq->number : 0) + " ACK");
-  transport_.send(c.flow, ack.text(), out);
+  transport_.send(client.flow, ack.text(), out);
 }
 
 }  // namespace graniterun::sip
--- a/src/sip/transport.cpp
+++ b/src/sip/transport.cpp
@@ -27,9 +27,9 @@
   for (auto& [peer, dialled] : dialled_) {
     if (dialled.conn != conn) continue;
     dialled.up = true;
-    for (Dialled::Message& m : std::exchange(dialled.waiting, {})) {
-      if (refresh && m.ticket != 0) m.text = refresh(m.ticket, std::move(m.text));
-      out.send_counted({concern_, conn}, std::move(m.text), m.ticket);
+    for (Dialled::Message& message : std::exchange(dialled.waiting, {})) {
+      if (refresh && message.ticket != 0) message.text = refresh(message.ticket, std::move(message.text));
+      out.send_counted({concern_, conn}, std::move(message.text), message.ticket);
     }
   }
 }
@@ -61,30 +61,30 @@
   closed(conn);
 }
 
-std::vector<Incoming> Transport::received(const net::Received& e, Outbox& out) {
+std::vector<Incoming> Transport::received(const net::Received& event, Outbox& out) {
   std::vector<Incoming> messages;
   std::size_t used = 0;
-  while (used < e.bytes.size()) {
+  while (used < event.bytes.size()) {
     Incoming incoming;
-    incoming.flow = {true, e.conn.number, {}};
-    incoming.read = read_stream(e.bytes.substr(used));
+    incoming.flow = {true, event.conn.number, {}};
+    incoming.read = read_stream(event.bytes.substr(used));
     used += incoming.read.used;
     if (incoming.read.state == ReadState::more) break;
     const bool lost = incoming.read.unrecoverable;
     messages.push_back(std::move(incoming));
     if (lost) return messages;  // the reader of the messages closes the connection
   }
-  if (used < e.bytes.size()) {
-    half_.insert(e.conn.number);
+  if (used < event.bytes.size()) {
+    half_.insert(event.conn.number);
   } else {
-    half_.erase(e.conn.number);
+    half_.erase(event.conn.number);
   }
-  out.net.push_back(net::Consume{e.conn, used});
+  out.net.push_back(net::Consume{event.conn, used});
   return messages;
 }
 
-Incoming Transport::datagram(const net::Datagram& e) const {
-  return {{false, 0, std::string(e.peer)}, read_datagram(e.bytes)};
+Incoming Transport::datagram(const net::Datagram& datagram) const {
+  return {{false, 0, std::string(datagram.peer)}, read_datagram(datagram.bytes)};
 }
 
 void Transport::send(const Flow& flow, std::string text, Outbox& out, std::uint64_t ticket) {
--- a/src/sip/transport.h
+++ b/src/sip/transport.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "codec/sip.h"
 #include "core/counters.h"
 #include "net/outbox.h"
-#include "proto/sip.h"
 
 namespace graniterun::sip {
 
@@ -38,8 +38,8 @@
   std::string connect_failed(std::uint32_t conn);
   // The peer that it had been dialled to, if it was.
   std::string closed(std::uint32_t conn);
-  std::vector<Incoming> received(const net::Received& e, Outbox& out);
-  Incoming datagram(const net::Datagram& e) const;
+  std::vector<Incoming> received(const net::Received& event, Outbox& out);
+  Incoming datagram(const net::Datagram& datagram) const;
 
   // `ticket`: not 0 for a message over TCP that may be recalled while none of it is written.
   void send(const Flow& flow, std::string text, Outbox& out, std::uint64_t ticket = 0);
--- a/src/back/directory.h
+++ b/src/upstream/directory.h
@@ -8,7 +8,7 @@
 
 #include "config/config.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 
 class Directory {
  public:
@@ -29,4 +29,4 @@
   std::map<std::string, ServerId> ids_;
 };
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/discovery.cpp
+++ b/src/upstream/discovery.cpp
@@ -1,9 +1,9 @@
-#include "back/discovery.h"
+#include "upstream/discovery.h"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 namespace {
 
 using namespace std::chrono_literals;
@@ -160,4 +160,4 @@
   return true;
 }
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/discovery.h
+++ b/src/upstream/discovery.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
+#include "codec/http.h"
 #include "config/config.h"
 #include "net/outbox.h"
-#include "proto/http.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 
 class DiscoveryClient {
  public:
@@ -51,4 +51,4 @@
   std::vector<EndpointList> updates_{};
 };
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/setup_servers.cpp
+++ b/src/upstream/setup_servers.cpp
@@ -1,13 +1,13 @@
-#include "back/setup_servers.h"
+#include "upstream/setup_servers.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-#include "proto/number.h"
+#include "codec/number.h"
 #include "wire.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 namespace {
 
 using namespace std::chrono_literals;
@@ -902,4 +902,4 @@
   return it == servers_.end() ? nullptr : &it->second;
 }
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/setup_servers.h
+++ b/src/upstream/setup_servers.h
@@ -9,14 +9,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "back/directory.h"
+#include "codec/sip.h"
 #include "config/config.h"
 #include "core/counters.h"
 #include "core/deadline_queue.h"
 #include "net/outbox.h"
-#include "proto/sip.h"
+#include "upstream/directory.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 
 class SetupServers {
  public:
@@ -159,4 +159,4 @@
 // The reason that a refusal gives (Warning-Word) and, if by it the server was full, the wait that it tells.
 void read_rejection(const sip::Message& m, core::AttemptFinished& ended);
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/sip_trunk.cpp
+++ b/src/upstream/sip_trunk.cpp
@@ -1,8 +1,8 @@
-#include "back/sip_trunk.h"
+#include "upstream/sip_trunk.h"
 
-#include "back/setup_servers.h"
+#include "upstream/setup_servers.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 namespace {
 
 using namespace std::chrono_literals;
@@ -467,4 +467,4 @@
   return it == attempts_.end() ? nullptr : &it->second;
 }
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
--- a/src/back/sip_trunk.h
+++ b/src/upstream/sip_trunk.h
@@ -8,14 +8,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "back/directory.h"
 #include "core/counters.h"
 #include "core/deadline_queue.h"
 #include "core/random_id.h"
 #include "net/outbox.h"
 #include "sip/transactions.h"
+#include "upstream/directory.h"
 
-namespace graniterun::back {
+namespace graniterun::upstream {
 
 struct SipTrunkSettings {
   bool reliable{};        // TCP
@@ -104,4 +104,4 @@
   RandomIdGenerator ids_;
 };
 
-}  // namespace graniterun::back
+}  // namespace graniterun::upstream
