--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -44,10 +44,10 @@
     field("cutAtNs", a.deadline.time_since_epoch().count());
     end();
   }
-  void operator()(const CancelAttempt& a) const {
+  void operator()(const CancelAttempt& action) const {
     begin("REVOKE");
-    call(a.call);
-    field("try", a.attempt);
+    call(action.call);
+    field("try", action.attempt);
     end();
   }
   void operator()(const Reject& a) const {
@@ -56,15 +56,15 @@
     field("coolDownNs", a.retry_after.count());
     end();
   }
-  void operator()(const Fail& a) const {
+  void operator()(const Fail& action) const {
     begin("GIVE_UP");
-    call(a.call);
+    call(action.call);
     end();
   }
-  void operator()(const SetTimer& a) const {
+  void operator()(const SetTimer& action) const {
     begin("DEFER");
-    field("spanNs", a.delay.count());
-    field("cookie", static_cast<std::uint64_t>(a.timer));
+    field("spanNs", action.delay.count());
+    field("cookie", static_cast<std::uint64_t>(action.timer));
     end();
   }
   void operator()(const NotifyPeers& a) const {
@@ -185,86 +185,89 @@
 
 // ---- Settings and reports
 
-Settings parse_settings(const Message& m) {
-  const auto numbers = [&m](std::string_view field) {
+Settings parse_settings(const Message& message) {
+  const auto numbers = [&message](std::string_view field) {
     std::vector<std::int64_t> result;
-    const std::string_view value = m.text(field);
+    const std::string_view value = message.text(field);
     if (value.empty()) return result;
     split(value, ',',
-          [&](std::string_view part) { result.push_back(m.parse_number<std::int64_t>(field, part)); });
+          [&](std::string_view part) { result.push_back(message.parse_number<std::int64_t>(field, part)); });
     return result;
   };
 
-  Settings s;
-  s.layout = m.one_of<Layout>("familyInfo.layout", {{"meshed", Layout::meshed}, {"groups", Layout::groups}});
-  s.discovery = m.one_of<Discovery>("membershipMode",
-                                    {{"pushed", Discovery::pushed}, {"on_request", Discovery::on_request}});
-  s.processor_reports =
-      m.one_of<ProcessorReports>("familyInfo.peerLoad", {{"none", ProcessorReports::none},
-                                                         {"probe", ProcessorReports::probe},
-                                                         {"answers", ProcessorReports::answers}});
-  s.full_server_sends_retry_after = m.one_of("familyInfo.tellsWait", kTruth);
-  s.zone = Zone{m.number<std::uint32_t>("az")};
-  s.own_index = m.number<std::uint32_t>("me");
-  s.senders = m.number<std::uint32_t>("replicasOfMe");
-  s.max_attempts = m.number<int>("limits.maxAttempts");
-  s.may_cancel = m.one_of("limits.cancel", kTruth);
-  s.may_notify_peers = m.one_of("limits.peers", kTruth);
-  s.callers_honor_retry_after = m.one_of("limits.retryAfter", kTruth);
-  s.max_retry_after = m.duration("limits.maxRetryAfterNs");
-  s.callers_flag_redial = m.one_of("clients.marksRetry", kTruth);
-  s.retransmit_delay = m.duration("familyInfo.resendNs");
-  s.scheduling_interval = m.duration("roundNs");
-  if (m.find("limits.connectTimeoutNs")) s.connect_timeout = m.duration("limits.connectTimeoutNs");
-  s.release_guard = m.duration("familyInfo.releaseGuardNs");
-  s.drain_grace = m.duration("guarantees.stopSendingWithinNs");
-  s.answer_slack = m.duration("guarantees.answerSlackNs");
-  s.poll_interval = m.duration("guarantees.askEveryNs");
-  s.slow_start_fraction = m.number<double>("guarantees.coldFrom");
-  s.slow_start_duration = m.duration("guarantees.coldNs");
-  s.overload_multiple = m.number<double>("guarantees.fallMultiple");
-  s.overload_window = m.duration("guarantees.tipAfterNs");
-  s.worst_class_weight = m.number<double>("objectiveMix.worstClass");
-  s.late_fail_price = m.number<double>("prices.lateFail");
-  s.waste_price = m.number<double>("prices.waste");
-  s.peer_price = m.number<double>("prices.peer");
+  Settings settings;
+  settings.layout =
+      message.one_of<Layout>("familyInfo.layout", {{"meshed", Layout::meshed}, {"groups", Layout::groups}});
+  settings.discovery = message.one_of<Discovery>(
+      "membershipMode", {{"pushed", Discovery::pushed}, {"on_request", Discovery::on_request}});
+  settings.processor_reports =
+      message.one_of<ProcessorReports>("familyInfo.peerLoad", {{"none", ProcessorReports::none},
+                                                               {"probe", ProcessorReports::probe},
+                                                               {"answers", ProcessorReports::answers}});
+  settings.full_server_sends_retry_after = message.one_of("familyInfo.tellsWait", kTruth);
+  settings.zone = Zone{message.number<std::uint32_t>("az")};
+  settings.own_index = message.number<std::uint32_t>("me");
+  settings.senders = message.number<std::uint32_t>("replicasOfMe");
+  settings.max_attempts = message.number<int>("limits.maxAttempts");
+  settings.may_cancel = message.one_of("limits.cancel", kTruth);
+  settings.may_notify_peers = message.one_of("limits.peers", kTruth);
+  settings.callers_honor_retry_after = message.one_of("limits.retryAfter", kTruth);
+  settings.max_retry_after = message.duration("limits.maxRetryAfterNs");
+  settings.callers_flag_redial = message.one_of("clients.marksRetry", kTruth);
+  settings.retransmit_delay = message.duration("familyInfo.resendNs");
+  settings.scheduling_interval = message.duration("roundNs");
+  if (message.find("limits.connectTimeoutNs"))
+    settings.connect_timeout = message.duration("limits.connectTimeoutNs");
+  settings.release_guard = message.duration("familyInfo.releaseGuardNs");
+  settings.drain_grace = message.duration("guarantees.stopSendingWithinNs");
+  settings.answer_slack = message.duration("guarantees.answerSlackNs");
+  settings.poll_interval = message.duration("guarantees.askEveryNs");
+  settings.slow_start_fraction = message.number<double>("guarantees.coldFrom");
+  settings.slow_start_duration = message.duration("guarantees.coldNs");
+  settings.overload_multiple = message.number<double>("guarantees.fallMultiple");
+  settings.overload_window = message.duration("guarantees.tipAfterNs");
+  settings.worst_class_weight = message.number<double>("objectiveMix.worstClass");
+  settings.late_fail_price = message.number<double>("prices.lateFail");
+  settings.waste_price = message.number<double>("prices.waste");
+  settings.peer_price = message.number<double>("prices.peer");
 
   const auto holds = numbers("familyInfo.classHoldNs");
-  const auto count = m.number<std::size_t>("classes.count");
-  if (holds.size() != count) m.fail("familyInfo.classHoldNs", "does not name a time for each class");
+  const auto count = message.number<std::size_t>("classes.count");
+  if (holds.size() != count) message.fail("familyInfo.classHoldNs", "does not name a time for each class");
   for (std::size_t i = 0; i < count; ++i) {
     const std::string path = "classes." + std::to_string(i) + ".";
-    CallClass c;
-    c.latency_objective = m.duration(path + "promiseNs");
-    c.caller_timeout = m.duration(path + "hardLimitNs");
-    c.priority_weight = m.number<double>(path + "worth");
-    c.late_weight_fraction = m.number<double>(path + "lateWorth");
-    c.mean_holding_time = Duration(holds[i]);
-    c.idempotency = m.one_of<Idempotency>(path + "effect", {{"idempotent", Idempotency::idempotent},
-                                                            {"deduplicated", Idempotency::keyed},
-                                                            {"at_most_once", Idempotency::non_idempotent}});
-    c.deduplication_scope =
-        m.one_of<DeduplicationScope>(path + "group", {{"all", DeduplicationScope::all},
-                                                      {"zone", DeduplicationScope::zone},
-                                                      {"cell", DeduplicationScope::cell}});
-    c.deduplication_window = m.duration(path + "dedupWindowNs");
-    if (const std::string pools = "familyInfo.poolsByClass." + std::to_string(i); m.find(pools)) {
-      c.open_pools.emplace();
-      for (const std::int64_t pool : numbers(pools)) c.open_pools->push_back(Pool{pool});
+    CallClass call_class;
+    call_class.latency_objective = message.duration(path + "promiseNs");
+    call_class.caller_timeout = message.duration(path + "hardLimitNs");
+    call_class.priority_weight = message.number<double>(path + "worth");
+    call_class.late_weight_fraction = message.number<double>(path + "lateWorth");
+    call_class.mean_holding_time = Duration(holds[i]);
+    call_class.idempotency =
+        message.one_of<Idempotency>(path + "effect", {{"idempotent", Idempotency::idempotent},
+                                                      {"deduplicated", Idempotency::keyed},
+                                                      {"at_most_once", Idempotency::non_idempotent}});
+    call_class.deduplication_scope =
+        message.one_of<DeduplicationScope>(path + "group", {{"all", DeduplicationScope::all},
+                                                            {"zone", DeduplicationScope::zone},
+                                                            {"cell", DeduplicationScope::cell}});
+    call_class.deduplication_window = message.duration(path + "dedupWindowNs");
+    if (const std::string pools = "familyInfo.poolsByClass." + std::to_string(i); message.find(pools)) {
+      call_class.open_pools.emplace();
+      for (const std::int64_t pool : numbers(pools)) call_class.open_pools->push_back(Pool{pool});
     }
-    s.classes.push_back(std::move(c));
+    settings.classes.push_back(std::move(call_class));
   }
-  return s;
+  return settings;
 }
 
-LoadReport parse_report(const Message& m, std::string_view field) {
+LoadReport parse_report(const Message& message, std::string_view field) {
   LoadReport report;
-  const auto value = m.find(field);
+  const auto value = message.find(field);
   if (!value || value->empty()) return report;
   split(*value, ',', [&](std::string_view pair) {
     const std::size_t colon = pair.find(':');
-    if (colon == std::string_view::npos) m.fail(field, "is not name:value pairs");
-    note_value(report, pair.substr(0, colon), m.parse_number<double>(field, pair.substr(colon + 1)));
+    if (colon == std::string_view::npos) message.fail(field, "is not name:value pairs");
+    note_value(report, pair.substr(0, colon), message.parse_number<double>(field, pair.substr(colon + 1)));
   });
   return report;
 }
@@ -315,116 +318,119 @@
   if (now_) throw MalformedInput(line_number_ + 1, "COMMIT", "is missing at the end of input");
 }
 
-void Host::take_entry(const Message& m) {
-  if (m.name() != "M") m.fail(m.name(), "stands where an M line is due");
+void Host::take_entry(const Message& message) {
+  if (message.name() != "M") message.fail(message.name(), "stands where an M line is due");
   Entry entry;
-  entry.server = m.text("server");
-  entry.entry.zone = Zone{m.number<std::uint32_t>("az")};
-  entry.entry.pool = Pool{m.number<std::int64_t>("placeNo")};
-  entry.entry.state = m.one_of<ServerState>("state", {{"in_service", ServerState::in_service},
-                                                      {"terminating", ServerState::terminating},
-                                                      {"terminated", ServerState::terminated}});
-  entry.entry.weight = m.number<double>("weight");
-  if (const auto since = m.find_number<Duration::rep>("onlineSinceNs"); since.value_or(0) != 0) {
+  entry.server = message.text("server");
+  entry.entry.zone = Zone{message.number<std::uint32_t>("az")};
+  entry.entry.pool = Pool{message.number<std::int64_t>("placeNo")};
+  entry.entry.state = message.one_of<ServerState>("state", {{"in_service", ServerState::in_service},
+                                                            {"terminating", ServerState::terminating},
+                                                            {"terminated", ServerState::terminated}});
+  entry.entry.weight = message.number<double>("weight");
+  if (const auto since = message.find_number<Duration::rep>("onlineSinceNs"); since.value_or(0) != 0) {
     entry.entry.online_since = Time(Duration(*since));
   }
   open_list_->push_back(std::move(entry));
   if (--entries_to_come_ == 0) open_list_ = nullptr;
 }
 
-Host::Instance& Host::instance(const Message& m) {
-  const auto it = instances_.find(m.number<int>("i"));
-  if (it == instances_.end()) m.fail("i", "names an instance that was not started");
+Host::Instance& Host::instance(const Message& message) {
+  const auto it = instances_.find(message.number<int>("i"));
+  if (it == instances_.end()) message.fail("i", "names an instance that was not started");
   return it->second;
 }
 
-void Host::hand_over(const Message& m, const Event& event) {
-  Instance& to = instance(m);
+void Host::hand_over(const Message& message, const Event& event) {
+  Instance& to = instance(message);
   actions_.clear();
   to.controller.handle(*now_, event, actions_);
-  const ActionWriter writer(reply_, m.number<int>("i"), to.addresses);
+  const ActionWriter writer(reply_, message.number<int>("i"), to.addresses);
   for (const Action& action : actions_) std::visit(writer, action);
 }
 
-void Host::start(const Message& m) {
-  const int number = m.number<int>("i");
+void Host::start(const Message& message) {
+  const int number = message.number<int>("i");
   instances_.erase(number);
-  instances_.emplace(std::piecewise_construct, std::forward_as_tuple(number),
-                     std::forward_as_tuple(parse_settings(m), m.number<std::uint64_t>("nonce64")));
+  instances_.emplace(
+      std::piecewise_construct, std::forward_as_tuple(number),
+      std::forward_as_tuple(parse_settings(message), message.number<std::uint64_t>("nonce64")));
 }
 
-void Host::event(const Message& m) {
-  const std::string_view name = m.name();
+void Host::event(const Message& message) {
+  const std::string_view name = message.name();
   if (name == "QUERY") {
-    NewCall e;
-    e.call = m.call("corr");
-    e.call_class = m.number<ClassIndex>("category");
-    if (e.call_class >= instance(m).classes)
-      m.fail("category", "names a class that the settings do not hold");
-    e.number = Number{m.number<std::uint64_t>("entity")};
-    e.destination = Pool{m.find_number<std::int64_t>("dest").value_or(-1)};
-    e.deadline = m.time("deadlineNs");
-    e.circuits = m.find_number<double>("circuits").value_or(1);
-    e.in_transit = m.find_flag("transit");
-    e.cut_before = m.find_flag("reconnect");
-    e.redial = m.find_flag("retry");
-    hand_over(m, e);
+    NewCall event;
+    event.call = message.call("corr");
+    event.call_class = message.number<ClassIndex>("category");
+    if (event.call_class >= instance(message).classes)
+      message.fail("category", "names a class that the settings do not hold");
+    event.number = Number{message.number<std::uint64_t>("entity")};
+    event.destination = Pool{message.find_number<std::int64_t>("dest").value_or(-1)};
+    event.deadline = message.time("deadlineNs");
+    event.circuits = message.find_number<double>("circuits").value_or(1);
+    event.in_transit = message.find_flag("transit");
+    event.cut_before = message.find_flag("reconnect");
+    event.redial = message.find_flag("retry");
+    hand_over(message, event);
   } else if (name == "VERDICT") {
-    AttemptEnded e;
-    e.call = m.call("corr");
-    e.attempt = m.number<int>("try");
-    e.server = instance(m).id_of(m.text("server"));
-    e.outcome = m.one_of("ending", kOutcomes);
-    e.delay = m.duration("elapsedNs");
-    e.call_finished = m.find_flag("doneFlag");
-    const int why = m.find_number<int>("why").value_or(0);
+    AttemptEnded event;
+    event.call = message.call("corr");
+    event.attempt = message.number<int>("try");
+    event.server = instance(message).id_of(message.text("server"));
+    event.outcome = message.one_of("ending", kOutcomes);
+    event.delay = message.duration("elapsedNs");
+    event.call_finished = message.find_flag("doneFlag");
+    const int why = message.find_number<int>("why").value_or(0);
     constexpr int kReasons = 16;  // above it, the wait in milliseconds
-    if (why < 0) m.fail("why", "is below 0");
+    if (why < 0) message.fail("why", "is below 0");
     if (why == 18) {
-      e.reason = FullReason::returned;
+      event.reason = FullReason::returned;
     } else {
       constexpr FullReason kMeaning[] = {FullReason::none, FullReason::no_circuit, FullReason::returned,
                                          FullReason::processor, FullReason::number_busy};
-      if (const int reason = why % kReasons; reason <= 4) e.reason = kMeaning[reason];
-      if (why >= kReasons) e.retry_after = std::chrono::milliseconds(why / kReasons);
+      if (const int reason = why % kReasons; reason <= 4) event.reason = kMeaning[reason];
+      if (why >= kReasons) event.retry_after = std::chrono::milliseconds(why / kReasons);
     }
-    e.report = parse_report(m, "feedback");
-    hand_over(m, e);
+    event.report = parse_report(message, "feedback");
+    hand_over(message, event);
   } else if (name == "FIRST_BYTE") {
-    hand_over(m, CallEstablished{m.call("corr"), m.number<int>("try"), instance(m).id_of(m.text("server")),
-                                 m.duration("elapsedNs")});
+    hand_over(message, CallEstablished{message.call("corr"), message.number<int>("try"),
+                                       instance(message).id_of(message.text("server")),
+                                       message.duration("elapsedNs")});
   } else if (name == "TIMER") {
-    hand_over(m, TimerDue{TimerId{m.number<std::uint64_t>("cookie")}});
+    hand_over(message, TimerDue{TimerId{message.number<std::uint64_t>("cookie")}});
   } else if (name == "LEFT") {
-    hand_over(m, CallerDisconnected{m.call("corr")});
+    hand_over(message, CallerDisconnected{message.call("corr")});
   } else if (name == "PROBE_RESULT") {
-    hand_over(m, ServerReport{instance(m).id_of(m.text("server")), parse_report(m, "feedback")});
+    hand_over(message, ServerReport{instance(message).id_of(message.text("server")),
+                                    parse_report(message, "feedback")});
   } else if (name == "PEER_DATA") {
-    hand_over(m, PeerMessage{m.number<std::uint32_t>("srcPeer"), m.bytes("contents")});
+    hand_over(message, PeerMessage{message.number<std::uint32_t>("srcPeer"), message.bytes("contents")});
   } else if (name == "BACKENDS_CHANGED") {
     ServerList e;
-    e.kind = m.one_of<ListKind>("kind", {{"changes", ListKind::changes},
-                                         {"all", ListKind::all},
-                                         {"remembered", ListKind::cached},
-                                         {"refused", ListKind::rejected}});
+    e.kind = message.one_of<ListKind>("kind", {{"changes", ListKind::changes},
+                                               {"all", ListKind::all},
+                                               {"remembered", ListKind::cached},
+                                               {"refused", ListKind::rejected}});
     if (e.kind != ListKind::rejected) {
-      const auto list = lists_.find(m.number<int>("setId"));
-      if (list == lists_.end()) m.fail("setId", "names a list that was not sent");
+      const auto list = lists_.find(message.number<int>("setId"));
+      if (list == lists_.end()) message.fail("setId", "names a list that was not sent");
       for (const Entry& entry : list->second) {
         e.entries.push_back(entry.entry);
-        e.entries.back().server = instance(m).id_of(entry.server);
+        e.entries.back().server = instance(message).id_of(entry.server);
       }
     }
-    hand_over(m, e);
+    hand_over(message, e);
   } else if (name == "REGISTER") {
-    std::vector<Entry>& list = lists_[m.number<int>("setId")];
+    std::vector<Entry>& list = lists_[message.number<int>("setId")];
     list.clear();
-    entries_to_come_ = m.number<std::size_t>("records");
+    entries_to_come_ = message.number<std::size_t>("records");
     open_list_ = entries_to_come_ > 0 ? &list : nullptr;
   } else if (name == "ENLIST") {
-    start(m);
+    start(message);
   } else if (name == "TEARDOWN") {
-    instances_.erase(m.number<int>("i"));
+    instances_.erase(message.number<int>("i"));
   }
 }
 
--- a/tests/proto_test.cpp
+++ b/tests/codec_test.cpp
@@ -2,10 +2,10 @@
 #include <random>
 
 #include "check.h"
+#include "codec/http.h"
+#include "codec/jsonl.h"
+#include "codec/sip.h"
 #include "net/ring.h"
-#include "proto/http.h"
-#include "proto/jsonl.h"
-#include "proto/sip.h"
 
 using namespace graniterun;
 
--- a/tests/configuration_process_test.cpp
+++ b/tests/configuration_process_test.cpp
@@ -12,10 +12,10 @@
 #include <csignal>
 #include <filesystem>
 
+#include "codec/sip.h"
 #include "lab/config_rig.h"
 #include "lab/stream_relay.h"
 #include "programs.h"
-#include "proto/sip.h"
 #include "world.h"
 
 using namespace graniterun;
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -19,7 +19,7 @@
 constexpr ConnId kDesk{Concern::control, 1};
 constexpr ConnId kOther{Concern::control, 2};
 
-DeployConfig with_control(limits::Fleet fleet = {}, Duration wait = {}) {
+DeployConfig with_control(call_gapping::Fleet fleet = {}, Duration wait = {}) {
   DeployConfig d;
   d.sip_udp = "127.0.0.1:5060";
   d.control.emplace();
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -5,13 +5,13 @@
 
 #include <nlohmann/json.hpp>
 
-#include "app/gatekeeper.h"
 #include "control/config_client.h"
 #include "control/config_distributor.h"
 #include "control/config_lines.h"
 #include "control/gap_client.h"
 #include "control/gap_publisher.h"
 #include "fleet/datagram.h"
+#include "gatekeeper/gatekeeper.h"
 #include "lab.h"
 
 using namespace graniterun;
--- a/tests/lab.h
+++ b/tests/lab.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "app/gatekeeper.h"
 #include "check.h"
-#include "proto/jsonl.h"
-#include "proto/sip.h"
+#include "codec/jsonl.h"
+#include "codec/sip.h"
+#include "gatekeeper/gatekeeper.h"
 
 namespace graniterun::test {
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -3,13 +3,13 @@
 #include <map>
 #include <random>
 
+#include "call_gapping/gap_register.h"
+#include "call_gapping/hot_numbers.h"
 #include "check.h"
-#include "limits/gap_register.h"
-#include "limits/hot_numbers.h"
 
 using namespace graniterun;
 using namespace graniterun::test;
-using namespace graniterun::limits;
+using namespace graniterun::call_gapping;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/load_control_test.cpp
+++ b/tests/load_control_test.cpp
@@ -97,7 +97,7 @@
 }
 
 void what_is_written_is_read_again() {
-  limits::Announcement a;
+  call_gapping::Announcement a;
   a.id = "hiker & \"co\" <1>";
   a.start = kNow;
   a.end = kNow + 1h;
@@ -114,9 +114,9 @@
   CHECK_EQ(d.rules[1].figure, 0.0);
   CHECK(read_load_control(write_load_control(d)) == d);
   // What no rule can say is not told as something else.
-  a.gap->shape = limits::Shape::each_number;
+  a.gap->shape = call_gapping::Shape::each_number;
   CHECK(!rule_of(a));
-  a.gap->shape = limits::Shape::whole;
+  a.gap->shape = call_gapping::Shape::whole;
   a.gap->criteria.classes = {"safety"};
   CHECK(!rule_of(a));
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -100,7 +100,7 @@
   const auto told = [](const std::string& header) {
     const std::string text =
         "SIP/2.0 503 x\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\n" + header + "Content-Length: 0\r\n\r\n";
-    return back::retry_after_of(sip::read_stream(text).message);
+    return upstream::retry_after_of(sip::read_stream(text).message);
   };
   CHECK(told("P-Wait: 2949\r\n") == Duration(2949ms));
   CHECK(told("P-Wait: 0\r\n") == Duration(0ms));
--- a/tests/slot_failover_test.cpp
+++ b/tests/slot_failover_test.cpp
@@ -6,12 +6,12 @@
 #include <optional>
 #include <random>
 
+#include "call_gapping/gap_register.h"
 #include "check.h"
-#include "limits/gap_register.h"
 
 using namespace graniterun;
 using namespace graniterun::test;
-using namespace graniterun::limits;
+using namespace graniterun::call_gapping;
 using namespace std::chrono_literals;
 
 namespace {
--- a/tests/world.h
+++ b/tests/world.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "proto/sip.h"
+#include "codec/sip.h"
 #include "settings.h"
 #include "stand_in.h"
 
