--- a/src/cli/graniterunctl.cpp
+++ b/src/cli/graniterunctl.cpp
@@ -60,7 +60,7 @@
 };
 
 // `1500ms`, `2s`, `10m`, `2h`: the unit has to be there.
-std::chrono::milliseconds duration_of(std::string text, const char* what) {
+std::chrono::milliseconds duration_of(const std::string& text, const char* what) {
   static const std::map<std::string, std::int64_t> kUnits{
       {"ms", 1}, {"s", 1000}, {"m", 60'000}, {"h", 3'600'000}};
   const std::size_t unit = text.find_first_not_of("0123456789.");
@@ -190,81 +190,119 @@
   });
 }
 
-int run(int argc, char** argv) {
-  Options o;
-  ConfigOptions c;
-  CLI::App app{"Announces call gaps to graniterun's gatekeepers, lifts them, and tells of their fleet."};
-  app.footer(kFooter);
-  app.require_subcommand(1);
+// The commands of `gap` and `fleet`.
+struct GapCommands {
+  CLI::App* announce = nullptr;
+  CLI::App* lift = nullptr;
+  CLI::App* list = nullptr;
+  CLI::App* watch = nullptr;
+  CLI::App* members = nullptr;
+  CLI::App* view = nullptr;
+  CLI::App* fleet_watch = nullptr;
+  CLI::App* leave = nullptr;
+  bool watches() const { return watch->parsed() || fleet_watch->parsed(); }
+};
+
+GapCommands add_gap_commands(CLI::App& app) {
   CLI::App* gap = app.add_subcommand("gap", "call gaps: at most one call in an interval passes to a number");
   gap->require_subcommand(1);
-  CLI::App* announce = gap->add_subcommand("announce", "announce a gap, or change one");
-  CLI::App* lift = gap->add_subcommand("lift", "lift a gap: all calls pass again");
-  CLI::App* list = gap->add_subcommand("list", "what each holds, and whether all hold the same");
-  CLI::App* watch = gap->add_subcommand("watch", "tell of every change as it happens");
   CLI::App* fleet = app.add_subcommand("fleet", "the gatekeepers as they know each other");
   fleet->require_subcommand(1);
-  CLI::App* members = fleet->add_subcommand("members", "whom each knows: alive, suspect, dead, left");
-  CLI::App* view = fleet->add_subcommand("view", "a line each: whether it is settled, and the digest");
-  CLI::App* events = fleet->add_subcommand("watch", "tell of every change as it happens");
-  CLI::App* leave = fleet->add_subcommand("leave", "it says that it leaves, and serves on alone");
-  for (CLI::App* sub : {announce, lift, list, watch, members, view, events, leave}) {
-    sub->add_option("--to", o.to, "control addresses, address:port")
+  GapCommands commands;
+  commands.announce = gap->add_subcommand("announce", "announce a gap, or change one");
+  commands.lift = gap->add_subcommand("lift", "lift a gap: all calls pass again");
+  commands.list = gap->add_subcommand("list", "what each holds, and whether all hold the same");
+  commands.watch = gap->add_subcommand("watch", "tell of every change as it happens");
+  commands.members = fleet->add_subcommand("members", "whom each knows: alive, suspect, dead, left");
+  commands.view = fleet->add_subcommand("view", "a line each: whether it is settled, and the digest");
+  commands.fleet_watch = fleet->add_subcommand("watch", "tell of every change as it happens");
+  commands.leave = fleet->add_subcommand("leave", "it says that it leaves, and serves on alone");
+  return commands;
+}
+
+void add_common_options(const GapCommands& commands, Options& options) {
+  const auto [announce, lift, list, watch, members, view, fleet_watch, leave] = commands;
+  for (CLI::App* command : {announce, lift, list, watch, members, view, fleet_watch, leave}) {
+    command->add_option("--to", options.to, "control addresses, address:port")
         ->required()
         ->envname("GRANITERUN_CONTROL")
         ->delimiter(',');
-    sub->add_flag("--json", o.json, "JSON for programs");
-    sub->footer(kFooter);
+    command->add_flag("--json", options.json, "JSON for programs");
+    command->footer(kFooter);
   }
-  for (CLI::App* sub : {announce, lift}) {
-    sub->add_option("id", o.id, "the gap's name")->required();
-    sub->add_option("--by", o.by, "who announces it");
-    sub->add_option("--version", o.version, "of two the higher one holds (default: the time)");
+  for (CLI::App* command : {announce, lift}) {
+    command->add_option("id", options.id, "the gap's name")->required();
+    command->add_option("--by", options.by, "who announces it");
+    command->add_option("--version", options.version, "of two the higher one holds (default: the time)");
   }
-  for (CLI::App* sub : {announce, lift, list, members, view, leave})
-    sub->add_option("--within", o.within, "how long to wait for all to obey")->capture_default_str();
-  announce->add_option("--number", o.numbers, "a called number")->delimiter(',');
-  announce->add_option("--prefix", o.prefixes, "how called numbers begin")->delimiter(',');
-  announce->add_option("--class", o.classes, "only calls of this class")->delimiter(',');
-  announce->add_option("--one-in", o.one_in, "one call passes in so long (1s, 500ms), or 'none'");
-  announce->add_flag("--each-number", o.each, "count each called number under the prefix apart");
-  announce->add_option("--percent", o.percent, "this share of calls passes")->check(CLI::Range(0.0, 100.0));
-  announce->add_option("--for", o.lasts, "how long it holds, 24h at most")->capture_default_str();
-  announce->add_option("--in", o.starts_in, "when it begins, from now")->capture_default_str();
-  announce->add_option("--cause", o.cause, "Q.850 cause that callers are told")
-      ->check(CLI::IsMember({34, 42, 102}));
-  announce->add_option("--words", o.words, "words that callers are told");
-  for (CLI::App* sub : {watch, events})
-    sub->add_option("--for", o.watch_for, "how long to watch (0ms: until it is ended)")
+  for (CLI::App* command : {announce, lift, list, members, view, leave})
+    command->add_option("--within", options.within, "how long to wait for all to obey")
+        ->capture_default_str();
+  for (CLI::App* command : {watch, fleet_watch})
+    command->add_option("--for", options.watch_for, "how long to watch (0ms: until it is ended)")
         ->capture_default_str();
+}
 
-  const ConfigCommands config = add_config(app, c);
-  GapClientSettings s;
+void add_gap_options(CLI::App& announce, Options& options) {
+  announce.add_option("--number", options.numbers, "a called number")->delimiter(',');
+  announce.add_option("--prefix", options.prefixes, "how called numbers begin")->delimiter(',');
+  announce.add_option("--class", options.classes, "only calls of this class")->delimiter(',');
+  announce.add_option("--one-in", options.one_in, "one call passes in so long (1s, 500ms), or 'none'");
+  announce.add_flag("--each-number", options.each, "count each called number under the prefix apart");
+  announce.add_option("--percent", options.percent, "this share of calls passes")
+      ->check(CLI::Range(0.0, 100.0));
+  announce.add_option("--for", options.lasts, "how long it holds, 24h at most")->capture_default_str();
+  announce.add_option("--in", options.starts_in, "when it begins, from now")->capture_default_str();
+  announce.add_option("--cause", options.cause, "Q.850 cause that callers are told")
+      ->check(CLI::IsMember({34, 42, 102}));
+  announce.add_option("--words", options.words, "words that callers are told");
+}
+
+GapClientSettings::Command command_of(const GapCommands& commands) {
+  if (commands.list->parsed()) return GapClientSettings::Command::list;
+  if (commands.watches()) return GapClientSettings::Command::watch;
+  if (commands.members->parsed()) return GapClientSettings::Command::members;
+  if (commands.view->parsed()) return GapClientSettings::Command::view;
+  if (commands.leave->parsed()) return GapClientSettings::Command::leave;
+  return GapClientSettings::Command::announce;
+}
+
+GapClientSettings settings_of(const GapCommands& commands, const Options& options) {
+  GapClientSettings settings;
+  settings.addresses = options.to;
+  settings.json = options.json;
+  settings.timeout = duration_of(commands.watches() ? options.watch_for : options.within, "--within");
+  settings.command = command_of(commands);
+  if (commands.announce->parsed() || commands.lift->parsed())
+    settings.announcement = announcement_of(options, net::clock_now(), commands.lift->parsed());
+  return settings;
+}
+
+int run(int argc, char** argv) {
+  Options options;
+  ConfigOptions config_options;
+  CLI::App app{"Announces call gaps to graniterun's gatekeepers, lifts them, and tells of their fleet."};
+  app.footer(kFooter);
+  app.require_subcommand(1);
+  const GapCommands gap_commands = add_gap_commands(app);
+  add_common_options(gap_commands, options);
+  add_gap_options(*gap_commands.announce, options);
+  const ConfigCommands config_commands = add_config(app, config_options);
+  GapClientSettings gap_settings;
   ConfigClientSettings config_settings;
   try {
     app.parse(argc, argv);
-    if (config.parsed()) {
-      config_settings = settings_of(config, c);
+    if (config_commands.parsed()) {
+      config_settings = settings_of(config_commands, config_options);
     } else {
-      s.addresses = o.to;
-      s.json = o.json;
-      const bool watches = watch->parsed() || events->parsed();
-      s.timeout = duration_of(watches ? o.watch_for : o.within, "--within");
-      s.command = list->parsed()      ? GapClientSettings::Command::list
-                  : watches           ? GapClientSettings::Command::watch
-                  : members->parsed() ? GapClientSettings::Command::members
-                  : view->parsed()    ? GapClientSettings::Command::view
-                  : leave->parsed()   ? GapClientSettings::Command::leave
-                                      : GapClientSettings::Command::announce;
-      if (announce->parsed() || lift->parsed())
-        s.announcement = announcement_of(o, net::clock_now(), lift->parsed());
+      gap_settings = settings_of(gap_commands, options);
     }
-  } catch (const CLI::ParseError& trouble) {
-    const int status = app.exit(trouble);
+  } catch (const CLI::ParseError& error) {
+    const int status = app.exit(error);
     return status == 0 ? 0 : GapClient::kUsage;
   }
-  if (config.parsed()) return run_to_the_end(ConfigClient(std::move(config_settings)));
-  return run_to_the_end(GapClient(std::move(s)));
+  if (config_commands.parsed()) return run_to_the_end(ConfigClient(std::move(config_settings)));
+  return run_to_the_end(GapClient(std::move(gap_settings)));
 }
 
 }  // namespace
--- a/src/control/config_client.cpp
+++ b/src/control/config_client.cpp
@@ -15,6 +15,7 @@
 constexpr std::size_t kMaxNameBytesInQuestion = 16 * 1024;
 constexpr std::size_t kMaxNamesPrinted = 20;  // of each list, to a person
 constexpr std::int64_t kMaxCount = 1'000'000'000;
+constexpr std::int64_t kMaxVersion = std::int64_t{1} << 53;
 
 std::size_t count_in(const json& object, const char* name) {
   return static_cast<std::size_t>(integer_in(object, name, 0, kMaxCount));
@@ -48,6 +49,25 @@
 
 std::string prefix_of(const std::string& digest) { return digest.substr(0, 12); }
 
+bool is_active_everywhere(const ServiceStatus& status) {
+  return status.version != 0 && status.active == status.subscribed && status.rejected_count == 0;
+}
+
+json to_json(const std::string& service, const ServiceStatus& status) {
+  json rejections = json::array();
+  for (const ConfigRejection& rejection : status.rejections)
+    rejections.push_back({{"name", rejection.name}, {"reason", rejection.reason}});
+  return {{"service", service},
+          {"version", status.version},
+          {"digest", status.digest},
+          {"subscribed", status.subscribed},
+          {"in_force", status.active},
+          {"refused_all", status.rejected_count},
+          {"refused", std::move(rejections)},
+          {"behind_all", status.behind_count},
+          {"behind", status.behind}};
+}
+
 }  // namespace
 
 ConfigClient::ConfigClient(ConfigClientSettings settings) : settings_(std::move(settings)) {
@@ -61,11 +81,8 @@
 
 void ConfigClient::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
-  std::visit(
-      [&](const auto& e) {
-        if constexpr (requires { on(now, e, out); }) on(now, e, out);
-      },
-      event);
+  net::dispatch(
+      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
   effects = std::move(out.net);
 }
 
@@ -251,56 +268,75 @@
   advance(now, out);
 }
 
-void ConfigClient::handle_status(Target& t, const json& line, Outbox& out) {
+namespace {
+
+ServiceStatus service_status_in(const json& object) {
+  ServiceStatus status;
+  status.version = static_cast<distribution::Version>(integer_in(object, "version", 0, kMaxVersion));
+  if (object.contains("digest")) status.digest = text_in(object, "digest");
+  status.subscribed = count_in(object, "subscribed");
+  status.active = count_in(object, "in_force");
+  status.rejected_count = count_in(object, "refused_all");
+  status.behind_count = count_in(object, "behind_all");
+  return status;
+}
+
+// With the names, which only the answer to a question about one service has.
+ServiceStatus named_status_in(const json& line) {
+  ServiceStatus status = service_status_in(line);
+  for (const json& rejection : list_in(line, "refused")) {
+    if (!rejection.is_object()) throw ProtocolError("'refused' holds what is no object");
+    status.rejections.push_back({text_in(rejection, "name"), text_in(rejection, "reason")});
+  }
+  for (const json& name : list_in(line, "behind")) {
+    if (name.is_string()) status.behind.push_back(name.get<std::string>());
+  }
+  return status;
+}
+
+}  // namespace
+
+void ConfigClient::handle_status(Target& target, const json& line, Outbox& out) {
   if (stage_ != Stage::statuses) throw ProtocolError("a status that nobody asked for");
-  t.voter_state = text_in(line, "standing");
-  const auto read = [&](const json& one) {
-    DistributorStatus part;
-    part.version = static_cast<distribution::Version>(integer_in(one, "version", 0, std::int64_t{1} << 53));
-    if (one.contains("digest")) part.digest = text_in(one, "digest");
-    part.subscribed = count_in(one, "subscribed");
-    part.active = count_in(one, "in_force");
-    part.rejected_count = count_in(one, "refused_all");
-    part.behind_count = count_in(one, "behind_all");
-    return part;
-  };
-  json next = {{"op", "config"}, {"what", "status"}};
+  target.voter_state = text_in(line, "standing");
   if (line.contains("services")) {
-    for (const json& one : list_in(line, "services")) {
-      if (!one.is_object()) throw ProtocolError("'services' holds what is no object");
-      t.services[text_in(one, "service")] = read(one);
-    }
-    if (!flag_in(line, "more") || t.services.empty()) {
-      t.pending_answers = 0;
-      return;
-    }
-    next["after"] = t.services.rbegin()->first;
+    handle_all_services(target, line, out);
   } else {
-    const std::string service = text_in(line, "service");
-    if (!t.services.contains(service)) {  // the first line of several
-      DistributorStatus part = read(line);
-      for (const json& r : list_in(line, "refused")) {
-        if (!r.is_object()) throw ProtocolError("'refused' holds what is no object");
-        part.rejections.push_back({text_in(r, "name"), text_in(r, "reason")});
-      }
-      for (const json& name : list_in(line, "behind")) {
-        if (name.is_string()) part.behind.push_back(name.get<std::string>());
-      }
-      t.services[service] = std::move(part);
-    }
-    const json& lost = list_in(line, "lost");
-    for (const json& l : lost) {
-      if (!l.is_object()) throw ProtocolError("'lost' holds what is no object");
-      t.lost_gatekeepers[text_in(l, "name")] = integer_in(l, "ago_ms", 0, std::int64_t{1} << 53);
-    }
-    if (!flag_in(line, "more") || lost.empty()) {
-      t.pending_answers = 0;
-      return;
-    }
-    next["service"] = service;
-    next["after"] = t.lost_gatekeepers.rbegin()->first;
+    handle_one_service(target, line, out);
+  }
+}
+
+void ConfigClient::handle_all_services(Target& target, const json& line, Outbox& out) {
+  for (const json& one : list_in(line, "services")) {
+    if (!one.is_object()) throw ProtocolError("'services' holds what is no object");
+    target.services[text_in(one, "service")] = service_status_in(one);
+  }
+  if (!flag_in(line, "more") || target.services.empty()) {
+    target.pending_answers = 0;
+    return;
+  }
+  send(target, {{"op", "config"}, {"what", "status"}, {"after", target.services.rbegin()->first}}, out);
+}
+
+void ConfigClient::handle_one_service(Target& target, const json& line, Outbox& out) {
+  const std::string service = text_in(line, "service");
+  if (!target.services.contains(service))
+    target.services[service] = named_status_in(line);  // of several lines
+  const json& lost = list_in(line, "lost");
+  for (const json& one : lost) {
+    if (!one.is_object()) throw ProtocolError("'lost' holds what is no object");
+    target.lost_gatekeepers[text_in(one, "name")] = integer_in(one, "ago_ms", 0, kMaxVersion);
   }
-  send(t, next, out);
+  if (!flag_in(line, "more") || lost.empty()) {
+    target.pending_answers = 0;
+    return;
+  }
+  send(target,
+       {{"op", "config"},
+        {"what", "status"},
+        {"service", service},
+        {"after", target.lost_gatekeepers.rbegin()->first}},
+       out);
 }
 
 // Asks whoever was not asked yet; goes to the next stage once none is owed any more.
@@ -352,18 +388,18 @@
   advance(now, out);
 }
 
-std::map<std::string, ConfigClient::FleetStatus> ConfigClient::sum_statuses() const {
-  std::map<std::string, FleetStatus> all;
+std::map<std::string, ServiceStatus> ConfigClient::sum_statuses() const {
+  std::map<std::string, ServiceStatus> all;
   for (const Target& t : targets_) {
     for (const auto& [service, part] : t.services) {
-      FleetStatus& sum = all[service];
+      ServiceStatus& sum = all[service];
       if (part.version <= sum.version) continue;
       sum.version = part.version;
       sum.digest = part.digest;
     }
   }
   if (version_ != 0) {  // what was just published; a newer one is in its place already, if there is any
-    FleetStatus& sum = all[settings_.service];
+    ServiceStatus& sum = all[settings_.service];
     if (sum.version <= version_) {
       sum.version = version_;
       sum.digest = digest_;
@@ -371,7 +407,7 @@
   }
   for (const Target& t : targets_) {
     for (const auto& [service, part] : t.services) {
-      FleetStatus& sum = all[service];
+      ServiceStatus& sum = all[service];
       sum.subscribed += part.subscribed;
       // One that does not know the newest yet can't tell who has it.
       if (part.version != sum.version || part.digest != sum.digest) {
@@ -396,7 +432,7 @@
   for (const std::string& name : reattached_) lost_gatekeepers_.erase(name);
   round_completed_ = true;
   const bool all =
-      std::ranges::all_of(statuses_, [](const auto& s) { return s.second.is_active_everywhere(); });
+      std::ranges::all_of(statuses_, [](const auto& s) { return is_active_everywhere(s.second); });
   if (settings_.command == ConfigClientSettings::Command::status || connected_targets() == 0 ||
       (all && lost_gatekeepers_.empty()))
     return print_result(out);
@@ -406,7 +442,7 @@
 
 // ---- what is said
 
-void ConfigClient::print(Outbox& out, std::string text, json object) const {
+void ConfigClient::print(Outbox& out, std::string text, const json& object) const {
   out.net.push_back(net::Print{settings_.json ? line_of(object) : std::move(text), true});
 }
 
@@ -417,97 +453,112 @@
 
 void ConfigClient::print_result(Outbox& out) {
   const bool published = version_ != 0;
-  json object = json::object();
-  std::string text;
-  json silent = json::array();
-  for (const Target& t : targets_) {
-    if (t.connected) continue;
-    const std::string why = t.error.empty() ? "no answer" : t.error;
-    silent.push_back({{"address", t.address}, {"trouble", why}});
-    text += t.address + ": " + why + "\n";
-  }
-  object["distributors"] = targets_.size();
-  object["not_reached"] = silent;
+  Report report;
+  report_unreachable(report);
   if (settings_.command == ConfigClientSettings::Command::publish) {
-    object["service"] = settings_.service;
-    object["committed"] = published;
-    if (published) {
-      object["version"] = version_;
-      object["digest"] = digest_;
-      object["by"] = publisher_name_;
-      text += settings_.service + ": version " + std::to_string(version_) + ", " + prefix_of(digest_) +
-              ", committed by " + publisher_name_ + "\n";
-    } else {
-      text += non_voter_answer_.empty()
-                  ? settings_.service + ": not published: no distributor could be reached\n"
-                  : non_voter_answer_;
-      print(out, text, object);
+    report_publication(report);
+    if (!published) {
+      print(out, report.text, report.object);
       return exit_with(non_voter_answer_.empty() ? kUnreachable : kIncomplete, out);
     }
     if (!settings_.wait_until_active) {
-      print(out, text, object);
+      print(out, report.text, report.object);
       return exit_with(kSuccess, out);
     }
   }
   if (connected_targets() == 0) {
-    print(out, text, object);
+    print(out, report.text, report.object);
     return exit_with(published ? kIncomplete : kUnreachable, out);
   }
-  bool all = silent.empty() && round_completed_ && lost_gatekeepers_.empty();
-  json services = json::array();
-  for (const auto& [service, sum] : statuses_) {
-    all = all && sum.is_active_everywhere();
-    json refused = json::array();
-    for (const Rejection& r : sum.rejections) refused.push_back({{"name", r.name}, {"reason", r.reason}});
-    services.push_back({{"service", service},
-                        {"version", sum.version},
-                        {"digest", sum.digest},
-                        {"subscribed", sum.subscribed},
-                        {"in_force", sum.active},
-                        {"refused_all", sum.rejected_count},
-                        {"refused", std::move(refused)},
-                        {"behind_all", sum.behind_count},
-                        {"behind", sum.behind}});
-    if (published && sum.version > version_) {
-      all = false;
-      text +=
-          service + ": version " + std::to_string(sum.version) + " was published since, and counts here\n";
-    }
-    if (!published)
-      text += service + ": " +
-              (sum.version == 0 ? "nothing committed"
-                                : "version " + std::to_string(sum.version) + ", " + prefix_of(sum.digest)) +
-              ": ";
-    text += "in force at " + std::to_string(sum.active) + " of " + std::to_string(sum.subscribed) +
-            ", refused at " + std::to_string(sum.rejected_count);
-    if (settings_.service.empty()) {
-      text += "\n";
-      continue;
-    }
-    text += ", not heard of " + std::to_string(lost_gatekeepers_.size()) + "\n";
-    if (sum.rejected_count > 0)
-      text += "refused:\n" + listed(sum.rejections, sum.rejected_count,
-                                    [](const Rejection& r) { return r.name + ": " + r.reason; });
-    if (sum.behind_count > 0 && !published)
-      text +=
-          "behind:\n" + listed(sum.behind, sum.behind_count, [](const std::string& name) { return name; });
-    if (!lost_gatekeepers_.empty() && !published)
-      text += "not heard of:\n" + listed(lost_gatekeepers_, lost_gatekeepers_.size(), [](const auto& lost) {
-                return lost.first + ", for " + std::to_string(lost.second / 1000) + " s";
-              });
-  }
-  if (statuses_.empty()) text += "no service has a document\n";
-  for (const Target& t : targets_) {
-    if (t.connected && !t.voter_state.empty() && t.voter_state != "voting")
-      text += t.name + " " + t.address + " has no vote: " + t.voter_state + "\n";
-  }
+  const bool all = report_services(report);
+  report_without_vote(report);
   json lost = json::array();
   for (const auto& [name, ago] : lost_gatekeepers_) lost.push_back({{"name", name}, {"ago_ms", ago}});
-  object["services"] = std::move(services);
-  object["not_heard_of"] = std::move(lost);
-  object["all"] = all;
-  print(out, text, object);
+  report.object["not_heard_of"] = std::move(lost);
+  report.object["all"] = all;
+  print(out, report.text, report.object);
   exit_with(all ? kSuccess : kIncomplete, out);
 }
 
+void ConfigClient::report_unreachable(Report& report) const {
+  json unreachable = json::array();
+  for (const Target& target : targets_) {
+    if (target.connected) continue;
+    const std::string error = target.error.empty() ? "no answer" : target.error;
+    unreachable.push_back({{"address", target.address}, {"trouble", error}});
+    report.text += target.address + ": " + error + "\n";
+  }
+  report.object["distributors"] = targets_.size();
+  report.object["not_reached"] = std::move(unreachable);
+}
+
+void ConfigClient::report_publication(Report& report) const {
+  const bool published = version_ != 0;
+  report.object["service"] = settings_.service;
+  report.object["committed"] = published;
+  if (!published) {
+    report.text += non_voter_answer_.empty()
+                       ? settings_.service + ": not published: no distributor could be reached\n"
+                       : non_voter_answer_;
+    return;
+  }
+  report.object["version"] = version_;
+  report.object["digest"] = digest_;
+  report.object["by"] = publisher_name_;
+  report.text += settings_.service + ": version " + std::to_string(version_) + ", " + prefix_of(digest_) +
+                 ", committed by " + publisher_name_ + "\n";
+}
+
+bool ConfigClient::report_services(Report& report) const {
+  bool all = report.object["not_reached"].empty() && round_completed_ && lost_gatekeepers_.empty();
+  json services = json::array();
+  for (const auto& [service, status] : statuses_) {
+    const bool replaced = version_ != 0 && status.version > version_;
+    all = all && is_active_everywhere(status) && !replaced;
+    services.push_back(to_json(service, status));
+    if (replaced)
+      report.text +=
+          service + ": version " + std::to_string(status.version) + " was published since, and counts here\n";
+    report.text += service_text(service, status);
+  }
+  if (statuses_.empty()) report.text += "no service has a document\n";
+  report.object["services"] = std::move(services);
+  return all;
+}
+
+std::string ConfigClient::service_text(const std::string& service, const ServiceStatus& status) const {
+  const bool published = version_ != 0;
+  std::string text;
+  if (!published)
+    text += service + ": " +
+            (status.version == 0
+                 ? "nothing committed"
+                 : "version " + std::to_string(status.version) + ", " + prefix_of(status.digest)) +
+            ": ";
+  text += "in force at " + std::to_string(status.active) + " of " + std::to_string(status.subscribed) +
+          ", refused at " + std::to_string(status.rejected_count);
+  if (settings_.service.empty()) return text + "\n";
+  text += ", not heard of " + std::to_string(lost_gatekeepers_.size()) + "\n";
+  if (status.rejected_count > 0)
+    text += "refused:\n" +
+            listed(status.rejections, status.rejected_count,
+                   [](const ConfigRejection& rejection) { return rejection.name + ": " + rejection.reason; });
+  if (published) return text;
+  if (status.behind_count > 0)
+    text += "behind:\n" +
+            listed(status.behind, status.behind_count, [](const std::string& name) { return name; });
+  if (!lost_gatekeepers_.empty())
+    text += "not heard of:\n" + listed(lost_gatekeepers_, lost_gatekeepers_.size(), [](const auto& lost) {
+              return lost.first + ", for " + std::to_string(lost.second / 1000) + " s";
+            });
+  return text;
+}
+
+void ConfigClient::report_without_vote(Report& report) const {
+  for (const Target& target : targets_) {
+    if (target.connected && !target.voter_state.empty() && target.voter_state != "voting")
+      report.text += target.name + " " + target.address + " has no vote: " + target.voter_state + "\n";
+  }
+}
+
 }  // namespace graniterun::control
--- a/src/control/config_client.h
+++ b/src/control/config_client.h
@@ -25,6 +25,24 @@
   Duration timeout{std::chrono::seconds(6)};  // for all of it
 };
 
+// A gatekeeper that has rejected a configuration.
+struct ConfigRejection {
+  std::string name{};
+  std::string reason{};
+};
+
+// How far a service's newest configuration has come: what one distributor answers, or the sum over all.
+struct ServiceStatus {
+  distribution::Version version{};  // 0: nothing is committed
+  std::string digest{};
+  std::size_t subscribed = 0;  // gatekeepers
+  std::size_t active = 0;
+  std::vector<ConfigRejection> rejections{};  // the first ones
+  std::size_t rejected_count = 0;
+  std::vector<std::string> behind{};  // names, the first ones
+  std::size_t behind_count = 0;
+};
+
 class ConfigClient {
  public:
   // Exit codes, as those of Ctl.
@@ -37,21 +55,6 @@
   void step(Time now, const net::Event& event, net::Effects& effects);
 
  private:
-  struct Rejection {
-    std::string name{};
-    std::string reason{};
-  };
-  // What one distributor answers of one service.
-  struct DistributorStatus {
-    distribution::Version version{};
-    std::string digest{};
-    std::size_t subscribed = 0;
-    std::size_t active = 0;
-    std::vector<Rejection> rejections{};
-    std::size_t rejected_count = 0;
-    std::vector<std::string> behind{};
-    std::size_t behind_count = 0;
-  };
   struct Target {
     std::string address{};
     std::string name{};
@@ -60,20 +63,13 @@
     std::string error{};              // why it is of no more use
     bool status_requested = false;    // in this round
     std::size_t pending_answers = 0;  // answers of it that are still to come
-    std::map<std::string, DistributorStatus> services{};
+    std::map<std::string, ServiceStatus> services{};
     std::map<std::string, std::int64_t> lost_gatekeepers{};  // names, and for how long they are gone, ms
   };
-  // All distributors' together.
-  struct FleetStatus {
-    distribution::Version version{};
-    std::string digest{};
-    std::size_t subscribed = 0;
-    std::size_t active = 0;
-    std::vector<Rejection> rejections{};
-    std::size_t rejected_count = 0;
-    std::vector<std::string> behind{};
-    std::size_t behind_count = 0;
-    bool is_active_everywhere() const { return version != 0 && active == subscribed && rejected_count == 0; }
+  // What is printed: for people, and for programs.
+  struct Report {
+    std::string text{};
+    nlohmann::json object = nlohmann::json::object();
   };
   enum class Stage : std::uint8_t { publishing, statuses, attached, waiting };
 
@@ -87,6 +83,8 @@
 
   void handle_line(Time now, Target& t, const nlohmann::json& line, Outbox& out);
   void handle_publish_answer(Time now, Target& t, const nlohmann::json& line, Outbox& out);
+  void handle_all_services(Target& target, const nlohmann::json& line, Outbox& out);
+  void handle_one_service(Target& target, const nlohmann::json& line, Outbox& out);
   void handle_status(Target& t, const nlohmann::json& line, Outbox& out);
   void fail_target(Time now, Target& t, const std::string& why, Outbox& out);
   void publish_next(Time now, Outbox& out);
@@ -94,10 +92,16 @@
   void advance(Time now, Outbox& out);
   void ask_for_lost_gatekeepers(Time now, Outbox& out);
   void end_round(Time now, Outbox& out);
-  std::map<std::string, FleetStatus> sum_statuses() const;
+  std::map<std::string, ServiceStatus> sum_statuses() const;
   void exit_with(int status, Outbox& out);
   void print_result(Outbox& out);
-  void print(Outbox& out, std::string text, nlohmann::json object) const;
+  void report_unreachable(Report& report) const;
+  void report_publication(Report& report) const;
+  // Whether the newest version is active at all of them.
+  bool report_services(Report& report) const;
+  std::string service_text(const std::string& service, const ServiceStatus& status) const;
+  void report_without_vote(Report& report) const;
+  void print(Outbox& out, std::string text, const nlohmann::json& object) const;
   std::size_t connected_targets() const;
   Target* target_of(net::ConnId conn);
   void send(const Target& t, const nlohmann::json& line, Outbox& out) const;
@@ -115,7 +119,7 @@
   std::set<std::string> reattached_{};  // lost names that another distributor has attached
   // The last round that came to its end.
   bool round_completed_ = false;
-  std::map<std::string, FleetStatus> statuses_{};
+  std::map<std::string, ServiceStatus> statuses_{};
   std::map<std::string, std::int64_t> lost_gatekeepers_{};
   bool finished_ = false;
 };
--- a/src/control/gap_client.cpp
+++ b/src/control/gap_client.cpp
@@ -38,6 +38,40 @@
   return text;
 }
 
+// ---- rows of tables for people
+
+std::string gap_row(const json& gap) {
+  const bool lifted = gap.value("lifted", false);
+  const char* state = gap.value("in_force", false) ? "in force" : lifted ? "lifted" : "not now";
+  std::string text = "  " + padded(state, 9) + padded(gap.value("id", json("")).get<std::string>(), 20) +
+                     " " + (lifted ? "" : describe(gap));
+  if (gap.contains("gapped"))
+    text += " (" + gap["passed"].dump() + " passed, " + gap["gapped"].dump() + " gapped)";
+  return text + "\n";
+}
+
+std::string hot_number_row(const json& hot) {
+  return "  hot      " + hot.value("number", json("")).get<std::string>() + ": " + hot["per_second"].dump() +
+         " calls a second\n";
+}
+
+std::string gatekeeper_row(const json& gatekeeper) {
+  return "  gatekeeper " + padded(gatekeeper.value("name", json("")).get<std::string>(), 12) + " " +
+         gatekeeper.value("address", json("")).get<std::string>() +
+         (gatekeeper.value("synced", false) ? " obeys" : " is NOT in step") + "\n";
+}
+
+std::string member_row(const json& member) {
+  const auto word = [&member](const char* name) {
+    const json value = member.value(name, json(""));
+    return value.is_string() ? value.get<std::string>() : value.dump();
+  };
+  return "  " + padded(word("name"), 16) + " " + padded(word("state"), 8) + " " +
+         padded("for " + word("since_ms") + " ms", 18) + " " + padded(word("reach"), 15) + " " +
+         padded(word("address"), 22) + " life " + word("life") + "." + word("incarnation") + ", " +
+         word("evidence") + (member.contains("accuser") ? ", says " + word("accuser") : "") + "\n";
+}
+
 }  // namespace
 
 GapClient::GapClient(GapClientSettings settings) : settings_(std::move(settings)) {
@@ -50,11 +84,8 @@
 
 void GapClient::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
-  std::visit(
-      [&](const auto& e) {
-        if constexpr (requires { on(now, e, out); }) on(now, e, out);
-      },
-      event);
+  net::dispatch(
+      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
   effects = std::move(out.net);
 }
 
@@ -135,76 +166,96 @@
   if (!finished_) print_result(out);
 }
 
-void GapClient::handle_line(Time now, Target& t, const json& line, Outbox& out) {
+void GapClient::handle_line(Time now, Target& target, const json& line, Outbox& out) {
   const std::string event = line.contains("event") ? text_in(line, "event") : "";
-  if (line.contains("gatekeeper") && event != "obeyed") t.name = text_in(line, "gatekeeper");
-  if (settings_.command == GapClientSettings::Command::watch) {
-    if (event.empty()) return;
-    std::string text = settings_.json ? line_of(line) : "";
-    if (!settings_.json) {
-      text = t.name + ": " + event + " ";
-      if (line.contains("gap")) text += text_in(line["gap"], "id") + ": " + describe(line["gap"]);
-      if (line.contains("number")) text += line["number"].dump();
-      if (event == "conflict")
-        text += text_in(line, "id") + ", version " + line.value("version", json(0)).dump();
-      if (event == "fleet")
-        text += text_in(line, "member") + " " + text_in(line, "what") + ": " + text_in(line, "evidence");
-      text += "\n";
-    }
-    out.net.push_back(net::Print{std::move(text), true});
+  if (line.contains("gatekeeper") && event != "obeyed") target.name = text_in(line, "gatekeeper");
+  switch (settings_.command) {
+    case GapClientSettings::Command::watch:
+      if (!event.empty()) print_event(target, event, line, out);
+      return;
+    case GapClientSettings::Command::announce:
+      return handle_announce_answer(now, target, event, line, out);
+    case GapClientSettings::Command::list:
+      return handle_list_answer(target, line, out);
+    case GapClientSettings::Command::members:
+    case GapClientSettings::Command::view:
+    case GapClientSettings::Command::leave:
+      return handle_fleet_answer(target, line, out);
+  }
+}
+
+void GapClient::print_event(const Target& target, const std::string& event, const json& line,
+                            Outbox& out) const {
+  if (settings_.json) {
+    out.net.push_back(net::Print{line_of(line), true});
     return;
   }
-  if (settings_.command == GapClientSettings::Command::announce) {
-    if (event == "obeyed" && text_in(line, "id") == settings_.announcement->id) {
-      json told = line;
-      told["after_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(now - started_).count();
-      t.obeyed[text_in(line, "address")] = std::move(told);
-    }
-    if (line.value("re", json("")) == "announce" && event.empty()) {
-      t.succeeded = line.value("ok", false);
-      t.result = line.value("result", json("refused")).get<std::string>();
-      if (line.contains("trouble")) t.result += ": " + text_in(line, "trouble");
-      t.result += " after " + ms_text(now - started_);
-      if (line.contains("gatekeepers"))
-        t.gatekeepers = static_cast<std::size_t>(integer_in(line, "gatekeepers", 0, 4096));
-      if (!t.succeeded) t.gatekeepers = 0;
-    } else if (event.empty()) {
-      return;
-    }
-    t.done = !t.result.empty() && t.obeyed.size() >= t.gatekeepers;
-    return finish_if_complete(out);
+  std::string text = target.name + ": " + event + " ";
+  if (line.contains("gap")) text += text_in(line["gap"], "id") + ": " + describe(line["gap"]);
+  if (line.contains("number")) text += line["number"].dump();
+  if (event == "conflict") text += text_in(line, "id") + ", version " + line.value("version", json(0)).dump();
+  if (event == "fleet")
+    text += text_in(line, "member") + " " + text_in(line, "what") + ": " + text_in(line, "evidence");
+  out.net.push_back(net::Print{text + "\n", true});
+}
+
+// An answer to the announcement, or, from a publisher, that a gatekeeper of its fleet obeys.
+void GapClient::handle_announce_answer(Time now, Target& target, const std::string& event, const json& line,
+                                       Outbox& out) {
+  if (event == "obeyed" && text_in(line, "id") == settings_.announcement->id) {
+    json obeyed = line;
+    obeyed["after_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(now - started_).count();
+    target.obeyed[text_in(line, "address")] = std::move(obeyed);
   }
-  if (is_fleet_command()) {
-    if (line.value("re", json("")) != "fleet") return;
-    json members =
-        t.fleet_answer.is_object() ? t.fleet_answer.value("members", json::array()) : json::array();
-    for (const json& m : line.value("members", json::array())) members.push_back(m);
-    t.fleet_answer = line;
-    t.fleet_answer["members"] = std::move(members);
-    if (line.value("more", false) && !line["members"].empty())
-      return send(
-          t, {{"op", "fleet"}, {"what", "members"}, {"after", text_in(line["members"].back(), "name")}}, out);
-    t.done = true;
-    t.succeeded = line.value("ok", false);
-    if (t.succeeded) {
-      t.digest = text_in(line, "digest");
-    } else {
-      t.result = line.contains("trouble") ? text_in(line, "trouble") : "refused";
-    }
-    return finish_if_complete(out);
+  if (line.value("re", json("")) == "announce" && event.empty()) {
+    target.succeeded = line.value("ok", false);
+    target.result = line.value("result", json("refused")).get<std::string>();
+    if (line.contains("trouble")) target.result += ": " + text_in(line, "trouble");
+    target.result += " after " + ms_text(now - started_);
+    if (line.contains("gatekeepers"))
+      target.gatekeepers = static_cast<std::size_t>(integer_in(line, "gatekeepers", 0, 4096));
+    if (!target.succeeded) target.gatekeepers = 0;
+  } else if (event.empty()) {
+    return;
   }
+  target.done = !target.result.empty() && target.obeyed.size() >= target.gatekeepers;
+  finish_if_complete(out);
+}
+
+void GapClient::handle_fleet_answer(Target& target, const json& line, Outbox& out) {
+  if (line.value("re", json("")) != "fleet") return;
+  json members =
+      target.fleet_answer.is_object() ? target.fleet_answer.value("members", json::array()) : json::array();
+  for (const json& member : line.value("members", json::array())) members.push_back(member);
+  target.fleet_answer = line;
+  target.fleet_answer["members"] = std::move(members);
+  if (line.value("more", false) && !line["members"].empty()) {
+    const std::string last = text_in(line["members"].back(), "name");
+    return send(target, {{"op", "fleet"}, {"what", "members"}, {"after", last}}, out);
+  }
+  target.done = true;
+  target.succeeded = line.value("ok", false);
+  if (target.succeeded) {
+    target.digest = text_in(line, "digest");
+  } else {
+    target.result = line.contains("trouble") ? text_in(line, "trouble") : "refused";
+  }
+  finish_if_complete(out);
+}
+
+void GapClient::handle_list_answer(Target& target, const json& line, Outbox& out) {
   if (line.value("re", json("")) != "list") return;
   const auto gaps = line.find("gaps");
   if (gaps == line.end() || !gaps->is_array()) throw ProtocolError("a list has no 'gaps'");
-  for (const json& gap : *gaps) t.gaps.push_back(gap);
-  t.digest = text_in(line, "digest");
-  t.held = static_cast<std::size_t>(integer_in(line, "held", 0, 1'000'000'000));
-  if (line.contains("hot")) t.hot = line["hot"];
-  if (line.contains("fleet") && line["fleet"].is_array()) t.fleet = line["fleet"];
+  for (const json& gap : *gaps) target.gaps.push_back(gap);
+  target.digest = text_in(line, "digest");
+  target.held = static_cast<std::size_t>(integer_in(line, "held", 0, 1'000'000'000));
+  if (line.contains("hot")) target.hot = line["hot"];
+  if (line.contains("fleet") && line["fleet"].is_array()) target.fleet = line["fleet"];
   if (line.value("more", false) && !gaps->empty())
-    return send(t, {{"op", "list"}, {"after", text_in(gaps->back(), "id")}}, out);
-  t.done = t.succeeded = true;
-  t.result = "listed";
+    return send(target, {{"op", "list"}, {"after", text_in(gaps->back(), "id")}}, out);
+  target.done = target.succeeded = true;
+  target.result = "listed";
   finish_if_complete(out);
 }
 
@@ -247,31 +298,16 @@
 std::string GapClient::listed_text() const {
   json all = json::array();
   std::string text;
-  for (const Target& t : targets_) {
-    json one = {{"address", t.address}, {"name", t.name},   {"ok", t.succeeded}, {"digest", t.digest},
-                {"gaps", t.gaps},       {"fleet", t.fleet}, {"hot", t.hot}};
-    if (!t.succeeded) one["trouble"] = t.result.empty() ? "no answer" : t.result;
-    text += t.name + " " + t.address +
-            (t.succeeded ? " holds " + t.digest : ": " + one["trouble"].get<std::string>()) + "\n";
-    for (const json& gap : t.gaps) {
-      const bool lifted = gap.value("lifted", false);
-      text += "  " +
-              padded(gap.value("in_force", false) ? "in force"
-                     : lifted                     ? "lifted"
-                                                  : "not now",
-                     9) +
-              padded(gap.value("id", json("")).get<std::string>(), 20) + " " + (lifted ? "" : describe(gap));
-      if (gap.contains("gapped"))
-        text += " (" + gap["passed"].dump() + " passed, " + gap["gapped"].dump() + " gapped)";
-      text += "\n";
-    }
-    for (const json& hot : t.hot)
-      text += "  hot      " + hot.value("number", json("")).get<std::string>() + ": " +
-              hot["per_second"].dump() + " calls a second\n";
-    for (const json& g : t.fleet)
-      text += "  gatekeeper " + padded(g.value("name", json("")).get<std::string>(), 12) + " " +
-              g.value("address", json("")).get<std::string>() +
-              (g.value("synced", false) ? " obeys" : " is NOT in step") + "\n";
+  for (const Target& target : targets_) {
+    json one = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded},
+                {"digest", target.digest},   {"gaps", target.gaps}, {"fleet", target.fleet},
+                {"hot", target.hot}};
+    if (!target.succeeded) one["trouble"] = error_of(target);
+    text += target.name + " " + target.address +
+            (target.succeeded ? " holds " + target.digest : ": " + error_of(target)) + "\n";
+    for (const json& gap : target.gaps) text += gap_row(gap);
+    for (const json& hot : target.hot) text += hot_number_row(hot);
+    for (const json& gatekeeper : target.fleet) text += gatekeeper_row(gatekeeper);
     all.push_back(std::move(one));
   }
   return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
@@ -280,63 +316,69 @@
 std::string GapClient::fleet_text() const {
   json all = json::array();
   std::string text;
-  for (const Target& t : targets_) {
-    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.succeeded}};
-    if (!t.succeeded) {
-      one["trouble"] = t.result.empty() ? "no answer" : t.result;
-      text += t.name + " " + t.address + ": " + one["trouble"].get<std::string>() + "\n";
-      all.push_back(std::move(one));
-      continue;
-    }
-    one["view"] = t.fleet_answer;
-    const auto figure = [&](const char* name) { return t.fleet_answer.value(name, json(0)).dump(); };
-    text += padded(t.name, 12) + " " + padded(t.address, 22) + " " +
-            (t.fleet_answer.value("settled", false) ? "settled for " : "NOT settled, for ") +
-            figure("since_ms") + " ms: " + figure("size") + " members, in touch with " + figure("in_touch") +
-            ", digest " + t.digest + (t.fleet_answer.value("member", true) ? "" : ", takes no part itself") +
-            (t.fleet_answer.value("catching_up", false) ? ", was stopped and catches up" : "") + "\n";
-    for (const json& m : t.fleet_answer.value("members", json::array())) {
-      const auto word = [&](const char* name) {
-        const json value = m.value(name, json(""));
-        return value.is_string() ? value.get<std::string>() : value.dump();
-      };
-      text += "  " + padded(word("name"), 16) + " " + padded(word("state"), 8) + " " +
-              padded("for " + word("since_ms") + " ms", 18) + " " + padded(word("reach"), 15) + " " +
-              padded(word("address"), 22) + " life " + word("life") + "." + word("incarnation") + ", " +
-              word("evidence") + (m.contains("accuser") ? ", says " + word("accuser") : "") + "\n";
+  for (const Target& target : targets_) {
+    json one = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded}};
+    if (target.succeeded) {
+      one["view"] = target.fleet_answer;
+      text += view_row(target);
+      for (const json& member : target.fleet_answer.value("members", json::array()))
+        text += member_row(member);
+    } else {
+      one["trouble"] = error_of(target);
+      text += target.name + " " + target.address + ": " + error_of(target) + "\n";
     }
     all.push_back(std::move(one));
   }
   return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
 }
 
-void GapClient::print_result(Outbox& out) {
-  finished_ = true;
+std::string GapClient::view_row(const Target& target) {
+  const json& view = target.fleet_answer;
+  const auto figure = [&view](const char* name) { return view.value(name, json(0)).dump(); };
+  return padded(target.name, 12) + " " + padded(target.address, 22) + " " +
+         (view.value("settled", false) ? "settled for " : "NOT settled, for ") + figure("since_ms") +
+         " ms: " + figure("size") + " members, in touch with " + figure("in_touch") + ", digest " +
+         target.digest + (view.value("member", true) ? "" : ", takes no part itself") +
+         (view.value("catching_up", false) ? ", was stopped and catches up" : "") + "\n";
+}
+
+std::string GapClient::error_of(const Target& target) {
+  return target.result.empty() ? "no answer" : target.result;
+}
+
+bool GapClient::all_obey_or_agree() const {
   bool all = true;
-  bool any = false;
   std::string digest;
-  for (const Target& t : targets_) {
-    any = any || t.connected;
-    all = all && t.succeeded && t.obeyed.size() >= t.gatekeepers;
-    for (const auto& [address, told] : t.obeyed) all = all && told.value("ok", false);
-    for (const json& g : t.fleet) all = all && g.value("synced", false);
-    if (!digest.empty() && t.digest != digest) all = false;
-    digest = t.digest;
+  for (const Target& target : targets_) {
+    all = all && target.succeeded && target.obeyed.size() >= target.gatekeepers;
+    for (const auto& [address, obeyed] : target.obeyed) all = all && obeyed.value("ok", false);
+    for (const json& gatekeeper : target.fleet) all = all && gatekeeper.value("synced", false);
+    if (!digest.empty() && target.digest != digest) all = false;
+    digest = target.digest;
   }
-  if (settings_.command == GapClientSettings::Command::announce)
-    out.net.push_back(net::Print{announced_text(), true});
+  return all;
+}
+
+bool GapClient::all_are_settled() const {
+  if (settings_.command == GapClientSettings::Command::leave) return true;
+  return std::ranges::all_of(
+      targets_, [](const Target& target) { return target.fleet_answer.value("settled", false); });
+}
+
+void GapClient::print_result(Outbox& out) {
+  finished_ = true;
+  const bool any = std::ranges::any_of(targets_, [](const Target& target) { return target.connected; });
+  bool all = all_obey_or_agree();
+  const auto print = [&out](std::string text) { out.net.push_back(net::Print{std::move(text), true}); };
+  if (settings_.command == GapClientSettings::Command::announce) print(announced_text());
   if (settings_.command == GapClientSettings::Command::list) {
-    out.net.push_back(net::Print{listed_text(), true});
-    if (any && !all && !settings_.json)
-      out.net.push_back(net::Print{"they do NOT all hold the same\n", true});
+    print(listed_text());
+    if (any && !all && !settings_.json) print("they do NOT all hold the same\n");
   }
   if (is_fleet_command()) {
-    out.net.push_back(net::Print{fleet_text(), true});
-    for (const Target& t : targets_)
-      all = all && (settings_.command == GapClientSettings::Command::leave ||
-                    t.fleet_answer.value("settled", false));
-    if (any && !all && !settings_.json)
-      out.net.push_back(net::Print{"they do NOT all hold the same, or are not settled\n", true});
+    print(fleet_text());
+    all = all && all_are_settled();
+    if (any && !all && !settings_.json) print("they do NOT all hold the same, or are not settled\n");
   }
   const bool watched = settings_.command == GapClientSettings::Command::watch;
   out.net.push_back(net::Exit{!any ? kUnreachable : all || watched ? kSuccess : kIncomplete});
--- a/src/control/gap_client.h
+++ b/src/control/gap_client.h
@@ -1,5 +1,6 @@
-// What graniterunctl does: speaks to many gatekeepers, or to an announcer, at once, and says of each what it
-// took and when. A reducer: the runtime does the I/O.
+// The client half of `graniterunctl gap` and `graniterunctl fleet`: it sends one command to many gatekeepers,
+// or to a gap publisher, at once, and reports what each answered and when. A reducer: the runtime does the
+// I/O. The text and JSON that it prints, and its exit codes, are an interface: tests/golden pins them.
 #pragma once
 
 #include <map>
@@ -58,13 +59,24 @@
   void on(Time now, const net::TimerFired& e, Outbox& out);
   void on(Time now, const net::StopRequested& e, Outbox& out);
 
-  void handle_line(Time now, Target& t, const nlohmann::json& line, Outbox& out);
-  void fail_target(Time now, Target& t, const std::string& why, Outbox& out);
+  void handle_line(Time now, Target& target, const nlohmann::json& line, Outbox& out);
+  void print_event(const Target& target, const std::string& event, const nlohmann::json& line,
+                   Outbox& out) const;
+  void handle_announce_answer(Time now, Target& target, const std::string& event, const nlohmann::json& line,
+                              Outbox& out);
+  void handle_list_answer(Target& target, const nlohmann::json& line, Outbox& out);
+  void handle_fleet_answer(Target& target, const nlohmann::json& line, Outbox& out);
+  void fail_target(Time now, Target& target, const std::string& why, Outbox& out);
   void finish_if_complete(Outbox& out);
   void print_result(Outbox& out);
+  // Of an announcement: all that are to obey do. Of a list or view: all hold the same.
+  bool all_obey_or_agree() const;
+  bool all_are_settled() const;
   std::string announced_text() const;
   std::string listed_text() const;
   std::string fleet_text() const;
+  static std::string view_row(const Target& target);
+  static std::string error_of(const Target& target);
   bool is_fleet_command() const { return settings_.command >= GapClientSettings::Command::members; }
   Target* target_of(net::ConnId conn);
   void send(const Target& t, const nlohmann::json& line, Outbox& out) const;
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -122,6 +122,16 @@
       event);
 }
 
+// Hands the event to `handler` if that takes its type; an event of no concern to it is passed over.
+template <class Handler>
+void dispatch(const Event& event, Handler handler) {
+  std::visit(
+      [&](const auto& one) {
+        if constexpr (requires { handler(one); }) handler(one);
+      },
+      event);
+}
+
 // ---- Effects
 
 struct Listen {  // TCP
