--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -71,11 +71,8 @@
 
 void ConfigDistributor::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
-  std::visit(
-      [&](const auto& notice) {
-        if constexpr (requires { on(now, notice, out); }) on(now, notice, out);
-      },
-      event);
+  net::dispatch(
+      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
   write_changed_files(effects);
   effects.insert(effects.end(), std::make_move_iterator(out.net.begin()),
                  std::make_move_iterator(out.net.end()));
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -20,6 +20,38 @@
 constexpr std::size_t kMaxSlotsInLine = 1024;
 constexpr std::size_t kMaxHotNumbers = 20;  // numbers of a list's answer, the hottest
 
+std::vector<double> demand_in(const json& line, std::uint32_t fleet_size) {
+  const auto calls = line.find("calls");
+  if (calls == line.end() || !calls->is_array() || calls->size() != fleet_size)
+    throw ProtocolError("'calls' is not a list with a number for each gatekeeper");
+  std::vector<double> demand;
+  for (const json& one : *calls) {
+    if (!one.is_number() || !(one.get<double>() >= 0.0 && one.get<double>() < 1e9))
+      throw ProtocolError("'calls' holds what is no number of calls");
+    demand.push_back(one.get<double>());
+  }
+  return demand;
+}
+
+// A slot and the gatekeeper that had it in turn.
+bool is_slot_pair(const json& pair, std::uint32_t fleet_size) {
+  return pair.is_array() && pair.size() == 2 && pair[0].is_number_unsigned() &&
+         pair[1].is_number_unsigned() && pair[1].get<std::uint64_t>() < fleet_size &&
+         pair[0].get<std::uint64_t>() <= 1ULL << 62;
+}
+
+std::vector<SlotOf> slots_in(const json& line, std::uint32_t fleet_size) {
+  const auto given = line.find("slots");
+  if (given == line.end() || !given->is_array() || given->size() > kMaxSlotsInLine)
+    throw ProtocolError("'slots' is not a list of at most 1024 pairs");
+  std::vector<SlotOf> slots;
+  for (const json& one : *given) {
+    if (!is_slot_pair(one, fleet_size)) throw ProtocolError("'slots' holds what is no slot and gatekeeper");
+    slots.push_back({one[0].get<Slot>(), one[1].get<std::uint32_t>()});
+  }
+  return slots;
+}
+
 }  // namespace
 
 Control::Control(ControlSettings settings, Counters& counters)
@@ -149,77 +181,65 @@
 
 void Control::handle_line(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::string op = text_in(line, "op");
-  Peer& peer = peers_.at(conn);
   if (op == "announce") return handle_announce(now, conn, line, out);
   if (op == "list") return handle_list(now, conn, line, out);
   if (op == "watch") {
-    peer.watching = true;
+    peers_.at(conn).watching = true;
     return reply(now, conn, line, {{"ok", true}}, out);
   }
-  if (op == "announcer") {
-    peer.publisher_incarnation = fingerprint_in(line, "life");
-    publisher_ = conn;  // the latest: an older one may be a connection that died unseen
-    counters_.add("control.announcers");
-    out.log(net::Level::info, "an announcer of gaps is here");
-    // Whatever was missed while it was away, or before this program started, is asked for.
-    return reply(now, conn, line,
-                 {{"ok", true},
-                  {"want", "all"},
-                  {"fleet", settings_.fleet.size},
-                  {"index", settings_.fleet.index},
-                  {"digest", fingerprint_text(register_->digest())}},
-                 out);
-  }
+  if (op == "announcer") return handle_publisher(now, conn, line, out);
   if (op == "synced") {
     synced_ = true;
     return reply(now, conn, line, {{"ok", true}, {"digest", fingerprint_text(register_->digest())}}, out);
   }
-  if (op == "demand") {
-    if (!peer.publisher_incarnation) throw ProtocolError("only an announcer tells of demand");
-    const auto calls = line.find("calls");
-    if (calls == line.end() || !calls->is_array() || calls->size() != settings_.fleet.size)
-      throw ProtocolError("'calls' is not a list with a number for each gatekeeper");
-    std::vector<double> demand;
-    for (const json& one : *calls) {
-      if (!one.is_number() || !(one.get<double>() >= 0.0 && one.get<double>() < 1e9))
-        throw ProtocolError("'calls' holds what is no number of calls");
-      demand.push_back(one.get<double>());
-    }
-    if (publisher_ != conn) return;
-    const std::string id = text_in(line, "id");
-    const std::vector<Slot> slots =
-        register_->cede(now, id, fingerprint_in(line, "mark"), demand, kCedeAhead);
-    if (slots.empty()) return;
-    counters_.add("gaps.slots_ceded", slots.size());
-    out.send(conn, line_of({{"event", "cede"},
-                            {"life", fingerprint_text(*peer.publisher_incarnation)},
-                            {"index", settings_.fleet.index},
-                            {"id", id},
-                            {"mark", line["mark"]},
-                            {"slots", slots}}));
-    return;
-  }
-  if (op == "grant") {
-    if (!peer.publisher_incarnation) throw ProtocolError("only an announcer grants slots");
-    const auto given = line.find("slots");
-    if (given == line.end() || !given->is_array() || given->size() > kMaxSlotsInLine)
-      throw ProtocolError("'slots' is not a list of at most 1024 pairs");
-    std::vector<SlotOf> slots;
-    for (const json& one : *given) {
-      if (!one.is_array() || one.size() != 2 || !one[0].is_number_unsigned() ||
-          !one[1].is_number_unsigned() || one[1].get<std::uint64_t>() >= settings_.fleet.size ||
-          one[0].get<std::uint64_t>() > 1ULL << 62)
-        throw ProtocolError("'slots' holds what is no slot and gatekeeper");
-      slots.push_back({one[0].get<Slot>(), one[1].get<std::uint32_t>()});
-    }
-    counters_.add("gaps.slots_granted", slots.size());
-    return register_->grant(now, text_in(line, "id"), fingerprint_in(line, "mark"), slots);
-  }
+  if (op == "demand") return handle_demand(now, conn, line, out);
+  if (op == "grant") return handle_grant(now, conn, line);
   if (const auto other = operations_.find(op); other != operations_.end())
     return reply(now, conn, line, other->second(now, line, out), out);
   throw ProtocolError("'op' is not one of announce, list, watch, announcer, synced, demand, grant");
 }
 
+// A publisher says that it is here. Whatever was missed while it was away, or before this program started, is
+// requested.
+void Control::handle_publisher(Time now, net::ConnId conn, const json& line, Outbox& out) {
+  peers_.at(conn).publisher_incarnation = fingerprint_in(line, "life");
+  publisher_ = conn;  // the latest: an older one may be a connection that died unseen
+  counters_.add("control.announcers");
+  out.log(net::Level::info, "an announcer of gaps is here");
+  reply(now, conn, line,
+        {{"ok", true},
+         {"want", "all"},
+         {"fleet", settings_.fleet.size},
+         {"index", settings_.fleet.index},
+         {"digest", fingerprint_text(register_->digest())}},
+        out);
+}
+
+// What each gatekeeper of the fleet has to place: slots beyond this one's own need are ceded.
+void Control::handle_demand(Time now, net::ConnId conn, const json& line, Outbox& out) {
+  const std::optional<std::uint64_t> incarnation = peers_.at(conn).publisher_incarnation;
+  if (!incarnation) throw ProtocolError("only an announcer tells of demand");
+  const std::vector<double> demand = demand_in(line, settings_.fleet.size);
+  if (publisher_ != conn) return;
+  const std::string id = text_in(line, "id");
+  const std::vector<Slot> slots = register_->cede(now, id, fingerprint_in(line, "mark"), demand, kCedeAhead);
+  if (slots.empty()) return;
+  counters_.add("gaps.slots_ceded", slots.size());
+  out.send(conn, line_of({{"event", "cede"},
+                          {"life", fingerprint_text(*incarnation)},
+                          {"index", settings_.fleet.index},
+                          {"id", id},
+                          {"mark", line["mark"]},
+                          {"slots", slots}}));
+}
+
+void Control::handle_grant(Time now, net::ConnId conn, const json& line) {
+  if (!peers_.at(conn).publisher_incarnation) throw ProtocolError("only an announcer grants slots");
+  const std::vector<SlotOf> slots = slots_in(line, settings_.fleet.size);
+  counters_.add("gaps.slots_granted", slots.size());
+  register_->grant(now, text_in(line, "id"), fingerprint_in(line, "mark"), slots);
+}
+
 void Control::set_place_owned(Time now, bool holds) {
   if (failover_) register_->set_place_owned(now, holds);
 }
@@ -274,16 +294,7 @@
   if (const Announcement* held = register_->find(announcement.id)) before = *held;
   peers_.at(conn).has_announced = true;
   const AnnounceResult taken = store_announcement(now, announcement, out);
-  json answer = {{"ok", taken == AnnounceResult::accepted || taken == AnnounceResult::unchanged ||
-                            taken == AnnounceResult::conflict_won},
-                 {"result", to_string(taken)},
-                 {"id", announcement.id},
-                 {"version", announcement.version}};
-  if (taken == AnnounceResult::rejected) answer["trouble"] = find_error(announcement, now);
-  if (taken == AnnounceResult::full) answer["trouble"] = "there is no room for another gap";
-  if (taken == AnnounceResult::outdated || taken == AnnounceResult::conflict)
-    answer["held"] = to_json(*register_->find(announcement.id));
-  reply(now, conn, line, std::move(answer), out);
+  reply(now, conn, line, answer_to_announce(now, announcement, taken, *register_), out);
   if (taken != AnnounceResult::conflict && taken != AnnounceResult::conflict_won) return;
   // Both announcers are told, and whoever watches: which connection the other one used is not known for sure.
   out.log(net::Level::warning,
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -60,6 +60,9 @@
   };
 
   void handle_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_publisher(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_demand(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_grant(Time now, net::ConnId conn, const nlohmann::json& line);
   void handle_announce(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void handle_list(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void reply(Time now, net::ConnId conn, const nlohmann::json& line, nlohmann::json answer, Outbox& out);
--- a/src/control/gap_json.cpp
+++ b/src/control/gap_json.cpp
@@ -154,6 +154,19 @@
   return page;
 }
 
+json answer_to_announce(Time now, const Announcement& announcement, AnnounceResult result,
+                        const GapRegister& stored) {
+  const bool ok = result == AnnounceResult::accepted || result == AnnounceResult::unchanged ||
+                  result == AnnounceResult::conflict_won;
+  json answer = {
+      {"ok", ok}, {"result", to_string(result)}, {"id", announcement.id}, {"version", announcement.version}};
+  if (result == AnnounceResult::rejected) answer["trouble"] = find_error(announcement, now);
+  if (result == AnnounceResult::full) answer["trouble"] = "there is no room for another gap";
+  if (result == AnnounceResult::outdated || result == AnnounceResult::conflict)
+    answer["held"] = to_json(*stored.find(announcement.id));
+  return answer;
+}
+
 json to_json(const std::vector<HotNumber>& hot) {
   json all = json::array();
   for (const HotNumber& h : hot)
--- a/src/control/gap_json.h
+++ b/src/control/gap_json.h
@@ -34,6 +34,12 @@
 };
 Page page_of(const call_gapping::GapRegister& held, Time now, std::string_view after, bool counts);
 
+// The answer to an announcement that was stored with `result`: both to a gatekeeper's operators and to those
+// of a publisher.
+nlohmann::json answer_to_announce(Time now, const call_gapping::Announcement& announcement,
+                                  call_gapping::AnnounceResult result,
+                                  const call_gapping::GapRegister& stored);
+
 std::int64_t to_unix_ms(Time time);
 Time from_unix_ms(std::int64_t ms);
 std::string_view to_string(call_gapping::AnnounceResult taken);
--- a/src/control/gap_publisher.cpp
+++ b/src/control/gap_publisher.cpp
@@ -35,11 +35,8 @@
 
 void GapPublisher::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
-  std::visit(
-      [&](const auto& e) {
-        if constexpr (requires { on(now, e, out); }) on(now, e, out);
-      },
-      event);
+  net::dispatch(
+      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
   effects = std::move(out.net);
 }
 
@@ -174,56 +171,69 @@
   }
 }
 
-void GapPublisher::handle_gatekeeper_line(Time now, Gatekeeper& g, const json& line, Outbox& out) {
-  g.last_received_at = now;
-  if (line.contains("gatekeeper")) g.name = text_in(line, "gatekeeper");
-  if (line.contains("event")) {
-    const std::string event = text_in(line, "event");
-    if (event == "report") return handle_demand_report(now, g, line);
-    if (event == "cede") return handle_ceded_slots(now, g, line, out);
-    if (event == "gap" && line.contains("gap")) store_announcement(now, announcement_of(line["gap"]), out);
-    for (const net::ConnId conn : watchers_) out.send(conn, line_of(line));
-    return;
-  }
+void GapPublisher::handle_gatekeeper_line(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
+  gatekeeper.last_received_at = now;
+  if (line.contains("gatekeeper")) gatekeeper.name = text_in(line, "gatekeeper");
+  if (line.contains("event")) return handle_gatekeeper_event(now, gatekeeper, line, out);
   const std::string re = line.contains("re") ? text_in(line, "re") : "";
-  if (re == "announcer") {
-    const auto size = static_cast<std::size_t>(integer_in(line, "fleet", 1, 1024));
-    g.index = static_cast<std::uint32_t>(integer_in(line, "index", 0, static_cast<std::int64_t>(size) - 1));
-    if (size != gatekeepers_.size()) {
-      out.log(net::Level::warning, "gatekeeper " + g.address + " is set to a fleet of " +
-                                       std::to_string(size) + ", and " + std::to_string(gatekeepers_.size()) +
-                                       " are pushed to: no slots are dealt to it");
-      g.index.reset();
-    }
-    return;
-  }
-  if (re == "synced" && text_in(line, "digest") != fingerprint_text(register_.digest()) && g.synced &&
-      g.unacknowledged == 0 && g.changed_since_push.empty()) {
-    counters_.add("announcer.digests_differ");
-    return begin_push(now, g, out);
-  }
-  if (re == "list") {
-    const auto gaps = line.find("gaps");
-    if (gaps == line.end() || !gaps->is_array() || gaps->empty()) return;
-    for (const json& gap : *gaps) store_announcement(now, announcement_of(gap), out);
-    if (line.value("more", false)) send(g, {{"op", "list"}, {"after", text_in(gaps->back(), "id")}}, out);
-    return;
-  }
-  if (re != "announce") return;
-  if (g.unacknowledged > 0) --g.unacknowledged;
+  if (re == "announcer") return handle_place(gatekeeper, line, out);
+  if (re == "synced") return handle_digest(now, gatekeeper, line, out);
+  if (re == "list") return handle_gatekeeper_list(now, gatekeeper, line, out);
+  if (re == "announce") return handle_announce_answer(now, gatekeeper, line, out);
+}
+
+void GapPublisher::handle_gatekeeper_event(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
+  const std::string event = text_in(line, "event");
+  if (event == "report") return handle_demand_report(now, gatekeeper, line);
+  if (event == "cede") return handle_ceded_slots(now, gatekeeper, line, out);
+  if (event == "gap" && line.contains("gap")) store_announcement(now, announcement_of(line["gap"]), out);
+  for (const net::ConnId conn : watchers_) out.send(conn, line_of(line));
+}
+
+// Its place in the fleet, by its own settings.
+void GapPublisher::handle_place(Gatekeeper& gatekeeper, const json& line, Outbox& out) const {
+  const auto size = static_cast<std::size_t>(integer_in(line, "fleet", 1, 1024));
+  const auto last = static_cast<std::int64_t>(size) - 1;
+  gatekeeper.index = static_cast<std::uint32_t>(integer_in(line, "index", 0, last));
+  if (size == gatekeepers_.size()) return;
+  out.log(net::Level::warning, "gatekeeper " + gatekeeper.address + " is set to a fleet of " +
+                                   std::to_string(size) + ", and " + std::to_string(gatekeepers_.size()) +
+                                   " are pushed to: no slots are dealt to it");
+  gatekeeper.index.reset();
+}
+
+void GapPublisher::handle_digest(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
+  const bool differs = text_in(line, "digest") != fingerprint_text(register_.digest());
+  const bool all_pushed =
+      gatekeeper.synced && gatekeeper.unacknowledged == 0 && gatekeeper.changed_since_push.empty();
+  if (!differs || !all_pushed) return;
+  counters_.add("announcer.digests_differ");
+  begin_push(now, gatekeeper, out);
+}
+
+void GapPublisher::handle_gatekeeper_list(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
+  const auto gaps = line.find("gaps");
+  if (gaps == line.end() || !gaps->is_array() || gaps->empty()) return;
+  for (const json& gap : *gaps) store_announcement(now, announcement_of(gap), out);
+  if (line.value("more", false))
+    send(gatekeeper, {{"op", "list"}, {"after", text_in(gaps->back(), "id")}}, out);
+}
+
+void GapPublisher::handle_announce_answer(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
+  if (gatekeeper.unacknowledged > 0) --gatekeeper.unacknowledged;
   const std::string id = text_in(line, "id");
   const auto version = static_cast<std::uint64_t>(integer_in(line, "version", 1, std::int64_t{1} << 52));
-  // It holds something newer, or stricter: that is news for all.
+  // It holds something newer, or stricter: all gatekeepers are to have that.
   if (line.contains("held")) store_announcement(now, announcement_of(line["held"]), out);
   if (const auto it = observers_.find(id); it != observers_.end()) {
-    json told = line;
-    told["event"] = "obeyed";
-    told["address"] = g.address;
-    for (const Observer& w : it->second) {
-      if (w.version <= version) out.send(w.conn, line_of(told));
+    json obeyed = line;
+    obeyed["event"] = "obeyed";
+    obeyed["address"] = gatekeeper.address;
+    for (const Observer& observer : it->second) {
+      if (observer.version <= version) out.send(observer.conn, line_of(obeyed));
     }
   }
-  push_next(now, g, out);
+  push_next(now, gatekeeper, out);
 }
 
 // ---- slots
@@ -376,55 +386,63 @@
     watchers_.insert(conn);
     return reply(now, conn, line, {{"ok", true}}, out);
   }
-  if (op == "list") {
-    Page page = page_of(register_, now, line.contains("after") ? text_in(line, "after") : "", false);
-    json fleet = json::array();
-    for (const Gatekeeper& g : gatekeepers_) fleet.push_back(state_of(g));
-    return reply(now, conn, line,
-                 {{"ok", true},
-                  {"digest", fingerprint_text(register_.digest())},
-                  {"held", register_.size()},
-                  {"gaps", std::move(page.gaps)},
-                  {"fleet", std::move(fleet)},
-                  {"more", page.more}},
-                 out);
-  }
-  if (op != "announce") throw ProtocolError("'op' is not one of announce, list, watch");
+  if (op == "list") return handle_operator_list(now, conn, line, out);
+  if (op == "announce") return handle_announce(now, conn, line, out);
+  throw ProtocolError("'op' is not one of announce, list, watch");
+}
+
+void GapPublisher::handle_operator_list(Time now, net::ConnId conn, const json& line, Outbox& out) {
+  Page page = page_of(register_, now, line.contains("after") ? text_in(line, "after") : "", false);
+  json fleet = json::array();
+  for (const Gatekeeper& gatekeeper : gatekeepers_) fleet.push_back(state_of(gatekeeper));
+  reply(now, conn, line,
+        {{"ok", true},
+         {"digest", fingerprint_text(register_.digest())},
+         {"held", register_.size()},
+         {"gaps", std::move(page.gaps)},
+         {"fleet", std::move(fleet)},
+         {"more", page.more}},
+        out);
+}
+
+void GapPublisher::handle_announce(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const auto gap = line.find("gap");
   if (gap == line.end()) throw ProtocolError("there is no 'gap'");
-  const Announcement a = announcement_of(*gap);
+  const Announcement announcement = announcement_of(*gap);
   // Before it is pushed: answers may come within the step.
-  if (observers_.size() < kMaxObservers || observers_.contains(a.id)) {
-    auto& waiting = observers_[a.id];
-    if (waiting.size() < kMaxObservers) waiting.push_back({conn, a.version, now + kObserverTtl});
+  if (observers_.size() < kMaxObservers || observers_.contains(announcement.id)) {
+    auto& observers = observers_[announcement.id];
+    if (observers.size() < kMaxObservers)
+      observers.push_back({conn, announcement.version, now + kObserverTtl});
   }
-  const AnnounceResult taken = store_announcement(now, a, out);
-  std::size_t reached = 0;
-  for (const Gatekeeper& g : gatekeepers_) reached += g.connected ? 1 : 0;
-  json answer = {{"ok", taken == AnnounceResult::accepted || taken == AnnounceResult::unchanged ||
-                            taken == AnnounceResult::conflict_won},
-                 {"result", to_string(taken)},
-                 {"id", a.id},
-                 {"version", a.version},
-                 {"gatekeepers", gatekeepers_.size()},
-                 {"pushed_to", reached}};
-  if (taken == AnnounceResult::rejected) answer["trouble"] = find_error(a, now);
-  if (taken == AnnounceResult::full) answer["trouble"] = "there is no room for another gap";
-  if (taken == AnnounceResult::outdated || taken == AnnounceResult::conflict)
-    answer["held"] = to_json(*register_.find(a.id));
+  const AnnounceResult result = store_announcement(now, announcement, out);
+  json answer = answer_to_announce(now, announcement, result, register_);
+  const auto connected = [](const Gatekeeper& gatekeeper) { return gatekeeper.connected; };
+  answer["gatekeepers"] = gatekeepers_.size();
+  answer["pushed_to"] = std::ranges::count_if(gatekeepers_, connected);
   reply(now, conn, line, std::move(answer), out);
-  if (taken == AnnounceResult::unchanged) {  // each tells once more that it obeys
-    for (Gatekeeper& g : gatekeepers_) {
-      if (!g.connected) continue;
-      g.changed_since_push.insert(a.id);
-      push_next(now, g, out);
-    }
+  if (result == AnnounceResult::unchanged) push_again(now, announcement.id, out);
+  if (result == AnnounceResult::conflict || result == AnnounceResult::conflict_won)
+    report_conflict(now, announcement, out);
+}
+
+// Each gatekeeper answers once more that it obeys.
+void GapPublisher::push_again(Time now, const std::string& id, Outbox& out) {
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    if (!gatekeeper.connected) continue;
+    gatekeeper.changed_since_push.insert(id);
+    push_next(now, gatekeeper, out);
   }
-  if (taken != AnnounceResult::conflict && taken != AnnounceResult::conflict_won) return;
-  const json quarrel = {{"event", "conflict"},      {"gatekeeper", settings_.name},
-                        {"clock", to_unix_ms(now)}, {"id", a.id},
-                        {"version", a.version},     {"held", to_json(*register_.find(a.id))}};
-  for (const net::ConnId other : operators_) out.send(other, line_of(quarrel));
+}
+
+void GapPublisher::report_conflict(Time now, const Announcement& announcement, Outbox& out) const {
+  const json conflict = {{"event", "conflict"},
+                         {"gatekeeper", settings_.name},
+                         {"clock", to_unix_ms(now)},
+                         {"id", announcement.id},
+                         {"version", announcement.version},
+                         {"held", to_json(*register_.find(announcement.id))}};
+  for (const net::ConnId other : operators_) out.send(other, line_of(conflict));
 }
 
 // ---- time
--- a/src/control/gap_publisher.h
+++ b/src/control/gap_publisher.h
@@ -76,6 +76,15 @@
 
   void handle_operator_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void handle_gatekeeper_line(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
+  void handle_gatekeeper_event(Time now, Gatekeeper& gatekeeper, const nlohmann::json& line, Outbox& out);
+  void handle_place(Gatekeeper& gatekeeper, const nlohmann::json& line, Outbox& out) const;
+  void handle_digest(Time now, Gatekeeper& gatekeeper, const nlohmann::json& line, Outbox& out);
+  void handle_gatekeeper_list(Time now, Gatekeeper& gatekeeper, const nlohmann::json& line, Outbox& out);
+  void handle_announce_answer(Time now, Gatekeeper& gatekeeper, const nlohmann::json& line, Outbox& out);
+  void handle_operator_list(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void handle_announce(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
+  void push_again(Time now, const std::string& id, Outbox& out);
+  void report_conflict(Time now, const call_gapping::Announcement& announcement, Outbox& out) const;
   void handle_demand_report(Time now, Gatekeeper& g, const nlohmann::json& line);
   void handle_ceded_slots(Time now, Gatekeeper& g, const nlohmann::json& line, Outbox& out);
   call_gapping::AnnounceResult store_announcement(Time now, const call_gapping::Announcement& a, Outbox& out);
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -44,7 +44,7 @@
   GDateTime* utc = g_date_time_new_from_unix_utc(
       std::chrono::floor<std::chrono::seconds>(time.time_since_epoch()).count());
   gchar* text = g_date_time_format_iso8601(utc);
-  const std::string result = text;
+  std::string result = text;
   g_free(text);
   g_date_time_unref(utc);
   return result;
@@ -94,25 +94,33 @@
   }
 }
 
+void read_call_identity(const pugi::xml_node& identity, LoadRule& rule) {
+  for (const pugi::xml_node& sip : identity.children()) {
+    if (local(sip) != "sip") unknown(sip);
+    for (const pugi::xml_node& side : sip.children())
+      local(side) == "to" ? read_to(side, rule) : unknown(side);
+  }
+}
+
+void read_validity(const pugi::xml_node& validity, LoadRule& rule) {
+  for (const pugi::xml_node& end : validity.children()) {
+    if (local(end) != "from" && local(end) != "until") unknown(end);
+    std::optional<Time>& which = local(end) == "from" ? rule.from : rule.until;
+    if (which) throw LoadControlError("a validity of several spans is not understood");
+    which = time_of(trimmed(end.child_value()));
+  }
+}
+
 void read_conditions(const pugi::xml_node& conditions, LoadRule& rule) {
   for (const pugi::xml_node& node : conditions.children()) {
     if (local(node) == "call-identity") {
-      for (const pugi::xml_node& sip : node.children()) {
-        if (local(sip) != "sip") unknown(sip);
-        for (const pugi::xml_node& side : sip.children())
-          local(side) == "to" ? read_to(side, rule) : unknown(side);
-      }
+      read_call_identity(node, rule);
     } else if (local(node) == "method") {
       // Gaps are for calls: one for other requests can't be kept.
       if (trimmed(node.child_value()) != "INVITE")
         throw LoadControlError("only the method INVITE can be held back here");
     } else if (local(node) == "validity") {
-      for (const pugi::xml_node& end : node.children()) {
-        if (local(end) != "from" && local(end) != "until") unknown(end);
-        std::optional<Time>& which = local(end) == "from" ? rule.from : rule.until;
-        if (which) throw LoadControlError("a validity of several spans is not understood");
-        which = time_of(trimmed(end.child_value()));
-      }
+      read_validity(node, rule);
     } else {
       unknown(node);
     }
