--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -146,22 +146,25 @@
   reported_deaths_.clear(record.name);
   if (record.state == State::alive) peer.unreachable_since.reset();
   if (moved && record.is_member()) by_address_[record.address] = record.name;
-  if (was != record.is_member()) {
-    record.is_member() ? ++members_ : --members_;
-    if (record.is_member()) {
-      expirations_.clear(record.name);
-      // Anywhere in the round, so that nobody knows who is probed next.
-      const std::size_t at = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
-      if (std::find(probe_order_.begin(), probe_order_.end(), record.name) == probe_order_.end())
-        probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(at), record.name);
-    } else {
-      expirations_.set(record.name, now + settings_.dead_member_retention / 2);
-    }
-  }
+  if (was != record.is_member()) record.is_member() ? count_member_in(record) : count_member_out(now, record);
   changed_at_ = now;
   broadcast(record.name);
 }
 
+void Membership::count_member_in(const Record& record) {
+  ++members_;
+  expirations_.clear(record.name);
+  // Anywhere in the round, so that nobody knows who is probed next.
+  const std::size_t at = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
+  if (std::find(probe_order_.begin(), probe_order_.end(), record.name) == probe_order_.end())
+    probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(at), record.name);
+}
+
+void Membership::count_member_out(Time now, const Record& record) {
+  --members_;
+  expirations_.set(record.name, now + settings_.dead_member_retention / 2);
+}
+
 Membership::Peer& Membership::add_peer(Time now, const Record& record) {
   Peer& peer = peers_[record.name];
   peer.record = record;
@@ -384,6 +387,11 @@
   }
   // Not enough to believe it, but no silence either.
   if (peer != nullptr && peer->record.same_incarnation(datagram.from)) peer->last_unverified_at = now;
+  handle_unverified(now, datagram, ping);
+}
+
+// From a process that has not answered a ping of this one's: only an answer to such a ping counts.
+void Membership::handle_unverified(Time now, const Datagram& datagram, const Ping* ping) {
   if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
     if (!handle_ack(now, datagram, *ack)) count_drop(DropReason::unverified);
     return;
@@ -419,13 +427,21 @@
   merge_record(now, datagram.from, true);
   if (!datagram.catching_up) {
     for (const Record& record : datagram.records) merge_record(now, record, false);
-    if (datagram.digest == digest_) {
-      differs_since_.reset();
-    } else {
-      if (!differs_since_) differs_since_ = now;
-      differs_with_ = name;
-    }
+    compare_digest(now, name, datagram.digest);
   }
+  handle_body(now, datagram);
+}
+
+void Membership::compare_digest(Time now, const std::string& name, std::uint64_t digest) {
+  if (digest == digest_) {
+    differs_since_.reset();
+    return;
+  }
+  if (!differs_since_) differs_since_ = now;
+  differs_with_ = name;
+}
+
+void Membership::handle_body(Time now, const Datagram& datagram) {
   if (const auto* ping = std::get_if<Ping>(&datagram.body)) {
     if (ping->known) merge_own_record(now, ping->about_receiver);
     handle_ping(now, datagram, *ping);
@@ -433,12 +449,8 @@
     handle_ack(now, datagram, *ack);
   } else if (const auto* request = std::get_if<PingRequest>(&datagram.body)) {
     handle_ping_request(now, datagram, *request);
-  } else if (const auto* for_us = std::get_if<RelayedAck>(&datagram.body)) {
-    if (probe_ && for_us->token == probe_->token) {
-      ++probe_->witnesses;
-      probe_->answered = true;
-      if (Peer* peer = find(probe_->name)) peer->last_relayed_ack_at = now;
-    }
+  } else if (const auto* relayed = std::get_if<RelayedAck>(&datagram.body)) {
+    handle_relayed_ack(now, *relayed);
   } else if (const auto* nack = std::get_if<Nack>(&datagram.body)) {
     if (probe_ && nack->token == probe_->token) ++probe_->witnesses;
   } else if (const auto* ask = std::get_if<SyncRequest>(&datagram.body)) {
@@ -446,6 +458,13 @@
   }
 }
 
+void Membership::handle_relayed_ack(Time now, const RelayedAck& ack) {
+  if (!probe_ || ack.token != probe_->token) return;
+  ++probe_->witnesses;
+  probe_->answered = true;
+  if (Peer* peer = find(probe_->name)) peer->last_relayed_ack_at = now;
+}
+
 // Whether it answers a ping of ours: that proves that its sender is there and hears us.
 bool Membership::handle_ack(Time now, const Datagram& datagram, const Ack& ack) {
   const auto it = pending_pings_.find(ack.token);
@@ -563,77 +582,90 @@
   if (record.name == self_.name) return merge_own_record(now, record);
   if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(record.name)) return;
   Peer* peer = find(record.name);
-  if (peer == nullptr) {
-    if (record.is_member() && !make_room()) return count_drop(DropReason::full);
-    if (!record.is_member() && peers_.size() >= 2 * kMaxMembers) return;
-    if (record.state == State::suspect) {
-      const Record alive = without_suspicion(record);
-      Peer& fresh = add_peer(now, alive);
-      emit_event(now, MemberEventKind::joined, alive, "told");
-      return merge_suspicion(now, fresh, record);
-    }
-    add_peer(now, record);
-    if (record.is_member())
-      emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
-    return;
-  }
-  if (!supersedes(record, peer->record)) {
-    // Another one's doubt of what is doubted already confirms it.
-    if (record.state == State::suspect && peer->record.state == State::suspect &&
-        record.same_incarnation(peer->record) && record.refutation == peer->record.refutation &&
-        peer->suspicion && peer->suspicion->confirm(record.suspecting_member)) {
-      suspects_.set(record.name, peer->suspicion->deadline());
-      broadcast(record.name);
-    }
-    return;
-  }
-  const Record before = peer->record;
-  const bool newer_life = !record.same_incarnation(before);
+  if (peer == nullptr) return merge_unknown_peer(now, record, first_hand);
+  if (!supersedes(record, peer->record)) return confirm_suspicion(*peer, record);
   switch (record.state) {
     case State::alive:
-      if (!before.is_member() && members_known() >= kMaxMembers) return count_drop(DropReason::full);
-      if (peer->reported_death) ++metrics_.deaths_disproved;
-      store_record(now, *peer, record);
-      if (newer_life && before.is_member()) {
-        Record ended = before;
-        ended.state = State::dead;
-        ended.evidence = Evidence::replaced;
-        emit_event(now, MemberEventKind::died, ended,
-                   "its life " + std::to_string(before.incarnation) + " was ended by life " +
-                       std::to_string(record.incarnation));
-      }
-      if (newer_life || !before.is_member()) {
-        emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
-      } else if (before.state == State::suspect) {
-        ++metrics_.refuted;
-        emit_event(now, MemberEventKind::refuted, record,
-                   "it says so, in incarnation " + std::to_string(record.refutation));
-      }
-      return;
+      return merge_alive(now, *peer, record, first_hand);
     case State::suspect:
-      if (newer_life || !before.is_member()) {
-        const Record alive = without_suspicion(record);
-        store_record(now, *peer, alive);
-        emit_event(now, MemberEventKind::joined, alive, "told");
-      }
-      return merge_suspicion(now, *peer, record);
-    case State::dead: {
-      const bool own_finding = peer->suspicion && peer->suspicion->deadline() <= now;
-      if (!before.is_member() || newer_life || own_finding || !settings_.refinements.verify_reported_deaths) {
-        return declare_dead(now, *peer, record);
-      }
-      // Two sides of a cut hold each other dead for good reason; a side that has one in reach asks it.
-      if (peer->reported_death && !supersedes(record, *peer->reported_death)) return;
-      peer->reported_death = record;
-      reported_deaths_.set(record.name, now + kReportedDeathTimeout);
-      ping(now, record.name, before.address, Purpose::check, &record);
-      return;
-    }
-    case State::left:
+      return merge_suspect(now, *peer, record);
+    case State::dead:
+      return merge_dead(now, *peer, record);
+    case State::left: {
+      const bool was_member = peer->record.is_member();
       store_record(now, *peer, record);
-      if (before.is_member()) emit_event(now, MemberEventKind::left, record, "it said so");
+      if (was_member) emit_event(now, MemberEventKind::left, record, "it said so");
       return;
+    }
+  }
+}
+
+void Membership::merge_unknown_peer(Time now, const Record& record, bool first_hand) {
+  if (record.is_member() && !make_room()) return count_drop(DropReason::full);
+  if (!record.is_member() && peers_.size() >= 2 * kMaxMembers) return;
+  if (record.state == State::suspect) {
+    const Record alive = without_suspicion(record);
+    Peer& fresh = add_peer(now, alive);
+    emit_event(now, MemberEventKind::joined, alive, "told");
+    return merge_suspicion(now, fresh, record);
   }
+  add_peer(now, record);
+  if (record.is_member())
+    emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
+}
+
+// Another member's suspicion of one that is suspect already confirms it.
+void Membership::confirm_suspicion(Peer& peer, const Record& record) {
+  const bool same_suspicion = record.state == State::suspect && peer.record.state == State::suspect &&
+                              record.same_incarnation(peer.record) &&
+                              record.refutation == peer.record.refutation;
+  if (!same_suspicion || !peer.suspicion || !peer.suspicion->confirm(record.suspecting_member)) return;
+  suspects_.set(record.name, peer.suspicion->deadline());
+  broadcast(record.name);
+}
+
+void Membership::merge_alive(Time now, Peer& peer, const Record& record, bool first_hand) {
+  const Record before = peer.record;
+  const bool newer_incarnation = !record.same_incarnation(before);
+  if (!before.is_member() && members_known() >= kMaxMembers) return count_drop(DropReason::full);
+  if (peer.reported_death) ++metrics_.deaths_disproved;
+  store_record(now, peer, record);
+  if (newer_incarnation && before.is_member()) {
+    Record ended = before;
+    ended.state = State::dead;
+    ended.evidence = Evidence::replaced;
+    emit_event(now, MemberEventKind::died, ended,
+               "its life " + std::to_string(before.incarnation) + " was ended by life " +
+                   std::to_string(record.incarnation));
+  }
+  if (newer_incarnation || !before.is_member()) {
+    emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
+  } else if (before.state == State::suspect) {
+    ++metrics_.refuted;
+    emit_event(now, MemberEventKind::refuted, record,
+               "it says so, in incarnation " + std::to_string(record.refutation));
+  }
+}
+
+void Membership::merge_suspect(Time now, Peer& peer, const Record& record) {
+  if (!record.same_incarnation(peer.record) || !peer.record.is_member()) {
+    const Record alive = without_suspicion(record);
+    store_record(now, peer, alive);
+    emit_event(now, MemberEventKind::joined, alive, "told");
+  }
+  merge_suspicion(now, peer, record);
+}
+
+void Membership::merge_dead(Time now, Peer& peer, const Record& record) {
+  const bool own_finding = peer.suspicion && peer.suspicion->deadline() <= now;
+  if (!peer.record.is_member() || !record.same_incarnation(peer.record) || own_finding ||
+      !settings_.refinements.verify_reported_deaths)
+    return declare_dead(now, peer, record);
+  // Two sides of a cut hold each other dead for good reason; a side that has one in reach asks it.
+  if (peer.reported_death && !supersedes(record, *peer.reported_death)) return;
+  peer.reported_death = record;
+  reported_deaths_.set(record.name, now + kReportedDeathTimeout);
+  ping(now, record.name, peer.record.address, Purpose::check, &record);
 }
 
 void Membership::merge_suspicion(Time now, Peer& peer, const Record& record) {
@@ -740,7 +772,7 @@
   if (!record.is_member() || record.address == self_.address)
     return take_incarnation(now, std::max(record.incarnation, self_.incarnation) + 1);
   if (stood_down_for_ || duplicate_) return;
-  duplicate_.emplace();
+  duplicate_ = DuplicateName{};
   duplicate_->record = record;
 }
 
@@ -748,7 +780,7 @@
   if (stood_down_for_) {
     // From time to time it is asked whether the other one is still there.
     if (!duplicate_) {
-      duplicate_.emplace();
+      duplicate_ = DuplicateName{};
       duplicate_->record = *stood_down_for_;
       duplicate_->probed_at = now;
       return;
@@ -981,51 +1013,53 @@
 
 void Membership::check_probe(Time now) {
   if (!announced_ || self_.state == State::left) return;
-  if (probe_ && !probe_->answered && !probe_->indirect_sent && now >= probe_->indirect_at) {
-    probe_->indirect_sent = true;
-    Peer* peer = find(probe_->name);
-    if (peer != nullptr && peer->record.is_member()) {
-      if (!peer->first_unanswered_at) peer->first_unanswered_at = now;
-      probe_->repeat_token = ping(now, probe_->name, peer->record.address, Purpose::probe);
-      if (settings_.refinements.indirect_probing) {
-        // Those heard of late are the likelier to answer.
-        std::vector<Peer*> helpers = random_members(3 * settings_.indirect_probes, probe_->name);
-        std::stable_sort(helpers.begin(), helpers.end(), [](const Peer* left, const Peer* right) {
-          return left->last_received_at > right->last_received_at;
-        });
-        if (helpers.size() > settings_.indirect_probes) helpers.resize(settings_.indirect_probes);
-        for (const Peer* helper : helpers) {
-          ++probe_->helpers;
-          send_datagram(helper->record.address, helper->record.name,
-                        PingRequest{probe_->token, probe_->name, peer->record.address});
-        }
-      }
-    }
-  }
-  if (probe_ && now >= probe_->deadline) {
-    const Probe probe = *probe_;
-    probe_.reset();
-    Peer* peer = find(probe.name);
-    if (probe.answered) {
-      adjust_health(-1);
-    } else if (peer != nullptr && peer->record.is_member() && !catching_up_) {
-      // Helpers that answered speak for this process' own health (Lifeguard, section IV-A).
-      if (probe.helpers == 0 || probe.witnesses < probe.helpers) adjust_health(1);
-      // Where those who were asked say nothing either, it is more likely this process that is not heard.
-      const Time last = std::max({peer->last_received_at.value_or(peer->state_since),
-                                  peer->last_unverified_at.value_or(peer->state_since), listening_since_});
-      const bool witnessed = !settings_.refinements.indirect_probing || members_ < 2 || probe.witnesses > 0;
-      const bool handing = peer->record.handing_over && now - peer->state_since < kHandoverTimeout;
-      if (!handing && (witnessed || now - last > kIsolationTimeout))
-        raise_suspicion(now, *peer, Evidence::unresponsive);
-    }
-  }
+  if (probe_ && !probe_->answered && !probe_->indirect_sent && now >= probe_->indirect_at)
+    probe_indirectly(now);
+  if (probe_ && now >= probe_->deadline) finish_probe(now);
   if (!probe_ && now - last_probe_at_ >= settings_.probe_interval) {
     last_probe_at_ = now;
     start_probe(now);
   }
 }
 
+// No answer so far: it is pinged once more, and others are asked to ping it.
+void Membership::probe_indirectly(Time now) {
+  probe_->indirect_sent = true;
+  Peer* peer = find(probe_->name);
+  if (peer == nullptr || !peer->record.is_member()) return;
+  if (!peer->first_unanswered_at) peer->first_unanswered_at = now;
+  probe_->repeat_token = ping(now, probe_->name, peer->record.address, Purpose::probe);
+  if (!settings_.refinements.indirect_probing) return;
+  // Those heard of late are the likelier to answer.
+  std::vector<Peer*> helpers = random_members(3 * settings_.indirect_probes, probe_->name);
+  std::stable_sort(helpers.begin(), helpers.end(), [](const Peer* left, const Peer* right) {
+    return left->last_received_at > right->last_received_at;
+  });
+  if (helpers.size() > settings_.indirect_probes) helpers.resize(settings_.indirect_probes);
+  for (const Peer* helper : helpers) {
+    ++probe_->helpers;
+    send_datagram(helper->record.address, helper->record.name,
+                  PingRequest{probe_->token, probe_->name, peer->record.address});
+  }
+}
+
+void Membership::finish_probe(Time now) {
+  const Probe probe = *probe_;
+  probe_.reset();
+  if (probe.answered) return adjust_health(-1);
+  Peer* peer = find(probe.name);
+  if (peer == nullptr || !peer->record.is_member() || catching_up_) return;
+  // Helpers that answered speak for this process' own health (Lifeguard, section IV-A).
+  if (probe.helpers == 0 || probe.witnesses < probe.helpers) adjust_health(1);
+  // Where those who were asked say nothing either, it is more likely this process that is not heard.
+  const Time last = std::max({peer->last_received_at.value_or(peer->state_since),
+                              peer->last_unverified_at.value_or(peer->state_since), listening_since_});
+  const bool witnessed = !settings_.refinements.indirect_probing || members_ < 2 || probe.witnesses > 0;
+  const bool handing_over = peer->record.handing_over && now - peer->state_since < kHandoverTimeout;
+  if (!handing_over && (witnessed || now - last > kIsolationTimeout))
+    raise_suspicion(now, *peer, Evidence::unresponsive);
+}
+
 // Seeds that are no members are asked for ever; members that are dead are asked whether they are back.
 void Membership::contact_missing_members(Time now) {
   if (self_.state == State::left || stood_down_for_) return;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -232,6 +232,10 @@
   void on(Time, const WatchPorts& notice) { watched_ports_ = notice.names; }
 
   void handle_datagram(Time now, Peer& from, const Datagram& datagram);
+  void handle_unverified(Time now, const Datagram& datagram, const Ping* ping);
+  void handle_body(Time now, const Datagram& datagram);
+  void handle_relayed_ack(Time now, const RelayedAck& ack);
+  void compare_digest(Time now, const std::string& name, std::uint64_t digest);
   bool handle_ack(Time now, const Datagram& datagram, const Ack& ack);
   void handle_non_member(Time now, const Datagram& datagram);
   void handle_ping(Time now, const Datagram& datagram, const Ping& ping);
@@ -240,11 +244,18 @@
   void handle_duplicate_name(Time now, const Datagram& datagram);
 
   void merge_record(Time now, const Record& record, bool first_hand);
+  void merge_unknown_peer(Time now, const Record& record, bool first_hand);
+  void merge_alive(Time now, Peer& peer, const Record& record, bool first_hand);
+  void merge_suspect(Time now, Peer& peer, const Record& record);
+  void merge_dead(Time now, Peer& peer, const Record& record);
+  void confirm_suspicion(Peer& peer, const Record& record);
   void merge_own_record(Time now, const Record& record);
   void merge_suspicion(Time now, Peer& peer, const Record& record);
   void declare_dead(Time now, Peer& peer, const Record& dead);
   void raise_suspicion(Time now, Peer& peer, Evidence evidence);
   void store_record(Time now, Peer& peer, const Record& record);
+  void count_member_in(const Record& record);
+  void count_member_out(Time now, const Record& record);
   Peer& add_peer(Time now, const Record& record);
   bool make_room();
   void erase_peer(Peers::iterator it);
@@ -257,6 +268,8 @@
 
   void detect_pause(Time now);
   void check_probe(Time now);
+  void probe_indirectly(Time now);
+  void finish_probe(Time now);
   void start_probe(Time now);
   void check_ping_timeouts(Time now);
   void check_suspicion_timeouts(Time now);
