--- a/src/call_gapping/hot_numbers.cpp
+++ b/src/call_gapping/hot_numbers.cpp
@@ -63,39 +63,12 @@
 std::vector<HotNumbers::Change> HotNumbers::update(Time now) {
   std::vector<Change> changes;
   for (auto it = entries_.begin(); it != entries_.end();) {
-    Entry& e = it->second;
-    const HotNumber state = describe(now, it->first, e);
-    const double certain = state.rate - state.error;
-    if (certain >= settings_.hot_threshold) {
-      if (!e.above) e.above = now;
-      e.below.reset();
-    } else if (state.rate < settings_.cool_threshold) {
-      if (!e.below) e.below = now;
-    } else {
-      e.below.reset();
-    }
-    if (!e.hot && certain < settings_.hot_threshold) e.above.reset();
-    const auto note = [&](Change::What what) { changes.push_back({what, describe(now, it->first, e)}); };
-    if (!e.hot && e.above && now - *e.above >= settings_.hot_duration) {
-      e.hot = true;
-      note(Change::What::hot);
-    }
-    if (e.hot && !e.gapped && !e.below && gapped_ < settings_.max_gaps) {
-      e.gapped = true;
-      ++gapped_;
-      note(Change::What::gap);
-    }
-    if (e.hot && e.below && now - *e.below >= settings_.cool_duration) {
-      if (e.gapped) {
-        --gapped_;
-        note(Change::What::lift);
-      }
-      e.hot = e.gapped = false;
-      e.above.reset();
-      note(Change::What::cool);
-    }
-    if (!e.hot && state.rate * seconds(settings_.rate_window) < 0.1) {  // long not called
-      order_.erase({e.count, it->first});
+    Entry& entry = it->second;
+    const HotNumber state = describe(now, it->first, entry);
+    update_thresholds(now, state, entry);
+    update_state(now, it->first, entry, changes);
+    if (!entry.hot && state.rate * seconds(settings_.rate_window) < 0.1) {  // long not called
+      order_.erase({entry.count, it->first});
       it = entries_.erase(it);
     } else {
       ++it;
@@ -104,6 +77,42 @@
   return changes;
 }
 
+// Since when it has been over the upper threshold by what is certain, or under the lower one.
+void HotNumbers::update_thresholds(Time now, const HotNumber& state, Entry& entry) const {
+  const double certain = state.rate - state.error;
+  if (certain >= settings_.hot_threshold) {
+    if (!entry.above) entry.above = now;
+    entry.below.reset();
+  } else if (state.rate < settings_.cool_threshold) {
+    if (!entry.below) entry.below = now;
+  } else {
+    entry.below.reset();
+  }
+  if (!entry.hot && certain < settings_.hot_threshold) entry.above.reset();
+}
+
+void HotNumbers::update_state(Time now, const std::string& number, Entry& entry,
+                              std::vector<Change>& changes) {
+  const auto add = [&](Change::What what) { changes.push_back({what, describe(now, number, entry)}); };
+  if (!entry.hot && entry.above && now - *entry.above >= settings_.hot_duration) {
+    entry.hot = true;
+    add(Change::What::hot);
+  }
+  if (entry.hot && !entry.gapped && !entry.below && gapped_ < settings_.max_gaps) {
+    entry.gapped = true;
+    ++gapped_;
+    add(Change::What::gap);
+  }
+  if (!entry.hot || !entry.below || now - *entry.below < settings_.cool_duration) return;
+  if (entry.gapped) {
+    --gapped_;
+    add(Change::What::lift);
+  }
+  entry.hot = entry.gapped = false;
+  entry.above.reset();
+  add(Change::What::cool);
+}
+
 std::vector<HotNumber> HotNumbers::hot(Time now) const {
   std::vector<HotNumber> all;
   for (const auto& [number, e] : entries_) {
--- a/src/call_gapping/hot_numbers.h
+++ b/src/call_gapping/hot_numbers.h
@@ -67,6 +67,8 @@
   double unit(Time now) const;
   void renormalize(Time now);
   HotNumber describe(Time now, const std::string& number, const Entry& e) const;
+  void update_thresholds(Time now, const HotNumber& state, Entry& entry) const;
+  void update_state(Time now, const std::string& number, Entry& entry, std::vector<Change>& changes);
 
   HotSettings settings_;
   Entries entries_;
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -64,41 +64,57 @@
   while (used < bytes.size() && !done_) {
     const std::string_view rest = bytes.substr(used);
     if (!chunked_) {
-      const std::size_t part = left_ ? std::min(*left_, rest.size()) : rest.size();
-      body.append(rest.substr(0, part));
+      const std::size_t part = take_plain(rest, body);
       used += part;
-      if (left_ && (*left_ -= part) == 0) done_ = true;
       if (part == 0) break;
-      continue;
-    }
-    if (chunk_ > 0) {
-      const std::size_t part = std::min(chunk_, rest.size());
-      body.append(rest.substr(0, part));
-      chunk_ -= part;
-      used += part;
-      chunk_end_ = chunk_ == 0;
-      continue;
-    }
-    const std::size_t stop = rest.find("\r\n");
-    if (stop == std::string_view::npos) {
-      if (rest.size() > 256) return std::nullopt;
-      break;
-    }
-    const std::string_view line = rest.substr(0, stop);
-    used += stop + 2;
-    if (chunk_end_) {
-      if (!line.empty()) return std::nullopt;
-      chunk_end_ = false;
-    } else if (trailer_) {
-      done_ = line.empty();
+    } else if (chunk_ > 0) {
+      used += take_chunk(rest, body);
     } else {
-      if (!parse(strip(line.substr(0, line.find(';'))), chunk_, 16)) return std::nullopt;
-      trailer_ = chunk_ == 0;
+      const std::size_t stop = rest.find("\r\n");
+      if (stop == std::string_view::npos) {
+        if (rest.size() > 256) return std::nullopt;
+        break;
+      }
+      used += stop + 2;
+      if (!take_chunk_line(rest.substr(0, stop))) return std::nullopt;
     }
   }
   return used;
 }
 
+std::size_t Body::take_plain(std::string_view rest, std::string& body) {
+  const std::size_t part = left_ ? std::min(*left_, rest.size()) : rest.size();
+  body.append(rest.substr(0, part));
+  if (left_) {
+    *left_ -= part;
+    if (*left_ == 0) done_ = true;
+  }
+  return part;
+}
+
+std::size_t Body::take_chunk(std::string_view rest, std::string& body) {
+  const std::size_t part = std::min(chunk_, rest.size());
+  body.append(rest.substr(0, part));
+  chunk_ -= part;
+  chunk_end_ = chunk_ == 0;
+  return part;
+}
+
+// The line behind a chunk, of a trailer, or with a chunk's size.
+bool Body::take_chunk_line(std::string_view line) {
+  if (chunk_end_) {
+    chunk_end_ = false;
+    return line.empty();
+  }
+  if (trailer_) {
+    done_ = line.empty();
+    return true;
+  }
+  if (!parse(strip(line.substr(0, line.find(';'))), chunk_, 16)) return false;
+  trailer_ = chunk_ == 0;
+  return true;
+}
+
 std::optional<ServerSentEvent> take_event(std::string& text) {
   ServerSentEvent event;
   bool any = false;
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -30,6 +30,10 @@
   bool done() const { return done_; }
 
  private:
+  std::size_t take_plain(std::string_view rest, std::string& body);
+  std::size_t take_chunk(std::string_view rest, std::string& body);
+  bool take_chunk_line(std::string_view line);
+
   bool chunked_;
   std::optional<std::size_t> left_;
   std::size_t chunk_ = 0;   // bytes left of the chunk
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -278,7 +278,7 @@
 }
 
 std::string address_in(const json& object, const char* name) {
-  const std::string address = text(object, name);
+  std::string address = text(object, name);
   if (!is_address(address) || address.size() > membership::kMaxAddressLength)
     throw ConfigError("'" + std::string(name) + "' is '" + address + "', not an address and a port");
   return address;
@@ -368,76 +368,83 @@
   c.configuration = std::move(s);
 }
 
+void read_sip(const json& sip, bool has_control, DeployConfig& deploy) {
+  if (sip.contains("udp")) deploy.sip_udp = text(sip, "udp");
+  if (sip.contains("tcp")) deploy.sip_tcp = text(sip, "tcp");
+  deploy.sip_server_transport = sip.value("servers", deploy.sip_server_transport);
+  const std::string& transport = deploy.sip_server_transport;
+  if (transport != "platform" && transport != "udp" && transport != "tcp")
+    throw ConfigError("'servers' is not one of platform, udp, tcp");
+  for (const json& one : sip.value("load_control_from", json::array())) {
+    if (!one.is_string() || deploy.load_control_from.size() >= 64)
+      throw ConfigError("'load_control_from' is not a list of at most 64 addresses");
+    deploy.load_control_from.push_back(one.get<std::string>());
+  }
+  if (!deploy.load_control_from.empty() && !has_control)
+    throw ConfigError("'load_control_from' needs a 'control', whose gaps it adds to");
+  if (transport != "platform") deploy.sip_servers_from = text(sip, "servers_from");
+}
+
+core::Contract read_contract(const json& object, const std::vector<std::string>& class_names) {
+  core::Contract contract;
+  contract.team = object.value("team", std::string());
+  if (object.contains("class")) {
+    const std::string call_class = text(object, "class");
+    if (std::find(class_names.begin(), class_names.end(), call_class) == class_names.end())
+      throw ConfigError("a contract names the unknown class '" + call_class + "'");
+    contract.call_class = call_class;
+  }
+  if (object.contains("deadline_ms"))
+    contract.deadline = std::chrono::milliseconds(object["deadline_ms"].get<std::int64_t>());
+  if (object.contains("attempts")) contract.attempts = object["attempts"].get<int>();
+  if (object.contains("per_second")) contract.per_second = number(object["per_second"], "per_second");
+  contract.burst = object.value("burst", std::max(1.0, contract.per_second.value_or(1.0)));
+  return contract;
+}
+
+// Who knows who belongs to the fleet knows its size and its own place there.
+void read_places(const json& gaps, DeployConfig& deploy) {
+  const auto& roster = deploy.fleet->membership.allowed_names;
+  if (!deploy.control || roster.empty()) return;
+  if (gaps.contains("fleet_size") || gaps.contains("fleet_index"))
+    throw ConfigError("'fleet_size' and 'fleet_index' follow from the fleet's 'roster': leave them out");
+  deploy.control->places.assign(roster.begin(), roster.end());
+  deploy.control->fleet.size = static_cast<std::uint32_t>(roster.size());
+  deploy.control->fleet.index =
+      static_cast<std::uint32_t>(std::distance(roster.begin(), roster.find(deploy.fleet->membership.name)));
+}
+
+void read_otlp(const json& otlp, DeployConfig& deploy) {
+  deploy.collector = text(otlp, "collector");
+  deploy.collector_host = otlp.value("host", *deploy.collector);
+  deploy.export_interval = std::chrono::milliseconds(otlp.value("every_ms", std::int64_t{5000}));
+  if (deploy.export_interval <= Duration{}) throw ConfigError("'every_ms' is not above 0");
+}
+
 }  // namespace
 
 DeployConfig read_deploy_config(std::string_view source, const std::vector<std::string>& class_names,
                                 call_gapping::Fleet fleet, const std::string& name) {
-  const json whole_file = parse(source, "the deploy file");
+  const json file = parse(source, "the deploy file");
   try {
-    DeployConfig c;
-    if (whole_file.contains("sip")) {
-      const json& sip = whole_file["sip"];
-      if (sip.contains("udp")) c.sip_udp = text(sip, "udp");
-      if (sip.contains("tcp")) c.sip_tcp = text(sip, "tcp");
-      c.sip_server_transport = sip.value("servers", c.sip_server_transport);
-      const std::string& t = c.sip_server_transport;
-      if (t != "platform" && t != "udp" && t != "tcp")
-        throw ConfigError("'servers' is not one of platform, udp, tcp");
-      for (const json& one : sip.value("load_control_from", json::array())) {
-        if (!one.is_string() || c.load_control_from.size() >= 64)
-          throw ConfigError("'load_control_from' is not a list of at most 64 addresses");
-        c.load_control_from.push_back(one.get<std::string>());
-      }
-      if (!c.load_control_from.empty() && !whole_file.contains("control"))
-        throw ConfigError("'load_control_from' needs a 'control', whose gaps it adds to");
-      if (t != "platform") c.sip_servers_from = text(sip, "servers_from");
-    }
-    for (const json& one : whole_file.value("contracts", json::array())) {
-      core::Contract contract;
-      contract.team = one.value("team", std::string());
-      if (one.contains("class")) {
-        const std::string name = text(one, "class");
-        if (std::find(class_names.begin(), class_names.end(), name) == class_names.end())
-          throw ConfigError("a contract names the unknown class '" + name + "'");
-        contract.call_class = name;
-      }
-      if (one.contains("deadline_ms"))
-        contract.deadline = std::chrono::milliseconds(one["deadline_ms"].get<std::int64_t>());
-      if (one.contains("attempts")) contract.attempts = one["attempts"].get<int>();
-      if (one.contains("per_second")) contract.per_second = number(one["per_second"], "per_second");
-      contract.burst = one.value("burst", std::max(1.0, contract.per_second.value_or(1.0)));
-      c.contracts.push_back(std::move(contract));
-    }
-    if (whole_file.contains("gaps") && !whole_file.contains("control"))
+    DeployConfig deploy;
+    const bool has_control = file.contains("control");
+    const json gaps = file.value("gaps", json::object());
+    if (file.contains("sip")) read_sip(file["sip"], has_control, deploy);
+    for (const json& one : file.value("contracts", json::array()))
+      deploy.contracts.push_back(read_contract(one, class_names));
+    if (file.contains("gaps") && !has_control)
       throw ConfigError("'gaps' needs a 'control' with where to listen");
-    if (whole_file.contains("control"))
-      c.control = read_control(whole_file["control"], whole_file.value("gaps", json::object()), fleet);
-    if (whole_file.contains("fleet")) {
-      read_fleet(whole_file["fleet"], name, c);
-      const auto& roster = c.fleet->membership.allowed_names;
-      const json& gaps = whole_file.value("gaps", json::object());
-      // Who knows who belongs to the fleet knows its size and its own place there.
-      if (c.control && !roster.empty()) {
-        if (gaps.contains("fleet_size") || gaps.contains("fleet_index"))
-          throw ConfigError(
-              "'fleet_size' and 'fleet_index' follow from the fleet's 'roster': leave them out");
-        c.control->places.assign(roster.begin(), roster.end());
-        c.control->fleet.size = static_cast<std::uint32_t>(roster.size());
-        c.control->fleet.index =
-            static_cast<std::uint32_t>(std::distance(roster.begin(), roster.find(c.fleet->membership.name)));
-      }
-    }
-    if (whole_file.contains("configuration")) read_configuration(whole_file["configuration"], name, c);
-    if (whole_file.contains("otlp")) {
-      const json& otlp = whole_file["otlp"];
-      c.collector = text(otlp, "collector");
-      c.collector_host = otlp.value("host", *c.collector);
-      c.export_interval = std::chrono::milliseconds(otlp.value("every_ms", std::int64_t{5000}));
-      if (c.export_interval <= Duration{}) throw ConfigError("'every_ms' is not above 0");
+    if (has_control) deploy.control = read_control(file["control"], gaps, fleet);
+    if (file.contains("fleet")) {
+      read_fleet(file["fleet"], name, deploy);
+      read_places(gaps, deploy);
     }
-    return c;
-  } catch (const json::exception& trouble) {
-    throw ConfigError(std::string("the deploy file is malformed: ") + trouble.what());
+    if (file.contains("configuration")) read_configuration(file["configuration"], name, deploy);
+    if (file.contains("otlp")) read_otlp(file["otlp"], deploy);
+    return deploy;
+  } catch (const json::exception& error) {
+    throw ConfigError(std::string("the deploy file is malformed: ") + error.what());
   }
 }
 
--- a/src/distribution/distributor.cpp
+++ b/src/distribution/distributor.cpp
@@ -375,36 +375,23 @@
 void Distributor::on(Time now, const PeerVersionsNotified& event, DistributorEffects& out) {
   if (event.peer >= peers_.size() || !peers_[event.peer].subscribed) return;
   out.emplace_back(AcknowledgePeer{event.peer});
-  std::set<std::size_t> touched;
+  std::set<std::size_t> changed_buckets;
   for (const PeerVersionsNotified::Entry& entry : event.entries) {
     if (!is_service_name(entry.service) || !has_capacity_for(entry.service)) {
       log_event(is_service_name(entry.service) ? DistributorLogKind::full : DistributorLogKind::unsound,
                 entry.service, entry.id.version, "a peer's notice", out);
       continue;
     }
-    // Who votes knows what it accepted; a number that is just proposed to it is not to be turned down because
+    // Who votes knows what it accepted; a number that is just proposed to it is not to be rejected because
     // others were faster.
     const Version highest = std::max(entry.highest_seen, entry.id.version);
     if (voter_state_ != VoterState::voting && highest > highest_seen(entry.service)) {
       record_of(entry.service).highest_seen = highest;
-      touched.insert(bucket_of(entry.service));
-    }
-    const VersionId known = committed(entry.service);
-    if (entry.id.version < known.version) {
-      if (!entry.id.none())
-        log_event(DistributorLogKind::stale, entry.service, entry.id.version, "a peer's", out);
-    } else if (entry.id.version == known.version) {
-      if (entry.id != known)
-        log_event(DistributorLogKind::conflict, entry.service, known.version, "a peer's", out);
-    } else {
-      pending_fetches_[entry.service].offers[event.peer] = entry.id;
-      const ServiceRecord& record = record_of(entry.service);
-      // What was accepted here need not be fetched.
-      if (record.accepted && record.accepted->id == entry.id)
-        commit(now, ServiceConfig(*record.accepted), out);
+      changed_buckets.insert(bucket_of(entry.service));
     }
+    compare_peer_version(now, event.peer, entry, out);
   }
-  for (const std::size_t bucket : touched) out.emplace_back(SaveBucket{bucket});
+  for (const std::size_t bucket : changed_buckets) out.emplace_back(SaveBucket{bucket});
   if (event.complete) {
     peers_[event.peer].synchronized = true;
     if (event.voter_state == VoterState::voting) peers_[event.peer].synchronized_by_voter = true;
@@ -415,6 +402,25 @@
   start_peer_fetches(now, out);
 }
 
+// A newer one is to be fetched, unless it was accepted here.
+void Distributor::compare_peer_version(Time now, std::uint32_t peer, const PeerVersionsNotified::Entry& entry,
+                                       DistributorEffects& out) {
+  const VersionId known = committed(entry.service);
+  if (entry.id.version < known.version) {
+    if (!entry.id.none())
+      log_event(DistributorLogKind::stale, entry.service, entry.id.version, "a peer's", out);
+    return;
+  }
+  if (entry.id.version == known.version) {
+    if (entry.id != known)
+      log_event(DistributorLogKind::conflict, entry.service, known.version, "a peer's", out);
+    return;
+  }
+  pending_fetches_[entry.service].offers[peer] = entry.id;
+  const ServiceRecord& record = record_of(entry.service);
+  if (record.accepted && record.accepted->id == entry.id) commit(now, ServiceConfig(*record.accepted), out);
+}
+
 void Distributor::on(Time now, const PeerConfigDelivered& event, DistributorEffects& out) {
   if (event.peer >= peers_.size()) return;
   const ServiceConfig& config = event.config;
@@ -470,10 +476,9 @@
     }
     if (best) candidates.push_back(*best);
   }
-  std::stable_sort(candidates.begin(), candidates.end(),
-                   [](const Candidate& left, const Candidate& right) {
-                     return left.version > right.version;
-                   });
+  std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
+    return left.version > right.version;
+  });
   for (const Candidate& candidate : candidates) {
     if (fetches_in_flight_ >= kMaxPeerFetches) break;
     ++fetches_in_flight_;
@@ -819,6 +824,7 @@
 
 std::vector<Distributor::LostGatekeeper> Distributor::lost_gatekeepers() const {
   std::vector<LostGatekeeper> all;
+  all.reserve(lost_gatekeepers_.size());
   for (const auto& [name, since] : lost_gatekeepers_) all.push_back({name, since});
   return all;
 }
--- a/src/distribution/distributor.h
+++ b/src/distribution/distributor.h
@@ -399,6 +399,8 @@
   void close_client(Time now, ClientId id, const std::string& why, DistributorEffects& out);
   void start_peer_fetches(Time now, DistributorEffects& out, bool at_tick = false);
   void deliver_queued(Time now, DistributorEffects& out);
+  void compare_peer_version(Time now, std::uint32_t peer, const PeerVersionsNotified::Entry& entry,
+                            DistributorEffects& out);
   void compare_reported_version(Time now, const std::string& service, const VersionId& in_force,
                                 DistributorEffects& out);
   void request_missing_configs(Time now, DistributorEffects& out);
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -305,14 +305,13 @@
     }
     if (best) candidates.push_back(*best);
   }
-  std::stable_sort(candidates.begin(), candidates.end(),
-                   [](const Candidate& left, const Candidate& right) {
-                     return left.version > right.version;
-                   });
+  std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
+    return left.version > right.version;
+  });
   for (const Candidate& candidate : candidates) {
     if (out_now >= kMaxFetches) break;
     ++out_now;
-    if (!candidate.service->fetch) candidate.service->fetch.emplace();
+    if (!candidate.service->fetch) candidate.service->fetch = PendingFetch{};
     PendingFetch& fetch = *candidate.service->fetch;
     fetch.source = candidate.source;
     fetch.deadline = now + kFetchTimeout;
