--- a/include/graniterun/controller.h
+++ b/include/graniterun/controller.h
@@ -21,7 +21,7 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<CallerClock>;
-  static constexpr bool is_steady = true;
+  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): the standard's name
 };
 using Duration = CallerClock::duration;
 using Time = CallerClock::time_point;
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -761,7 +761,7 @@
   // servers whose wait is within budget, the one with fewer own unanswered set-ups. Where the destination
   // can't be had and no other is within budget, two are drawn from the rest and the throttle has its say
   // there.
-  Server* pick(Call& call) {
+  Server* pick(Call& call) {  // NOLINT(readability-function-cognitive-complexity): divided with the module
     // offers of held calls are no further demand for lines
     const bool fresh = !std::exchange(call.offered, true);
     std::vector<Server*> open;
@@ -815,11 +815,11 @@
     const double senders = std::max(1U, settings_.senders);
     if (server.processor.wait(now_, tolerated()) > kWaitBudget) return false;
     const auto last = server.processor.last_known();
-    if (last.wait > kWaitBudget && seconds(now_ - last.at) * kReturnPart * capacity(server) <
-                                       senders * (1.0 + server.processor.unanswered()))
+    const auto unanswered = static_cast<double>(server.processor.unanswered());
+    if (last.wait > kWaitBudget &&
+        seconds(now_ - last.at) * kReturnPart * capacity(server) < senders * (1.0 + unanswered))
       return false;
-    const double in_line = static_cast<double>(server.processor.unanswered()) * senders;
-    return in_line * mean_hold_s_ <= server.circuits * seconds(kDivertBudget);
+    return unanswered * senders * mean_hold_s_ <= server.circuits * seconds(kDivertBudget);
   }
 
   // Of two drawn core servers the one with fewer own unanswered set-ups. Core servers may differ tenfold in
@@ -831,7 +831,7 @@
     const auto one_of = [&] {
       double mark = random_.uniform() * lines;
       for (Server* server : from) {
-        if ((mark -= server->circuits) < 0.0) return server;
+        if ((mark -= server->circuits) < 0.0) return server;  // NOLINT(bugprone-assignment-in-if-condition)
       }
       return from.back();
     };
--- a/src/downstream/connection_reaper.h
+++ b/src/downstream/connection_reaper.h
@@ -53,6 +53,7 @@
     std::ranges::sort(idle);
     if (idle.size() > open_.size() - max_connections_) idle.resize(open_.size() - max_connections_);
     std::vector<net::ConnId> going;
+    going.reserve(idle.size());
     for (const auto& [active, conn] : idle) going.push_back(conn);
     // All are busy: the newest has to go.
     if (going.empty() && !queue_when_full_) going.push_back(std::prev(open_.end())->first);
--- a/src/downstream/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -41,6 +41,41 @@
   return text.append(m.description.value_or(""));
 }
 
+using OpenPools = std::optional<std::vector<Pool>>;
+
+std::string read_destination(double value, bool whole, const OpenPools& open_pools, core::Request& request) {
+  if (!whole) return "'dest' is not a whole number";
+  request.destination = Pool{static_cast<std::int64_t>(value)};
+  const bool closed = open_pools && std::ranges::find(*open_pools, request.destination) == open_pools->end();
+  if (value < -1 || (value >= 0 && closed)) return "'dest' is no pool of the class";
+  return {};
+}
+
+// The figures of a call, as in dest:2;width:1;via:-1. What is wrong with them; empty: nothing.
+std::string read_extras(std::string_view extras, const OpenPools& open_pools, core::Request& request) {
+  while (!extras.empty()) {
+    const std::string_view piece = extras.substr(0, extras.find(';'));
+    extras.remove_prefix(std::min(extras.size(), piece.size() + 1));
+    const std::size_t colon = piece.find(':');
+    const std::string_view word = piece.substr(0, colon);
+    const auto value = colon == std::string_view::npos ? std::optional<double>{}
+                                                       : number_in<double>(piece.substr(colon + 1));
+    if (!value) return "'extras' is not name:number pairs";
+    // Checked before it is converted: what no whole number can hold once became some other destination.
+    const bool whole = std::floor(*value) == *value && std::abs(*value) <= kMaxPool;
+    if (word == "dest") {
+      if (std::string error = read_destination(*value, whole, open_pools, request); !error.empty())
+        return error;
+    }
+    if (word == "width") {
+      if (!whole || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
+      request.circuits = *value;
+    }
+    if (word == "again") request.cut_before = *value != 0.0;
+  }
+  return {};
+}
+
 }  // namespace
 
 void Platform::start(Time now, Outbox& out) const { out.arm(net::Concern::platform, 0, now + kReapInterval); }
@@ -218,31 +253,7 @@
   r.correlation_id = m.id;
   r.redial = !m.field("retry").empty() && m.field("retry") != "0";
   r.description = m.description.value_or("");
-  std::string_view extras = m.field("extras");
-  while (!extras.empty()) {
-    const std::string_view piece = extras.substr(0, extras.find(';'));
-    extras.remove_prefix(std::min(extras.size(), piece.size() + 1));
-    const std::size_t colon = piece.find(':');
-    const std::string_view word = piece.substr(0, colon);
-    const auto value = colon == std::string_view::npos ? std::optional<double>{}
-                                                       : number_in<double>(piece.substr(colon + 1));
-    if (!value) return "'extras' is not name:number pairs";
-    // Checked before it is converted: what no whole number can hold once became some other destination.
-    const bool whole = std::floor(*value) == *value && std::abs(*value) <= kMaxPool;
-    if (word == "dest") {
-      if (!whole) return "'dest' is not a whole number";
-      r.destination = Pool{static_cast<std::int64_t>(*value)};
-      const auto& open = call_class->terms.open_pools;
-      if (*value < -1 || (*value >= 0 && open && std::ranges::find(*open, r.destination) == open->end()))
-        return "'dest' is no pool of the class";
-    }
-    if (word == "width") {
-      if (!whole || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
-      r.circuits = *value;
-    }
-    if (word == "again") r.cut_before = *value != 0.0;
-  }
-  return {};
+  return read_extras(m.field("extras"), call_class->terms.open_pools, r);
 }
 
 void Platform::on(Time now, const net::Closed& e, Outbox& out) {
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -261,7 +261,7 @@
   reject(now, key, known ? 405 : 501, out);
 }
 
-void Sip::reject(Time now, const std::string& key, int status, Outbox& out, std::string warning) {
+void Sip::reject(Time now, const std::string& key, int status, Outbox& out, const std::string& warning) {
   const sip::Message* request = transactions_.request_of(key);
   if (request == nullptr) return;
   sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), ids_.next());
--- a/src/downstream/sip.h
+++ b/src/downstream/sip.h
@@ -85,7 +85,7 @@
   void ack(Time now, const sip::Message& m, Outbox& out);
   void bye(Time now, const std::string& key, const sip::Message& m, Outbox& out);
   void cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  void reject(Time now, const std::string& key, int status, Outbox& out, std::string warning = {});
+  void reject(Time now, const std::string& key, int status, Outbox& out, const std::string& warning = {});
   void reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out);
   void make_room(Time now, Outbox& out);
   void cancel_unanswered(Time now, std::uint32_t conn, Outbox& out);
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -29,6 +29,8 @@
 struct Overloaded : Fs... {
   using Fs::operator()...;
 };
+template <class... Fs>
+Overloaded(Fs...) -> Overloaded<Fs...>;
 
 downstream::PlatformFrontSettings platform_settings(const PlatformConfig& config, const DeployConfig& deploy,
                                                     const core::ClassTable& classes) {
@@ -125,75 +127,90 @@
   };
 }
 
+Gatekeeper::Handler& Gatekeeper::handler(net::Concern concern) {
+  return handlers_[static_cast<std::size_t>(concern)];
+}
+
 void Gatekeeper::connect_parts() {
-  const auto part = [this](net::Concern concern) -> Handler& {
-    return handlers_[static_cast<std::size_t>(concern)];
+  handler(net::Concern::broker) = [](Time, const net::Event& event, Outbox& out) {
+    if (const auto* fired = std::get_if<net::TimerFired>(&event))
+      out.notify_broker(core::TimerExpired{fired->key.number});
   };
-  part(net::Concern::broker) = [](Time, const net::Event& event, Outbox& out) {
-    if (const auto* e = std::get_if<net::TimerFired>(&event))
-      out.notify_broker(core::TimerExpired{e->key.number});
+  handler(net::Concern::platform) = handler_of(platform_);
+  handler(net::Concern::server) = handler_of(servers_);
+  handler(net::Concern::sip) = handler_of(sip_);
+  if (trunk_) handler(net::Concern::trunk) = handler_of(*trunk_);
+  handler(net::Concern::control) = handler_of(control_);
+  handler(net::Concern::management) = handler_of(management_);
+  handler(net::Concern::process) = [](Time now, const net::Event&, Outbox& out) {
+    out.arm(net::Concern::process, 0, now + kShutdownCheckInterval);
   };
-  part(net::Concern::platform) = handler_of(platform_);
-  part(net::Concern::server) = handler_of(servers_);
-  part(net::Concern::sip) = handler_of(sip_);
-  if (trunk_) part(net::Concern::trunk) = handler_of(*trunk_);
-  part(net::Concern::control) = handler_of(control_);
-  part(net::Concern::management) = handler_of(management_);
-  part(net::Concern::fleet) = handler_of(fleet_);
-  if (subscription_) {
-    part(net::Concern::configuration) = handler_of(*subscription_);
-    control_.add_operation("configuration", [this](Time, const nlohmann::json& line, Outbox&) {
-      return subscription_->answer(line);
-    });
-  }
-  if (deploy_.fleet) {
-    control_.add_operation("fleet", [this](Time now, const nlohmann::json& line, Outbox& out) {
-      return fleet_.answer(now, line, out);
-    });
-    fleet_.places(
-        {[this](Time now, bool holds) { control_.set_place_owned(now, holds); },
-         [this](Time now, const std::string& name, Time asked) { control_.port_released(now, name, asked); },
-         [this](Time now) { return control_.ports_to_watch(now); }});
-    fleet_.watch([this](Time now, const membership::MemberEvent& e, Outbox& out) {
-      if (e.kind == membership::MemberEventKind::joined) control_.member_joined(e.record.name);
-      control_.notify_watchers(now,
-                               {{"event", "fleet"},
-                                {"what", membership::to_string(e.kind)},
-                                {"member", e.record.name},
-                                {"life", e.record.incarnation},
-                                {"evidence", e.evidence}},
-                               out);
-    });
-  }
-  management_.answers("readyz", [this](Time now) { return readiness(now); });
-  management_.answers("telemetry", [this](Time now) { return telemetry(now); });
-  if (deploy_.control) {
-    sip_.share_gaps({[this](Time now) { return control_.gaps().list(now); },
-                     [this] { return control_.gaps().digest(); },
-                     [this](Time now, const call_gapping::Announcement& a, Outbox& out) {
-                       control_.store_announcement(now, a, out);
-                     }});
-  }
-  part(net::Concern::discovery) = [this, step = handler_of(journal_)](Time now, const net::Event& event,
-                                                                      Outbox& out) {
+  handler(net::Concern::discovery) = [this, step = handler_of(journal_)](Time now, const net::Event& event,
+                                                                         Outbox& out) {
     step(now, event, out);
     for (const EndpointList& list : journal_.take_updates())
       handle_endpoints(now, list, list.complete ? ListKind::all : ListKind::changes, out);
   };
-  part(net::Concern::collector) = [this, step = handler_of(exporter_)](Time now, const net::Event& event,
-                                                                       Outbox& out) {
-    if (const auto* e = std::get_if<net::TimerFired>(&event)) {
-      std::vector<Gauge> gauges = control_.gauges(now);
-      for (Gauge& gauge : fleet_.gauges(now)) gauges.push_back(std::move(gauge));
-      if (subscription_) {
-        for (Gauge& gauge : subscription_->gauges()) gauges.push_back(std::move(gauge));
-      }
-      return exporter_.on(now, *e, all_counters(), gauges, out);
+  management_.answers("readyz", [this](Time now) { return readiness(now); });
+  management_.answers("telemetry", [this](Time now) { return telemetry(now); });
+  connect_configuration();
+  connect_fleet();
+  connect_gaps();
+  connect_exporter();
+}
+
+void Gatekeeper::connect_configuration() {
+  if (!subscription_) return;
+  handler(net::Concern::configuration) = handler_of(*subscription_);
+  control_.add_operation("configuration", [this](Time, const nlohmann::json& line, Outbox&) {
+    return subscription_->answer(line);
+  });
+}
+
+void Gatekeeper::connect_fleet() {
+  handler(net::Concern::fleet) = handler_of(fleet_);
+  if (!deploy_.fleet) return;
+  control_.add_operation("fleet", [this](Time now, const nlohmann::json& line, Outbox& out) {
+    return fleet_.answer(now, line, out);
+  });
+  fleet_.places({[this](Time now, bool owned) { control_.set_place_owned(now, owned); },
+                 [this](Time now, const std::string& name, Time probed_at) {
+                   control_.port_released(now, name, probed_at);
+                 },
+                 [this](Time now) { return control_.ports_to_watch(now); }});
+  fleet_.watch([this](Time now, const membership::MemberEvent& event, Outbox& out) {
+    if (event.kind == membership::MemberEventKind::joined) control_.member_joined(event.record.name);
+    control_.notify_watchers(now,
+                             {{"event", "fleet"},
+                              {"what", membership::to_string(event.kind)},
+                              {"member", event.record.name},
+                              {"life", event.record.incarnation},
+                              {"evidence", event.evidence}},
+                             out);
+  });
+}
+
+void Gatekeeper::connect_gaps() {
+  if (!deploy_.control) return;
+  sip_.share_gaps({[this](Time now) { return control_.gaps().list(now); },
+                   [this] { return control_.gaps().digest(); },
+                   [this](Time now, const call_gapping::Announcement& announcement, Outbox& out) {
+                     control_.store_announcement(now, announcement, out);
+                   }});
+}
+
+// The exporter's timer needs the figures of all parts.
+void Gatekeeper::connect_exporter() {
+  handler(net::Concern::collector) = [this, step = handler_of(exporter_)](Time now, const net::Event& event,
+                                                                          Outbox& out) {
+    const auto* fired = std::get_if<net::TimerFired>(&event);
+    if (fired == nullptr) return step(now, event, out);
+    std::vector<Gauge> gauges = control_.gauges(now);
+    for (Gauge& gauge : fleet_.gauges(now)) gauges.push_back(std::move(gauge));
+    if (subscription_) {
+      for (Gauge& gauge : subscription_->gauges()) gauges.push_back(std::move(gauge));
     }
-    step(now, event, out);
-  };
-  part(net::Concern::process) = [](Time now, const net::Event&, Outbox& out) {
-    out.arm(net::Concern::process, 0, now + kShutdownCheckInterval);
+    exporter_.on(now, *fired, all_counters(), gauges, out);
   };
 }
 
--- a/src/gatekeeper/gatekeeper.h
+++ b/src/gatekeeper/gatekeeper.h
@@ -41,7 +41,12 @@
   using Handler = std::function<void(Time now, const net::Event& event, Outbox& out)>;
   template <class Part>
   static Handler handler_of(Part& part);
+  Handler& handler(net::Concern concern);
   void connect_parts();
+  void connect_configuration();
+  void connect_fleet();
+  void connect_gaps();
+  void connect_exporter();
   bool ready(Time now) const;
   void listen(Outbox& out);
   std::string readiness(Time now) const;
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -7,13 +7,13 @@
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <poll.h>
-#include <signal.h>
 #include <sys/epoll.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <deque>
 #include <map>
 #include <queue>
@@ -108,9 +108,9 @@
   using std::chrono::duration_cast;
   using std::chrono::steady_clock;
   using std::chrono::system_clock;
-  static const Duration offset = duration_cast<Duration>(system_clock::now().time_since_epoch()) -
-                                 duration_cast<Duration>(steady_clock::now().time_since_epoch());
-  return Time(duration_cast<Duration>(steady_clock::now().time_since_epoch()) + offset);
+  static const Duration kOffset = duration_cast<Duration>(system_clock::now().time_since_epoch()) -
+                                  duration_cast<Duration>(steady_clock::now().time_since_epoch());
+  return Time(duration_cast<Duration>(steady_clock::now().time_since_epoch()) + kOffset);
 }
 
 namespace {
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -123,45 +123,54 @@
 }
 
 std::vector<TimerExpiry> Transactions::fired(Time now, std::uint64_t number, Outbox& out) {
-  std::vector<TimerExpiry> lapses;
   const auto it = timers_.find(number);
-  if (it == timers_.end()) return lapses;
+  if (it == timers_.end()) return {};
   const Timer timer = it->second;
   timers_.erase(it);
-  const auto current = [&](const Base& base) {
-    const auto armed = base.timers.find(timer.kind);
-    return armed != base.timers.end() && armed->second == number;
-  };
-  if (timer.server) {
-    const auto tx = servers_.find(timer.key);
-    if (tx == servers_.end() || !current(tx->second)) return lapses;
-    Server& server = tx->second;
-    if (timer.kind == Kind::retransmit) {  // timer G, or a 2xx that was not acknowledged
-      if (server.state == State::completed || server.state == State::accepted)
-        retransmit(now, true, timer.key, server, out);
-    } else {
-      if (timer.kind == Kind::timeout) lapses.push_back({TimerExpiry::What::no_ack, timer.key});  // timer H
-      servers_.erase(tx);  // timers H, I, J, L
-    }
-    return lapses;
+  std::optional<TimerExpiry> expiry = timer.server ? server_timer_fired(now, number, timer, out)
+                                                   : client_timer_fired(now, number, timer, out);
+  if (!expiry) return {};
+  return {std::move(*expiry)};
+}
+
+// Whether the timer of that kind is still the one that was armed last.
+bool Transactions::is_armed(const Base& base, Kind kind, std::uint64_t number) {
+  const auto armed = base.timers.find(kind);
+  return armed != base.timers.end() && armed->second == number;
+}
+
+std::optional<TimerExpiry> Transactions::server_timer_fired(Time now, std::uint64_t number,
+                                                            const Timer& timer, Outbox& out) {
+  const auto found = servers_.find(timer.key);
+  if (found == servers_.end() || !is_armed(found->second, timer.kind, number)) return std::nullopt;
+  Server& server = found->second;
+  if (timer.kind == Kind::retransmit) {  // timer G, or a 2xx that was not acknowledged
+    if (server.state == State::completed || server.state == State::accepted)
+      retransmit(now, true, timer.key, server, out);
+    return std::nullopt;
   }
-  const auto tx = clients_.find(timer.key);
-  if (tx == clients_.end() || !current(tx->second)) return lapses;
-  Client& client = tx->second;
+  servers_.erase(found);  // timers H, I, J, L
+  if (timer.kind != Kind::timeout) return std::nullopt;
+  return TimerExpiry{TimerExpiry::What::no_ack, timer.key};  // timer H
+}
+
+std::optional<TimerExpiry> Transactions::client_timer_fired(Time now, std::uint64_t number,
+                                                            const Timer& timer, Outbox& out) {
+  const auto found = clients_.find(timer.key);
+  if (found == clients_.end() || !is_armed(found->second, timer.kind, number)) return std::nullopt;
+  Client& client = found->second;
+  const bool waiting = client.state == State::trying || (!client.invite && client.state == State::proceeding);
   if (timer.kind == Kind::retransmit) {  // timers A and E
-    const bool waiting =
-        client.state == State::trying || (!client.invite && client.state == State::proceeding);
     if (waiting) retransmit(now, false, timer.key, client, out);
-  } else if (timer.kind == Kind::timeout) {  // timers B and F
-    const bool waiting =
-        client.state == State::trying || (!client.invite && client.state == State::proceeding);
-    if (!waiting) return lapses;
-    lapses.push_back({TimerExpiry::What::no_answer, timer.key});
-    clients_.erase(tx);
-  } else {  // timers D, K and M
-    clients_.erase(tx);
+    return std::nullopt;
+  }
+  if (timer.kind == Kind::timeout) {  // timers B and F
+    if (!waiting) return std::nullopt;
+    clients_.erase(found);
+    return TimerExpiry{TimerExpiry::What::no_answer, timer.key};
   }
-  return lapses;
+  clients_.erase(found);  // timers D, K and M
+  return std::nullopt;
 }
 
 // ---- server side
@@ -256,7 +265,7 @@
 }
 
 std::string Transactions::cancelled_by(const Message& cancel) const {
-  const std::string key = server_key(cancel, "INVITE");
+  std::string key = server_key(cancel, "INVITE");
   return servers_.contains(key) ? key : std::string();
 }
 
@@ -264,7 +273,7 @@
 
 std::string Transactions::send_request(Time now, const Flow& flow, const Message& request, Outbox& out,
                                        std::uint64_t ticket) {
-  const std::string key = client_key(request);
+  std::string key = client_key(request);
   Client client;
   client.flow = flow;
   client.invite = request.method == "INVITE";
@@ -280,7 +289,7 @@
 }
 
 std::string Transactions::receive_response(Time now, const Message& answer, Outbox& out) {
-  const std::string key = client_key(answer);
+  std::string key = client_key(answer);
   const auto it = clients_.find(key);
   if (it == clients_.end()) {
     counters_.add("sip.answers_unknown");
--- a/src/sip/transactions.h
+++ b/src/sip/transactions.h
@@ -87,6 +87,11 @@
 
   void arm(Time now, bool server, const std::string& key, Base& base, Kind kind, Duration after, Outbox& out);
   void retransmit(Time now, bool server, const std::string& key, Base& base, Outbox& out);
+  static bool is_armed(const Base& base, Kind kind, std::uint64_t number);
+  std::optional<TimerExpiry> server_timer_fired(Time now, std::uint64_t number, const Timer& timer,
+                                                Outbox& out);
+  std::optional<TimerExpiry> client_timer_fired(Time now, std::uint64_t number, const Timer& timer,
+                                                Outbox& out);
   void ack_failure(Client& client, const Message& answer, Outbox& out);
 
   net::Concern concern_;
--- a/src/upstream/discovery.cpp
+++ b/src/upstream/discovery.cpp
@@ -16,14 +16,16 @@
 // What has begun is whole within so long: comments may go on inside an event that never ends.
 constexpr Duration kMessageTimeout = 2s;
 constexpr Duration kReapInterval = 250ms;
-enum Timer : std::uint64_t { kReconnectDelay, kWatch };
+// Timers of this concern.
+constexpr std::uint64_t kReconnectTimer = 0;
+constexpr std::uint64_t kWatchTimer = 1;
 
 }  // namespace
 
 void DiscoveryClient::start(Time now, Outbox& out) {
   if (address_.empty()) return;
   connect(out);
-  if (!std::exchange(timer_armed_, true)) out.arm(net::Concern::discovery, kWatch, now + kReapInterval);
+  if (!std::exchange(timer_armed_, true)) out.arm(net::Concern::discovery, kWatchTimer, now + kReapInterval);
 }
 
 void DiscoveryClient::change_address(Time now, const std::string& address, Outbox& out) {
@@ -50,7 +52,7 @@
   counters_.add("journal.reconnects");
   open_ = false;
   waiting_ = true;
-  out.arm(net::Concern::discovery, kReconnectDelay, now + kPause);
+  out.arm(net::Concern::discovery, kReconnectTimer, now + kPause);
 }
 
 void DiscoveryClient::drop_connection(Time now, Outbox& out) {
@@ -76,7 +78,7 @@
 }
 
 void DiscoveryClient::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.number == kReconnectDelay) {
+  if (e.key.number == kReconnectTimer) {
     if (waiting_) connect(out);
     return;
   }
@@ -85,7 +87,7 @@
   } else if (open_ && partial_since_ && now - *partial_since_ > kMessageTimeout) {
     reopen_watch("does not end what it began", out);
   }
-  out.arm(net::Concern::discovery, kWatch, now + kReapInterval);
+  out.arm(net::Concern::discovery, kWatchTimer, now + kReapInterval);
 }
 
 void DiscoveryClient::reopen_watch(std::string_view why, Outbox& out) {
--- a/src/upstream/setup_servers.cpp
+++ b/src/upstream/setup_servers.cpp
@@ -97,23 +97,30 @@
   return cause;
 }
 
+// Bytes that follow the first one of a character, by RFC 3629; none: it can't begin one.
+std::optional<std::size_t> utf8_continuation_bytes(unsigned char lead) {
+  if (lead < 0x80) return 0;
+  if (lead < 0xc2 || lead > 0xf4) return std::nullopt;  // a later byte, an overlong form, beyond U+10FFFF
+  return lead < 0xe0 ? 1 : lead < 0xf0 ? 2 : 3;
+}
+
+// Whether the second byte makes an overlong form, a surrogate, or a character beyond U+10FFFF.
+bool is_forbidden_utf8_pair(unsigned char lead, unsigned char second) {
+  return (lead == 0xe0 && second < 0xa0) || (lead == 0xed && second > 0x9f) ||
+         (lead == 0xf0 && second < 0x90) || (lead == 0xf4 && second > 0x8f);
+}
+
 bool is_utf8(std::string_view text) {
+  const auto byte_at = [text](std::size_t at) { return static_cast<unsigned char>(text[at]); };
   for (std::size_t at = 0; at < text.size();) {
-    const auto lead = static_cast<unsigned char>(text[at]);
-    const std::size_t more = lead < 0x80       ? 0
-                             : lead >> 5 == 6  ? 1
-                             : lead >> 4 == 14 ? 2
-                             : lead >> 3 == 30 ? 3
-                                               : 4;
-    if (more == 4 || lead == 0xc0 || lead == 0xc1 || lead > 0xf4 || at + more >= text.size()) return false;
-    for (std::size_t i = 1; i <= more; ++i) {
-      const auto next = static_cast<unsigned char>(text[at + i]);
-      if (next >> 6 != 2) return false;
-      const bool first_wrong = (lead == 0xe0 && next < 0xa0) || (lead == 0xed && next > 0x9f) ||
-                               (lead == 0xf0 && next < 0x90) || (lead == 0xf4 && next > 0x8f);
-      if (i == 1 && first_wrong) return false;
+    const unsigned char lead = byte_at(at);
+    const auto more = utf8_continuation_bytes(lead);
+    if (!more || at + *more >= text.size()) return false;
+    for (std::size_t i = 1; i <= *more; ++i) {
+      if (byte_at(at + i) >> 6 != 2) return false;
     }
-    at += more + 1;
+    if (*more > 0 && is_forbidden_utf8_pair(lead, byte_at(at + 1))) return false;
+    at += *more + 1;
   }
   return true;
 }
@@ -164,30 +171,12 @@
     for (auto& [id, server] : servers_) server.endpoint.state = ServerState::terminated;
   }
   // those that have or had it in this list
-  std::unordered_map<std::string, std::vector<ServerId>> by_address;
+  ServersByAddress by_address;
   for (const auto& [id, server] : servers_) by_address[server.endpoint.address].push_back(id);
-  for (const Endpoint& host : list.endpoints) {
-    const ServerId id = directory_.id_of(host.uid);
-    const auto [place, fresh] = servers_.try_emplace(id);
-    Server& server = place->second;
-    server.id = id;
-    const bool moved = !fresh && server.endpoint.address != host.address && !host.address.empty();
-    const bool restarted = !fresh && host.started && server.endpoint.started != host.started;
-    const std::string address = host.address.empty() ? server.endpoint.address : host.address;
-    server.endpoint = host;
-    server.endpoint.address = address;
-    if (restarted) end_established_calls(server, host.started, out);
-    if (moved) set_current_aside(server);
-    if (fresh || moved) by_address[address].push_back(id);
-    if (host.state == ServerState::in_service) {
-      // A new server may have the address of one that is gone: that one's connections must not be taken for
-      // it.
-      for (const ServerId same : by_address[address]) {
-        Server& other = servers_.at(same);
-        if (same != id && other.endpoint.address == address) set_current_aside(other);
-      }
-    }
-    told.entries.push_back(directory_.entry_of(id, host));
+  for (const Endpoint& endpoint : list.endpoints) {
+    const ServerId id = directory_.id_of(endpoint.uid);
+    update_endpoint(id, endpoint, by_address, out);
+    told.entries.push_back(directory_.entry_of(id, endpoint));
   }
   out.notify_broker(core::ServersChanged{std::move(told)});
   for (auto& [id, server] : servers_) {
@@ -202,6 +191,27 @@
   }
 }
 
+void SetupServers::update_endpoint(ServerId id, const Endpoint& endpoint, ServersByAddress& by_address,
+                                   Outbox& out) {
+  const auto [place, fresh] = servers_.try_emplace(id);
+  Server& server = place->second;
+  server.id = id;
+  const bool moved = !fresh && server.endpoint.address != endpoint.address && !endpoint.address.empty();
+  const bool restarted = !fresh && endpoint.started && server.endpoint.started != endpoint.started;
+  const std::string address = endpoint.address.empty() ? server.endpoint.address : endpoint.address;
+  server.endpoint = endpoint;
+  server.endpoint.address = address;
+  if (restarted) end_established_calls(server, endpoint.started, out);
+  if (moved) set_current_aside(server);
+  if (fresh || moved) by_address[address].push_back(id);
+  if (endpoint.state != ServerState::in_service) return;
+  // A new server may have the address of one that is gone: that one's connections must not be taken for it.
+  for (const ServerId same : by_address[address]) {
+    Server& other = servers_.at(same);
+    if (same != id && other.endpoint.address == address) set_current_aside(other);
+  }
+}
+
 // Nothing new goes by its connection in use, which is kept for what comes on it.
 void SetupServers::set_current_aside(Server& server) {
   if (server.current) connections_aside_.insert(*server.current);
@@ -401,19 +411,20 @@
     // the 1 s in which callers are to hear of them.
     if (server.current) server.next_connect = now + (owing ? kSuspectAgainDelay : kSuspicious);
   }
-  if (has_calls && server.unreachable_since) {
-    const Duration unreachable = now - *server.unreachable_since;
-    const bool vanished = now - server.last_received_at > kVanished && unreachable > 2 * kSuspicious;
-    const bool died = server.lost_at && server.last_connect_refused && now - *server.lost_at > kDied;
-    if (vanished || died) {
-      counters_.add(died ? "servers.died" : "servers.vanished");
-      out.log(net::Level::warning, "setup server " + server.endpoint.uid + (died ? " died" : " vanished") +
-                                       ": its standing calls are over");
-      end_established_calls(server, {}, out);
-      server.last_received_at = now;
-      server.lost_at.reset();
-    }
-  }
+  if (has_calls && server.unreachable_since) end_calls_of_lost_server(now, server, out);
+}
+
+void SetupServers::end_calls_of_lost_server(Time now, Server& server, Outbox& out) {
+  const Duration unreachable = now - *server.unreachable_since;
+  const bool vanished = now - server.last_received_at > kVanished && unreachable > 2 * kSuspicious;
+  const bool died = server.lost_at && server.last_connect_refused && now - *server.lost_at > kDied;
+  if (!vanished && !died) return;
+  counters_.add(died ? "servers.died" : "servers.vanished");
+  out.log(net::Level::warning, "setup server " + server.endpoint.uid + (died ? " died" : " vanished") +
+                                   ": its standing calls are over");
+  end_established_calls(server, {}, out);
+  server.last_received_at = now;
+  server.lost_at.reset();
 }
 
 // A set-up on the server's current connection has been unanswered for longer than it takes there, and nothing
@@ -894,7 +905,7 @@
 void SetupServers::finish_attempt(const UpstreamAttempt& leg, core::AttemptFinished ended, Outbox& out) {
   ended.call = leg.request->call;
   ended.attempt = leg.attempt;
-  out.notify_broker(std::move(ended));
+  out.notify_broker(ended);
 }
 
 SetupServers::Server* SetupServers::find(ServerId id) {
--- a/src/upstream/setup_servers.h
+++ b/src/upstream/setup_servers.h
@@ -103,6 +103,9 @@
   Server* find(ServerId id);
   void connect(Time now, Server& server, Outbox& out, bool for_news = false);
   void send_invite(Time now, Server& server, UpstreamAttempt& leg, Outbox& out);
+  using ServersByAddress = std::unordered_map<std::string, std::vector<ServerId>>;
+  void update_endpoint(ServerId id, const Endpoint& endpoint, ServersByAddress& by_address, Outbox& out);
+  void end_calls_of_lost_server(Time now, Server& server, Outbox& out);
   void maintain_server(Time now, Server& server, Outbox& out);
   void maintain_servers(Time now, Outbox& out);
   void set_current_aside(Server& server);
--- a/src/upstream/sip_trunk.cpp
+++ b/src/upstream/sip_trunk.cpp
@@ -406,8 +406,7 @@
     counters_.add("trunk.malformed");
     return;
   }
-  sip::Flow back = flow;
-  if (transactions_.receive_request(now, back, m, key, out) != sip::Transactions::RequestKind::initial)
+  if (transactions_.receive_request(now, flow, m, key, out) != sip::Transactions::RequestKind::initial)
     return;
   const auto answer = [&](int status) {
     transactions_.respond(now, key, sip::answer_to(m, status, sip::phrase_of(status), ids_.next()), out);
@@ -448,7 +447,7 @@
   enter_state(now, leg, leg.state == State::abandoned ? State::abandoned : State::finished);
   ended.call = leg.request->call;
   ended.attempt = leg.attempt;
-  out.notify_broker(std::move(ended));
+  out.notify_broker(ended);
 }
 
 void SipTrunk::end_established_calls(Time now, ServerId server, std::optional<Time> stood_before,
