--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -462,6 +462,7 @@
 
 std::vector<std::pair<std::string, Subscriber::ServiceState>> Subscriber::service_states() const {
   std::vector<std::pair<std::string, ServiceState>> all;
+  all.reserve(services_.size());
   for (const Service& service : services_)
     all.emplace_back(service.name, ServiceState{service.active ? service.active->id : VersionId{},
                                                 service.rejected, service.reason});
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -290,9 +290,9 @@
 
   if (flow.reliable && closed_by_peer_.contains(flow.conn)) return reject(now, key, 487, out);
   core::Request request;
-  if (std::string trouble = read_request(now, m, request); !trouble.empty()) {
+  if (const std::string trouble = read_request(now, m, request); !trouble.empty()) {
     counters_.add("sip.malformed");
-    return reject(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, std::move(trouble));
+    return reject(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, trouble);
   }
   if (calls_.size() >= kMaxCalls) {
     sip::Message busy = sip::answer_to(m, 503, sip::phrase_of(503), ids_.next());
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -357,9 +357,8 @@
       std::forward_as_tuple(parse_settings(message), message.number<std::uint64_t>("nonce64")));
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): a branch a kind of message, divided with the
-// module
-void Host::event(const Message& message) {
+// A branch a kind of message; divided with the module.
+void Host::event(const Message& message) {  // NOLINT(readability-function-cognitive-complexity)
   const std::string_view name = message.name();
   if (name == "QUERY") {
     NewCall event;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -687,8 +687,7 @@
       worked = line.empty() ? 0.0 : worked + capacity(now) * std::chrono::duration<double>(kStep).count();
       for (; worked >= 1.0 && !line.empty(); worked -= 1.0, line.pop_front()) {
         const Duration then = now + 1ms;
-        scripts[line.front().sender].stands(then, line.front().call, 0,
-                                                 then - line.front().since);
+        scripts[line.front().sender].stands(then, line.front().call, 0, then - line.front().since);
       }
     }
     return sent;
