--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -86,7 +86,7 @@
   for (int i = 0; i < 200; ++i) all.push_back(desk.open_management());
   CHECK(desk.closed.size() >= 200 - management::kMaxConnections);
   CHECK(desk.closed.front() == all.front());  // the oldest goes first
-  CHECK(desk.ask("readyz\n").size() > 3);               // and who asks is answered all the same
+  CHECK(desk.ask("readyz\n").size() > 3);     // and who asks is answered all the same
 }
 
 // The figures are those of the requests' own ends, whichever they are.
