--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -807,8 +807,8 @@
   // fallback servers whose wait is within budget and returns the one with fewer outstanding setups of this
   // sender. Where the destination is not available and no fallback server is within budget, samples two of
   // the others and applies their throttle. Outliers come last. Null: no server.
-  Server* pick_server(
-      Call& call) {  // NOLINT(readability-function-cognitive-complexity): divided with the module
+  // To be divided with the module. NOLINTNEXTLINE(readability-function-cognitive-complexity)
+  Server* pick_server(Call& call) {
     // Repeated offers of a queued call do not count as further demand for circuits.
     const bool first_offer = !std::exchange(call.offered, true);
     std::vector<Server*> within_budget;
@@ -879,8 +879,8 @@
     const auto sample_one = [&] {
       double position = random_.uniform() * circuits;
       for (Server* server : from) {
-        if ((position -= server->circuits) < 0.0)
-          return server;  // NOLINT(bugprone-assignment-in-if-condition)
+        // NOLINTNEXTLINE(bugprone-assignment-in-if-condition)
+        if ((position -= server->circuits) < 0.0) return server;
       }
       return from.back();
     };
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// A controller driven by scripted events, and settings of no particular operator.
+// Test fixture: a controller driven by scripted events, and builders of arbitrary valid settings and entries.
 #pragma once
 
 #include <algorithm>
@@ -13,87 +13,90 @@
 
 using namespace std::chrono_literals;
 
-constexpr Time at(Duration d) { return Time(100s + d); }
-
-inline Settings settings_with(std::size_t classes = 1) {
-  Settings s;
-  s.layout = Layout::groups;
-  s.senders = 5;
-  s.max_attempts = 5;
-  s.may_cancel = true;
-  s.callers_honor_retry_after = true;
-  s.max_retry_after = 2s;
-  s.retransmit_delay = 500ms;
-  s.scheduling_interval = 5ms;
-  s.release_guard = 250ms;
-  s.drain_grace = 800ms;
-  s.answer_slack = 20ms;
-  s.poll_interval = 10s;
-  s.slow_start_fraction = 0.4;
-  s.slow_start_duration = 12s;
-  s.overload_multiple = 2;
-  s.overload_window = 2s;
+constexpr Time time_at(Duration d) { return Time(100s + d); }
+
+inline Settings make_settings(std::size_t classes = 1) {
+  Settings settings;
+  settings.layout = Layout::groups;
+  settings.senders = 5;
+  settings.max_attempts = 5;
+  settings.may_cancel = true;
+  settings.callers_honor_retry_after = true;
+  settings.max_retry_after = 2s;
+  settings.retransmit_delay = 500ms;
+  settings.scheduling_interval = 5ms;
+  settings.release_guard = 250ms;
+  settings.drain_grace = 800ms;
+  settings.answer_slack = 20ms;
+  settings.poll_interval = 10s;
+  settings.slow_start_fraction = 0.4;
+  settings.slow_start_duration = 12s;
+  settings.overload_multiple = 2;
+  settings.overload_window = 2s;
   for (std::size_t i = 0; i < classes; ++i) {
-    CallClass c;
-    c.latency_objective = 1300ms;
-    c.caller_timeout = 9s;
-    c.priority_weight = 1.0 + 4.0 * static_cast<double>(i);
-    c.late_weight_fraction = 0.2;
-    c.mean_holding_time = 8s;
-    s.classes.push_back(c);
+    CallClass call_class;
+    call_class.latency_objective = 1300ms;
+    call_class.caller_timeout = 9s;
+    call_class.priority_weight = 1.0 + 4.0 * static_cast<double>(i);
+    call_class.late_weight_fraction = 0.2;
+    call_class.mean_holding_time = 8s;
+    settings.classes.push_back(call_class);
   }
-  return s;
+  return settings;
 }
 
-inline ServerEntry entry(unsigned server, ServerState state = ServerState::in_service,
-                         std::optional<Time> online_since = std::nullopt) {
+inline ServerEntry make_entry(unsigned server, ServerState state = ServerState::in_service,
+                              std::optional<Time> online_since = std::nullopt) {
   return {ServerId{server}, Zone{0}, Pool{static_cast<std::int64_t>(server)}, state, 1.0, online_since};
 }
 
-class Script {
+class ControllerScript {
  public:
-  explicit Script(Settings settings, std::uint64_t seed = 1) : controller_(std::move(settings), seed) {}
+  explicit ControllerScript(Settings settings, std::uint64_t seed = 1)
+      : controller_(std::move(settings), seed) {}
 
-  // The actions that answer the event.
-  std::vector<Action> tell(Duration when, const Event& event) {
+  // Handles the event `when` after the start and returns the resulting actions.
+  std::vector<Action> handle(Duration when, const Event& event) {
     std::vector<Action> actions;
-    controller_.handle(at(when), event, actions);
+    controller_.handle(time_at(when), event, actions);
     return actions;
   }
 
-  void list(Duration when, std::vector<ServerEntry> entries, ListKind kind = ListKind::all) {
-    tell(when, ServerList{kind, std::move(entries)});
+  void receive_list(Duration when, std::vector<ServerEntry> entries, ListKind kind = ListKind::all) {
+    handle(when, ServerList{kind, std::move(entries)});
   }
 
-  // A new call; its deadline is three seconds away.
-  std::vector<Action> call(Duration when, unsigned id, std::int64_t destination = 0,
-                           ClassIndex call_class = 0, std::uint64_t number = 7) {
-    NewCall e;
-    e.call = CallId{id};
-    e.call_class = call_class;
-    e.number = Number{number};
-    e.destination = Pool{destination};
-    e.deadline = at(when + 3s);
-    return tell(when, e);
+  // Requests a call with a deadline in three seconds.
+  std::vector<Action> request_call(Duration when, unsigned id, std::int64_t destination = 0,
+                                   ClassIndex call_class = 0, std::uint64_t number = 7) {
+    NewCall event;
+    event.call = CallId{id};
+    event.call_class = call_class;
+    event.number = Number{number};
+    event.destination = Pool{destination};
+    event.deadline = time_at(when + 3s);
+    return handle(when, event);
   }
 
-  std::size_t avoided(Duration when) const { return controller_.ejected(at(when)); }
+  std::size_t ejected(Duration when) const { return controller_.ejected(time_at(when)); }
 
-  std::vector<Action> stands(Duration when, unsigned id, unsigned server, Duration delay, int attempt = 0) {
-    return tell(when, CallEstablished{CallId{id}, attempt, ServerId{server}, delay});
+  std::vector<Action> establish(Duration when, unsigned id, unsigned server, Duration delay,
+                                int attempt = 0) {
+    return handle(when, CallEstablished{CallId{id}, attempt, ServerId{server}, delay});
   }
 
-  std::vector<Action> ends(Duration when, unsigned id, unsigned server, Outcome outcome, int attempt = 0,
-                           bool over = false, FullReason reason = FullReason::none) {
-    AttemptEnded e;
-    e.call = CallId{id};
-    e.attempt = attempt;
-    e.server = ServerId{server};
-    e.outcome = outcome;
-    e.delay = 30ms;
-    e.call_finished = over;
-    e.reason = reason;
-    return tell(when, e);
+  std::vector<Action> end_attempt(Duration when, unsigned id, unsigned server, Outcome outcome,
+                                  int attempt = 0, bool finished = false,
+                                  FullReason reason = FullReason::none) {
+    AttemptEnded event;
+    event.call = CallId{id};
+    event.attempt = attempt;
+    event.server = ServerId{server};
+    event.outcome = outcome;
+    event.delay = 30ms;
+    event.call_finished = finished;
+    event.reason = reason;
+    return handle(when, event);
   }
 
  private:
@@ -101,7 +104,7 @@
 };
 
 template <class Kind>
-std::optional<Kind> first(const std::vector<Action>& actions) {
+std::optional<Kind> find_action(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const Kind* found = std::get_if<Kind>(&action)) return *found;
   }
@@ -109,8 +112,8 @@
 }
 
 template <class Kind>
-bool has(const std::vector<Action>& actions) {
-  return first<Kind>(actions).has_value();
+bool has_action(const std::vector<Action>& actions) {
+  return find_action<Kind>(actions).has_value();
 }
 
 }  // namespace graniterun::test
--- a/tests/installed_package.sh
+++ b/tests/installed_package.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the library, then builds and runs README's example against the installed package.
+# Installs the library, then builds the example from the README against the installed package and runs it.
 set -euo pipefail
 cmake=$1 source=$2 work=$3
 shift 3
@@ -8,7 +8,7 @@
 "$cmake" -S "$source" -B "$work/build" -DCMAKE_INSTALL_PREFIX="$work/prefix" -DCMAKE_CXX_FLAGS="$*" \
   -DGRANITERUN_BUILD_GATEKEEPER=OFF
 "$cmake" --build "$work/build" --target install
-# The example is the text between the two fences that README marks as cpp and cmake.
+# The example's files are the README's code blocks marked cpp and cmake.
 awk '/^```cpp$/ { on = 1; next } /^```$/ { on = 0 } on' "$source/README.md" > "$work/example/main.cpp"
 awk '/^```cmake$/ { on = 1; next } /^```$/ { on = 0 } on' "$source/README.md" > "$work/example/CMakeLists.txt"
 "$cmake" -S "$work/example" -B "$work/example/build" -DCMAKE_PREFIX_PATH="$work/prefix" -DCMAKE_CXX_FLAGS="$*"
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,4 +1,5 @@
-// The five rules under random legal event sequences with fixed seeds.
+// Property tests of the controller: random valid event sequences with fixed seeds, every action checked
+// against the deployment's rules.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -14,15 +15,16 @@
 
 constexpr Duration kStep = 5ms;
 
-// Plays random outcomes, lists, reports and restarts to one controller and holds every action against the
-// rules.
-class RandomDay {
+// Generates random calls, outcomes, lists, reports and restarts for one controller, and checks every action
+// against the rules: one final answer by the deadline, one attempt at a time, the release guard, no setups to
+// draining servers, and the slow-start budget.
+class RandomScenario {
  public:
-  RandomDay(Settings settings, std::uint64_t seed)
-      : settings_(settings), draw_(seed), controller_(settings, seed) {}
+  RandomScenario(Settings settings, std::uint64_t seed)
+      : settings_(settings), random_(seed), controller_(settings, seed) {}
 
-  void play(Duration length) {
-    for (unsigned s = 0; s < 3; ++s) listed_[s] = entry(s);
+  void run(Duration length) {
+    for (unsigned server = 0; server < 3; ++server) listed_[server] = make_entry(server);
     send_list(ListKind::cached);
     for (; now_ < length; now_ += kStep) step(true);
     for (; now_ < length + 5s; now_ += kStep) step(false);
@@ -34,242 +36,249 @@
   int sent() const { return sent_; }
 
  private:
-  struct Out {
-    int attempt;
+  struct OutstandingAttempt {
+    int index;
     unsigned server;
-    Time since;
-    Time give_up;
-    bool stands = false;
+    Time sent_at;
+    Time deadline;
+    bool established = false;
   };
-  struct Known {
+  struct CallState {
     Time deadline;
     int attempts = 0;
-    bool over = false;
+    bool finished = false;
     bool may_have_run = false;
-    std::optional<Out> out;
-    std::optional<Time> not_before;
+    std::optional<OutstandingAttempt> attempt;
+    std::optional<Time> release_guard_until;
   };
 
-  bool chance(double p) { return static_cast<double>(draw_() >> 11) * 0x1.0p-53 < p; }
+  bool chance(double p) { return static_cast<double>(random_() >> 11) * 0x1.0p-53 < p; }
 
   void step(bool arrivals) {
-    for (auto due = timers_.begin(); due != timers_.end() && due->first <= at(now_);) {
+    for (auto due = timers_.begin(); due != timers_.end() && due->first <= time_at(now_);) {
       const TimerId timer = due->second;
       due = timers_.erase(due);
-      tell(TimerDue{timer});
+      deliver(TimerDue{timer});
     }
-    if (arrivals && chance(0.15)) arrive();
+    if (arrivals && chance(0.15)) request_call();
     if (arrivals && chance(0.004)) change_list();
-    if (chance(0.01)) report();
+    if (chance(0.01)) send_report();
     std::vector<std::uint64_t> ids;
     for (const auto& [id, call] : calls_) ids.push_back(id);
     for (const std::uint64_t id : ids) advance(id);
   }
 
-  void arrive() {
-    NewCall e;
-    e.call = CallId{++last_call_};
-    e.call_class = draw_() % settings_.classes.size();
-    e.number = Number{draw_() % 5};
-    e.destination = Pool{static_cast<std::int64_t>(draw_() % 4)};
-    e.deadline = at(now_ + std::chrono::milliseconds(100 + draw_() % 3000));
-    calls_[last_call_].deadline = e.deadline;
-    tell(e);
+  void request_call() {
+    NewCall event;
+    event.call = CallId{++last_call_};
+    event.call_class = random_() % settings_.classes.size();
+    event.number = Number{random_() % 5};
+    event.destination = Pool{static_cast<std::int64_t>(random_() % 4)};
+    event.deadline = time_at(now_ + std::chrono::milliseconds(100 + random_() % 3000));
+    calls_[last_call_].deadline = event.deadline;
+    deliver(event);
   }
 
   void advance(std::uint64_t id) {
-    Known& call = calls_.at(id);
-    if (!call.over && !(call.out && call.out->stands)) {
-      ASSERT_LE(at(now_), call.deadline + settings_.answer_slack + kStep) << "call " << id << " is overdue";
+    CallState& call = calls_.at(id);
+    if (!call.finished && !(call.attempt && call.attempt->established)) {
+      ASSERT_LE(time_at(now_), call.deadline + settings_.answer_slack + kStep)
+          << "call " << id << " is overdue";
       if (chance(0.0005)) {
-        call.over = true;
-        tell(CallerDisconnected{CallId{id}});
+        call.finished = true;
+        deliver(CallerDisconnected{CallId{id}});
       }
     }
-    if (!call.out) {
-      if (call.over) calls_.erase(id);
+    if (!call.attempt) {
+      if (call.finished) calls_.erase(id);
       return;
     }
-    Out& out = *call.out;
-    const bool late = at(now_) >= std::min(out.give_up, call.deadline);
-    if (out.stands) {
-      if (chance(0.01)) end(id, chance(0.3) ? Outcome::reset : Outcome::ok, true);
-    } else if (late) {
-      end(id, Outcome::timed_out, call.over);
-    } else if (!call.over && chance(trouble_ ? 0.002 : 0.05)) {
-      out.stands = true;
-      tell(CallEstablished{CallId{id}, out.attempt, ServerId{out.server}, at(now_) - out.since});
-    } else if (chance(trouble_ ? 0.02 : 0.005)) {
-      constexpr Outcome kEnds[] = {Outcome::full, Outcome::no_connection, Outcome::reset, Outcome::not_sent,
-                                   Outcome::busy_or_fault};
-      end(id, kEnds[draw_() % 5], call.over);
+    OutstandingAttempt& attempt = *call.attempt;
+    const bool timed_out = time_at(now_) >= std::min(attempt.deadline, call.deadline);
+    if (attempt.established) {
+      if (chance(0.01)) end_attempt(id, chance(0.3) ? Outcome::reset : Outcome::ok, true);
+    } else if (timed_out) {
+      end_attempt(id, Outcome::timed_out, call.finished);
+    } else if (!call.finished && chance(degraded_ ? 0.002 : 0.05)) {
+      attempt.established = true;
+      deliver(CallEstablished{CallId{id}, attempt.index, ServerId{attempt.server},
+                              time_at(now_) - attempt.sent_at});
+    } else if (chance(degraded_ ? 0.02 : 0.005)) {
+      constexpr Outcome kOutcomes[] = {Outcome::full, Outcome::no_connection, Outcome::reset,
+                                       Outcome::not_sent, Outcome::busy_or_fault};
+      end_attempt(id, kOutcomes[random_() % 5], call.finished);
     }
-    if (chance(0.0005)) trouble_ = !trouble_;
+    if (chance(0.0005)) degraded_ = !degraded_;
   }
 
-  void end(std::uint64_t id, Outcome outcome, bool over) {
-    Known& call = calls_.at(id);
-    AttemptEnded e;
-    e.call = CallId{id};
-    e.attempt = call.out->attempt;
-    e.server = ServerId{call.out->server};
-    e.outcome = outcome;
-    e.delay = at(now_) - call.out->since;
-    e.call_finished = over;
-    if (outcome == Outcome::full) e.reason = chance(0.5) ? FullReason::processor : FullReason::no_circuit;
-    if (outcome == Outcome::busy_or_fault && chance(0.5)) e.reason = FullReason::number_busy;
+  void end_attempt(std::uint64_t id, Outcome outcome, bool finished) {
+    CallState& call = calls_.at(id);
+    AttemptEnded event;
+    event.call = CallId{id};
+    event.attempt = call.attempt->index;
+    event.server = ServerId{call.attempt->server};
+    event.outcome = outcome;
+    event.delay = time_at(now_) - call.attempt->sent_at;
+    event.call_finished = finished;
+    if (outcome == Outcome::full) event.reason = chance(0.5) ? FullReason::processor : FullReason::no_circuit;
+    if (outcome == Outcome::busy_or_fault && chance(0.5)) event.reason = FullReason::number_busy;
     if (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled) {
-      call.not_before = at(now_) + settings_.release_guard;
+      call.release_guard_until = time_at(now_) + settings_.release_guard;
     }
     if (outcome != Outcome::full && outcome != Outcome::no_connection && outcome != Outcome::not_sent) {
       call.may_have_run = true;
     }
-    call.out.reset();
-    if (over) call.over = true;
-    tell(e);
+    call.attempt.reset();
+    if (finished) call.finished = true;
+    deliver(event);
   }
 
   void change_list() {
-    const unsigned server = static_cast<unsigned>(draw_() % 3);
-    ServerEntry& e = listed_[server];
-    if (e.state != ServerState::in_service || chance(0.3)) {
-      e = entry(server, ServerState::in_service, at(now_ - std::chrono::milliseconds(draw_() % 2000)));
+    const unsigned server = static_cast<unsigned>(random_() % 3);
+    ServerEntry& entry = listed_[server];
+    if (entry.state != ServerState::in_service || chance(0.3)) {
+      entry = make_entry(server, ServerState::in_service,
+                         time_at(now_ - std::chrono::milliseconds(random_() % 2000)));
     } else {
-      e.state = chance(0.5) ? ServerState::terminating : ServerState::terminated;
-      told_[server] = at(now_);
+      entry.state = chance(0.5) ? ServerState::terminating : ServerState::terminated;
+      drained_at_[server] = time_at(now_);
     }
-    if (e.state == ServerState::in_service) told_.erase(server);
+    if (entry.state == ServerState::in_service) drained_at_.erase(server);
     send_list(chance(0.3) ? ListKind::all : ListKind::changes);
   }
 
   void send_list(ListKind kind) {
     ServerList list{kind, {}};
-    for (const auto& [server, e] : listed_) {
-      if (kind != ListKind::changes && e.state == ServerState::terminated) continue;
-      list.entries.push_back(e);
+    for (const auto& [server, entry] : listed_) {
+      if (kind != ListKind::changes && entry.state == ServerState::terminated) continue;
+      list.entries.push_back(entry);
     }
-    tell(list);
+    deliver(list);
   }
 
-  void report() {
-    LoadReport r;
-    r.free_circuits = static_cast<double>(draw_() % 3);
-    if (chance(0.5)) r.wait = std::chrono::milliseconds(draw_() % 2000);
-    if (chance(0.5)) r.allowed_per_s = static_cast<double>(draw_() % 50);
-    tell(ServerReport{ServerId{static_cast<unsigned>(draw_() % 4)}, r});
+  void send_report() {
+    LoadReport report;
+    report.free_circuits = static_cast<double>(random_() % 3);
+    if (chance(0.5)) report.wait = std::chrono::milliseconds(random_() % 2000);
+    if (chance(0.5)) report.allowed_per_s = static_cast<double>(random_() % 50);
+    deliver(ServerReport{ServerId{static_cast<unsigned>(random_() % 4)}, report});
     if (!settings_.may_notify_peers) return;
-    PeerMessage note{1, {}};
-    for (auto n = draw_() % 20; n > 0; --n) note.bytes.push_back(static_cast<std::uint8_t>(draw_()));
-    tell(note);
+    PeerMessage message{1, {}};
+    for (auto n = random_() % 20; n > 0; --n) message.bytes.push_back(static_cast<std::uint8_t>(random_()));
+    deliver(message);
   }
 
-  void tell(const Event& event) {
+  void deliver(const Event& event) {
     std::vector<Action> actions;
-    controller_.handle(at(now_), event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { check(a); }, action);
+    controller_.handle(time_at(now_), event, actions);
+    for (const Action& action : actions)
+      std::visit([this](const auto& alternative) { check(alternative); }, action);
   }
 
-  void check(const SendSetup& a) {
+  void check(const SendSetup& action) {
     ++sent_;
-    const auto it = calls_.find(static_cast<std::uint64_t>(a.call));
+    const auto it = calls_.find(static_cast<std::uint64_t>(action.call));
     ASSERT_NE(it, calls_.end());
-    Known& call = it->second;
-    const auto server = static_cast<unsigned>(a.server);
-    EXPECT_FALSE(call.over) << "sent after its final answer";
-    EXPECT_FALSE(call.out) << "two attempts out";
-    EXPECT_LT(at(now_), call.deadline);
+    CallState& call = it->second;
+    const auto server = static_cast<unsigned>(action.server);
+    EXPECT_FALSE(call.finished) << "sent after the final answer";
+    EXPECT_FALSE(call.attempt) << "second attempt while one is outstanding";
+    EXPECT_LT(time_at(now_), call.deadline);
     EXPECT_LT(call.attempts, settings_.max_attempts);
-    if (call.not_before) {
-      EXPECT_GE(at(now_), *call.not_before) << "the release was not awaited";
+    if (call.release_guard_until) {
+      EXPECT_GE(time_at(now_), *call.release_guard_until) << "sent within the release guard";
     }
     ASSERT_TRUE(listed_.count(server));
-    if (told_.count(server)) {
-      EXPECT_LE(at(now_), told_[server] + settings_.drain_grace) << "sent to a draining server";
+    if (drained_at_.count(server)) {
+      EXPECT_LE(time_at(now_), drained_at_[server] + settings_.drain_grace) << "sent to a draining server";
     }
-    const auto& since = listed_[server].online_since;
-    if (since && at(now_) < *since + settings_.slow_start_duration) {
-      // Reports tell 50 set-ups a second at most, calls come at 30 a second to each of 5 senders: a fifth of
-      // twice what either makes in a window of 2 s.
-      auto& window = cold_[server];
-      window.push_back(at(now_));
-      while (at(now_) - window.front() > settings_.overload_window) window.pop_front();
-      EXPECT_LE(window.size(), 2 * 50 * 2 / 5) << "a cold server was pushed";
+    const auto& online_since = listed_[server].online_since;
+    if (online_since && time_at(now_) < *online_since + settings_.slow_start_duration) {
+      // Servers report at most 50 setups per second, and each of 5 senders gets 30 calls per second. The
+      // limit is a fifth of the overload multiple (2) times the higher of the two rates, over the window of 2
+      // s.
+      auto& window = slow_start_sends_[server];
+      window.push_back(time_at(now_));
+      while (time_at(now_) - window.front() > settings_.overload_window) window.pop_front();
+      EXPECT_LE(window.size(), 2 * 50 * 2 / 5) << "slow-start budget exceeded";
     }
-    call.out = Out{call.attempts++, server, at(now_), a.deadline};
+    call.attempt = OutstandingAttempt{call.attempts++, server, time_at(now_), action.deadline};
   }
-  void check(const Reject& a) {
-    const Known& call = calls_.at(static_cast<std::uint64_t>(a.call));
+  void check(const Reject& action) {
+    const CallState& call = calls_.at(static_cast<std::uint64_t>(action.call));
     if (settings_.classes[0].idempotency != Idempotency::idempotent) {
-      EXPECT_FALSE(call.may_have_run) << "a call that may have run was refused";
+      EXPECT_FALSE(call.may_have_run) << "a call that may have run was rejected";
     }
-    answer(a.call);
+    answer(action.call);
+  }
+  void check(const Fail& action) { answer(action.call); }
+  void check(const CancelAttempt& action) {
+    EXPECT_TRUE(calls_.count(static_cast<std::uint64_t>(action.call)));
   }
-  void check(const Fail& a) { answer(a.call); }
-  void check(const CancelAttempt& a) { EXPECT_TRUE(calls_.count(static_cast<std::uint64_t>(a.call))); }
-  void check(const SetTimer& a) {
-    EXPECT_GT(a.delay, Duration{0});
-    timers_.emplace(at(now_) + a.delay, a.timer);
+  void check(const SetTimer& action) {
+    EXPECT_GT(action.delay, Duration{0});
+    timers_.emplace(time_at(now_) + action.delay, action.timer);
   }
-  void check(const NotifyPeers& a) {
+  void check(const NotifyPeers& action) {
     EXPECT_TRUE(settings_.may_notify_peers);
-    EXPECT_LE(a.bytes.size(), 256U);
+    EXPECT_LE(action.bytes.size(), 256U);
   }
   void check(const FollowList&) { EXPECT_EQ(settings_.discovery, Discovery::on_request); }
 
   void answer(CallId id) {
-    Known& call = calls_.at(static_cast<std::uint64_t>(id));
-    EXPECT_FALSE(call.over) << "answered twice";
-    EXPECT_FALSE(call.out && !call.out->stands) << "answered with an attempt out";
-    call.over = true;
+    CallState& call = calls_.at(static_cast<std::uint64_t>(id));
+    EXPECT_FALSE(call.finished) << "answered twice";
+    EXPECT_FALSE(call.attempt && !call.attempt->established) << "answered while an attempt was outstanding";
+    call.finished = true;
     ++answered_;
   }
 
   Settings settings_;
-  std::mt19937_64 draw_;
+  std::mt19937_64 random_;
   Controller controller_;
   Duration now_{0};
   std::uint64_t last_call_ = 0;
-  bool trouble_ = false;
+  bool degraded_ = false;
   int sent_ = 0;
   int answered_ = 0;
-  std::map<std::uint64_t, Known> calls_;
+  std::map<std::uint64_t, CallState> calls_;
   std::map<unsigned, ServerEntry> listed_;
-  std::map<unsigned, Time> told_;
-  std::map<unsigned, std::deque<Time>> cold_;
+  std::map<unsigned, Time> drained_at_;
+  std::map<unsigned, std::deque<Time>> slow_start_sends_;
   std::multimap<Time, TimerId> timers_;
 };
 
 class Rules : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Rules, HoldOnARandomDay) {
-  RandomDay day(settings_with(2), GetParam());
-  day.play(40s);
+TEST_P(Rules, HoldInARandomScenario) {
+  RandomScenario scenario(make_settings(2), GetParam());
+  scenario.run(40s);
 }
 
 TEST_P(Rules, HoldForCallsThatMayRunOnlyOnce) {
-  Settings settings = settings_with(1);
+  Settings settings = make_settings(1);
   settings.classes[0].idempotency = Idempotency::non_idempotent;
-  RandomDay day(settings, GetParam() + 1000);
-  day.play(20s);
+  RandomScenario scenario(settings, GetParam() + 1000);
+  scenario.run(20s);
 }
 
-TEST_P(Rules, HoldWithPeersAndReports) {
-  Settings settings = settings_with(2);
+TEST_P(Rules, HoldWithPeerMessagesAndReports) {
+  Settings settings = make_settings(2);
   settings.may_notify_peers = true;
   settings.processor_reports = ProcessorReports::answers;
   settings.callers_flag_redial = true;
-  RandomDay day(settings, GetParam() + 2000);
-  day.play(20s);
+  RandomScenario scenario(settings, GetParam() + 2000);
+  scenario.run(20s);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Rules, testing::Range<std::uint64_t>(1, 9));
 
-TEST(Determinism, TheSameEventsGiveTheSameActions) {
-  RandomDay one(settings_with(2), 5);
-  RandomDay two(settings_with(2), 5);
-  one.play(10s);
-  two.play(10s);
-  EXPECT_EQ(one.sent(), two.sent());
+TEST(Determinism, EqualEventsAndSeedsGiveEqualActions) {
+  RandomScenario first(make_settings(2), 5);
+  RandomScenario second(make_settings(2), 5);
+  first.run(10s);
+  second.run(10s);
+  EXPECT_EQ(first.sent(), second.sent());
 }
 
 }  // namespace
