--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -59,7 +59,8 @@
 constexpr double kPlentifulCircuitsFactor = 1.5;
 // Decay time of the peak of circuits in use; longer than a server's restart.
 constexpr Duration kPeakCircuitsDecay = 60s;
-// Lower bound of that peak, as a share of the server's circuits.
+// Lower bound of that peak, as a share of the server's circuits: to this extent their configured number is
+// relied on, whatever has been seen in use.
 constexpr double kMinPeakCircuitsShare = 0.2;
 // A sender whose record of a long wait has expired resumes at this fraction of its equal share of the server.
 constexpr double kRecoveryFraction = 0.3;
@@ -214,13 +215,13 @@
   // setup beyond `tolerated_losses`. Reports are late, so a report of an idle processor does not outweigh an
   // unanswered setup.
   Duration wait(Time now, std::size_t tolerated_losses) const {
-    const Duration longest = std::max(recent_wait(measured_, now), recent_wait(reported_, now));
+    const Duration recent = std::max(recent_wait(measured_, now), recent_wait(reported_, now));
     std::size_t unanswered = timeouts_since_answer_;
     for (const OutstandingSetup& setup : outstanding_) {
       if (setup.overtaken || unanswered++ < tolerated_losses) continue;
-      return std::max(longest, now - setup.sent_at - min_delay_.value_or(Duration{}));
+      return std::max(recent, now - setup.sent_at - min_delay_.value_or(Duration{}));
     }
-    return longest;
+    return recent;
   }
 
  private:
