--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -8,50 +8,51 @@
 
 using namespace std::chrono_literals;
 
-// On top of the release guard: its time runs from when the other side has heard of the end.
+// Added to the release guard, which counts from when the server has learned of the attempt's end.
 constexpr Duration kGuardMargin = 30ms;
-// Sends that a cold server may have in a window from one gatekeeper, however little is known of it.
+// Minimum number of sends that one gatekeeper may make to a server in slow start within an overload window.
 constexpr double kMinSlowStartSends = 4.0;
-// Release guards of calls that are over, at most: some tens of thousands of calls a second would be needed.
+// Maximum number of release guards kept for finished calls. Reaching it takes tens of thousands of calls per
+// second.
 constexpr std::size_t kMaxReleaseGuards = 16384;
-// Advice to a caller whose request came to nothing, where the module gives none and the settings allow as
-// much.
+// Retry-after of a request that fails without one from the Controller, limited by the settings' maximum.
 constexpr Duration kDefaultRetryAfter = 500ms;
 
-bool leaves_traces(Outcome outcome) {
+// Whether the release guard applies after the outcome: the server may still be working on the attempt.
+bool requires_release_guard(Outcome outcome) {
   return outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled;
 }
 
 }  // namespace
 
 Broker::Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
-               AdmissionCheck gate)
+               AdmissionCheck admission_check)
     : Broker(settings, std::make_shared<Controller>(settings, seed), std::move(contracts), counters,
-             std::move(gate)) {}
+             std::move(admission_check)) {}
 
 Broker::Broker(const Settings& settings, std::shared_ptr<Controller> controller, Contracts contracts,
-               Counters& counters, AdmissionCheck gate)
+               Counters& counters, AdmissionCheck admission_check)
     : Broker(
           settings,
           [controller](Time now, const graniterun::Event& event, std::vector<Action>& actions) {
             controller->handle(now, event, actions);
           },
-          std::move(contracts), counters, std::move(gate)) {
+          std::move(contracts), counters, std::move(admission_check)) {
   controller_ = std::move(controller);
 }
 
-Broker::Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters,
-               AdmissionCheck gate)
+Broker::Broker(const Settings& settings, DecisionFunction decide, Contracts contracts, Counters& counters,
+               AdmissionCheck admission_check)
     : settings_(settings),
       contracts_(std::move(contracts)),
       counters_(counters),
       decide_(std::move(decide)),
-      admission_check_(std::move(gate)) {}
+      admission_check_(std::move(admission_check)) {}
 
 void Broker::step(Time now, const Event& event, Effects& effects) {
   now_ = std::max(now, now_);
   effects_ = &effects;
-  std::visit([this](const auto& notice) { on(notice); }, event);
+  std::visit([this](const auto& alternative) { on(alternative); }, event);
   drain_controller_events();
   effects_ = nullptr;
 }
@@ -66,32 +67,34 @@
   call.received_at = now_;
   call.deadline = event.request.deadline;
   call.max_attempts = settings_.max_attempts;
-  // The same id may come again just after it ended: its caller closed and came back. To servers it is the
-  // same call.
+  // A correlation id may come again shortly after its call ended, when the caller closed and reconnected.
+  // Servers treat both as the same call.
   if (const auto guard = guards_.find(event.request.correlation_id); guard != guards_.end())
     call.guard_until = guard->second;
-  if (const auto known = by_correlation_id_.find(event.request.correlation_id);
-      known != by_correlation_id_.end()) {
-    Call& before = calls_.at(known->second);
-    call.guard_until = std::max(call.guard_until, before.guard_until);
-    if (before.current_attempt && before.current_attempt->sent) {
-      call.predecessor = known->second;
-      before.successor = event.request.call;
+  if (const auto existing = by_correlation_id_.find(event.request.correlation_id);
+      existing != by_correlation_id_.end()) {
+    Call& earlier = calls_.at(existing->second);
+    call.guard_until = std::max(call.guard_until, earlier.guard_until);
+    if (earlier.current_attempt && earlier.current_attempt->sent) {
+      call.predecessor = existing->second;
+      earlier.successor = event.request.call;
     }
   }
   by_correlation_id_.insert_or_assign(event.request.correlation_id, event.request.call);
   ++unanswered_;
-  const auto turn_down = [&](bool refused, RejectReason why, Duration wait,
-                             call_gapping::Treatment treatment = {}) {
-    answer_request(call, false, refused, why, wait, {}, std::move(treatment));
+  const auto answer_without_call = [&](bool rejected, RejectReason reason, Duration retry_after,
+                                       call_gapping::Treatment treatment = {}) {
+    answer_request(call, false, rejected, reason, retry_after, {}, std::move(treatment));
     erase_if_finished(event.request.call);
   };
-  // Before the budget: what a gap holds back is not to use up its team's. A slot that a call has taken is not
-  // given back where it comes to nothing later: the next one would pass in the same interval.
+  // Call gaps are checked before the budget, so that a gapped call does not consume its team's budget. A gap
+  // slot used by a call is not returned if the call fails later, since a second call would then pass in the
+  // same interval.
   if (admission_check_ && call.deadline > now_) {
     if (call_gapping::Verdict verdict = admission_check_(now_, event.request); !verdict.passes) {
       counters_.add("broker.gapped");
-      return turn_down(true, RejectReason::gapped, verdict.retry_after, std::move(verdict.treatment));
+      return answer_without_call(true, RejectReason::gapped, verdict.retry_after,
+                                 std::move(verdict.treatment));
     }
   }
   const Contracts::Terms terms = contracts_.admit(now_, event.request.team, event.request.class_name);
@@ -99,20 +102,21 @@
   if (terms.attempts) call.max_attempts = std::min(call.max_attempts, *terms.attempts);
   if (terms.over_budget_retry_after) {
     counters_.add("broker.over_budget");
-    return turn_down(true, RejectReason::over_budget, *terms.over_budget_retry_after);
+    return answer_without_call(true, RejectReason::over_budget, *terms.over_budget_retry_after);
   }
-  if (call.deadline <= now_) return turn_down(false, RejectReason::deadline_exceeded, default_retry_after());
+  if (call.deadline <= now_)
+    return answer_without_call(false, RejectReason::deadline_exceeded, default_retry_after());
   arm_timer(call.deadline, {PendingTimer::Kind::deadline, event.request.call, {}});
-  NewCall query;
-  query.call = event.request.call;
-  query.call_class = event.request.call_class;
-  query.number = event.request.number;
-  query.destination = event.request.destination;
-  query.deadline = call.deadline;
-  query.circuits = event.request.circuits;
-  query.cut_before = event.request.cut_before;
-  query.redial = event.request.redial;
-  notify_controller(query);
+  NewCall new_call;
+  new_call.call = event.request.call;
+  new_call.call_class = event.request.call_class;
+  new_call.number = event.request.number;
+  new_call.destination = event.request.destination;
+  new_call.deadline = call.deadline;
+  new_call.circuits = event.request.circuits;
+  new_call.cut_before = event.request.cut_before;
+  new_call.redial = event.request.redial;
+  notify_controller(new_call);
 }
 
 void Broker::on(const RequestCancelled& event) {
@@ -123,7 +127,7 @@
   --unanswered_;
   notify_controller(CallerDisconnected{event.call});
   drain_controller_events();
-  // Whether the module thinks of it or not: nothing is to go on for a caller that has left.
+  // The attempt is cancelled even if the Controller did not ask for it: the caller has disconnected.
   if (call = find(event.call); call != nullptr && call->current_attempt) abandon_attempt(*call);
   drain_controller_events();
   erase_if_finished(event.call);
@@ -147,7 +151,7 @@
       call->current_attempt->established)
     return;
   if (call->answered || call->current_attempt->abandoned) {
-    // Nobody waits for it any more: it must not go on at the server.
+    // The request is already answered or the attempt cancelled, so the call is released at the server.
     counters_.add("broker.stood_too_late");
     call->current_attempt->abandoned = true;
     emit(ReleaseServer{call->request, event.attempt, 16});
@@ -157,9 +161,9 @@
   ++established_;
   const ServerId server = call->current_attempt->server;
   const Duration delay = now_ - call->current_attempt->sent_at;
-  if (Server& at = servers_[server]; !is_warmed_up(at)) {
-    trim_window(at.recently_established);
-    at.recently_established.push_back(now_);
+  if (Server& state = servers_[server]; !is_warmed_up(state)) {
+    trim_window(state.recently_established);
+    state.recently_established.push_back(now_);
   }
   record_attempt(*call, {});
   answer_request(*call, true, false, RejectReason::ended, {}, event.description);
@@ -169,27 +173,27 @@
 void Broker::on(const AttemptFinished& event) {
   Call* call = find(event.call);
   if (call == nullptr || !call->current_attempt || call->current_attempt->index != event.attempt) return;
-  const Attempt out = *call->current_attempt;
-  if (!out.established) record_attempt(*call, event.outcome);
+  const Attempt attempt = *call->current_attempt;
+  if (!attempt.established) record_attempt(*call, event.outcome);
   call->current_attempt.reset();
   record_attempt_end(*call, event.outcome);
-  if (out.established) {
+  if (attempt.established) {
     --established_;
     counters_.add(event.outcome == Outcome::ok ? "broker.calls_ended" : "broker.calls_cut");
     if (event.outcome != Outcome::cancelled) emit(ReleaseCaller{event.call, event.cause});
   } else {
     counters_.add("broker.attempts_ended");
-    // A success that crossed our giving up stood at the server for a moment: a further attempt might ring the
-    // callee twice, so there is none.
+    // The server's success raced the cancellation: the call was briefly established there. Another attempt
+    // could ring the callee twice, so the request ends here.
     if (event.late_success && !call->answered)
       answer_request(*call, false, false, RejectReason::late_success, default_retry_after(), {});
   }
   AttemptEnded ended;
   ended.call = event.call;
   ended.attempt = event.attempt;
-  ended.server = out.server;
+  ended.server = attempt.server;
   ended.outcome = event.outcome;
-  ended.delay = now_ - out.sent_at;
+  ended.delay = now_ - attempt.sent_at;
   ended.call_finished = call->answered;
   ended.reason = event.reason;
   ended.retry_after = event.retry_after;
@@ -200,7 +204,7 @@
 }
 
 void Broker::record_attempt_end(Call& call, Outcome outcome) {
-  if (leaves_traces(outcome)) call.guard_until = now_ + settings_.release_guard + kGuardMargin;
+  if (requires_release_guard(outcome)) call.guard_until = now_ + settings_.release_guard + kGuardMargin;
   if (!call.successor) return;
   Call* next = find(*std::exchange(call.successor, std::nullopt));
   if (next == nullptr) return;
@@ -210,17 +214,19 @@
     arm_timer(std::max(next->guard_until, now_), {PendingTimer::Kind::guard, next->request->call, {}});
 }
 
-// A connection that fell silent gives up its set-ups; one of them may have stood at the server and be over
-// there. Its release comes on the next connection, while the call waits here for the guard or for the module.
-// Passed on to the caller it was the final answer, and yet the call was sent on. The callee has been rung:
-// the call is ended here. Where its next attempt is out already that one goes on, and is the last.
+// Handles the release of a call whose attempt has already ended here. An unresponsive connection drops its
+// attempts; one of them may have been established and ended at the server, whose release then arrives on the
+// next connection while the call waits here for the release guard or the Controller. Forwarding that release
+// to the caller would be a final answer although the call is attempted again. The callee has already been
+// rung, so the request fails here. If its next attempt is already outstanding, that attempt continues and is
+// the last.
 void Broker::on(const ServerReleased& event) {
-  const auto known = by_correlation_id_.find(event.correlation_id);
-  if (known == by_correlation_id_.end()) {
+  const auto existing = by_correlation_id_.find(event.correlation_id);
+  if (existing == by_correlation_id_.end()) {
     if (!event.attempt_known) emit(ForwardRelease{event.correlation_id, event.cause});
     return;
   }
-  const CallId id = known->second;
+  const CallId id = existing->second;
   Call& call = calls_.at(id);
   if (call.answered) return counters_.add("broker.releases_after_answer");
   counters_.add("broker.releases_before_answer");
@@ -262,7 +268,7 @@
     Call* call = find(id);
     if (call == nullptr || call->answered) continue;
     counters_.add("broker.given_up_at_the_end");
-    // One that was never sent on may be tried again elsewhere at once.
+    // A request without any attempt is rejected rather than failed: it may be retried elsewhere immediately.
     answer_request(*call, false, call->attempts == 0, RejectReason::shutting_down, default_retry_after(), {});
     notify_controller(CallerDisconnected{id});
     drain_controller_events();
@@ -288,47 +294,47 @@
 void Broker::on(const TimerExpired& event) {
   const auto it = timers_.find(event.timer);
   if (it == timers_.end()) return;
-  const PendingTimer rang = it->second;
+  const PendingTimer expired = it->second;
   timers_.erase(it);
-  if (rang.kind == PendingTimer::Kind::module) return notify_controller(TimerDue{rang.timer});
-  Call* call = find(rang.call);
+  if (expired.kind == PendingTimer::Kind::controller) return notify_controller(TimerDue{expired.timer});
+  Call* call = find(expired.call);
   if (call == nullptr) return;
-  if (rang.kind == PendingTimer::Kind::deadline) return expire_request(*call);
+  if (expired.kind == PendingTimer::Kind::deadline) return expire_request(*call);
   if (call->current_attempt && !call->current_attempt->sent && !call->predecessor) start_attempt(*call);
 }
 
-// The caller stops waiting now. The module hears of the time-out and may still say how to answer; if it says
-// nothing, the answer is given all the same.
+// Handles a request whose deadline has passed. The Controller is notified of the attempt's timeout and may
+// still choose the answer; otherwise the request fails with deadline_exceeded.
 void Broker::expire_request(Call& call) {
   if (call.answered) return;
   const CallId id = call.request->call;
   counters_.add("broker.overdue");
   if (call.current_attempt) {
-    const Attempt out = *call.current_attempt;
+    const Attempt attempt = *call.current_attempt;
     record_attempt(call, Outcome::timed_out);
-    if (out.sent && !out.abandoned) emit(AbandonAttempt{call.request, out.index});
+    if (attempt.sent && !attempt.abandoned) emit(AbandonAttempt{call.request, attempt.index});
     call.current_attempt.reset();
-    record_attempt_end(call, out.sent ? Outcome::timed_out : Outcome::not_sent);
+    record_attempt_end(call, attempt.sent ? Outcome::timed_out : Outcome::not_sent);
     AttemptEnded ended;
     ended.call = id;
-    ended.attempt = out.index;
-    ended.server = out.server;
-    ended.outcome = out.sent ? Outcome::timed_out : Outcome::not_sent;
-    ended.delay = now_ - (out.sent ? out.sent_at : now_);
+    ended.attempt = attempt.index;
+    ended.server = attempt.server;
+    ended.outcome = attempt.sent ? Outcome::timed_out : Outcome::not_sent;
+    ended.delay = now_ - (attempt.sent ? attempt.sent_at : now_);
     notify_controller(ended);
     drain_controller_events();
   }
-  Call* left = find(id);
-  if (left == nullptr) return;
-  if (!left->answered) {
-    answer_request(*left, false, false, RejectReason::deadline_exceeded, default_retry_after(), {});
-    notify_controller(CallerDisconnected{id});  // what it still holds for the call is void
+  Call* remaining = find(id);
+  if (remaining == nullptr) return;
+  if (!remaining->answered) {
+    answer_request(*remaining, false, false, RejectReason::deadline_exceeded, default_retry_after(), {});
+    notify_controller(CallerDisconnected{id});  // the Controller discards its state of the call
   }
   drain_controller_events();
   erase_if_finished(id);
 }
 
-// ---- the module's actions
+// ---- actions of the Controller
 
 void Broker::notify_controller(const graniterun::Event& event) {
   controller_events_.push_back(event);
@@ -344,7 +350,8 @@
     controller_events_.pop_front();
     actions.clear();
     decide_(now_, event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { apply(a); }, action);
+    for (const Action& action : actions)
+      std::visit([this](const auto& alternative) { apply(alternative); }, action);
   }
   draining_controller_ = false;
 }
@@ -353,18 +360,18 @@
   Call* call = find(action.call);
   if (call == nullptr) return;
   const int index = call->attempts++;
-  std::string_view why_not;
+  std::string_view barred_counter;
   if (call->answered || call->current_attempt || now_ >= call->deadline || index >= call->max_attempts) {
     counters_.add("broker.sends_barred.call");
     return report_not_sent(*call, index, action.server);
   }
-  if (!may_send(action.server, why_not)) {
-    counters_.add(why_not);
+  if (!may_send(action.server, barred_counter)) {
+    counters_.add(barred_counter);
     return report_not_sent(*call, index, action.server);
   }
   call->current_attempt =
       Attempt{index, action.server, std::min(action.deadline, call->deadline), now_, false, false, false};
-  if (call->predecessor) return counters_.add("broker.sends_guarded");  // started at the other's end
+  if (call->predecessor) return counters_.add("broker.sends_guarded");  // started when the predecessor ends
   if (now_ < call->guard_until) {
     counters_.add("broker.sends_guarded");
     return arm_timer(call->guard_until, {PendingTimer::Kind::guard, action.call, {}});
@@ -373,23 +380,24 @@
 }
 
 void Broker::start_attempt(Call& call) {
-  Attempt& out = *call.current_attempt;
-  // The server may have begun to drain while the attempt waited for the guard.
-  std::string_view why_not;
-  if (!may_send(out.server, why_not) || now_ >= call.deadline) {
-    const Attempt waiting = out;
+  Attempt& attempt = *call.current_attempt;
+  // The server may have begun to drain while the attempt waited for the release guard.
+  std::string_view barred_counter;
+  if (!may_send(attempt.server, barred_counter) || now_ >= call.deadline) {
+    const Attempt waiting = attempt;
     call.current_attempt.reset();
     return report_not_sent(call, waiting.index, waiting.server);
   }
-  out.sent = true;
-  out.sent_at = now_;
-  Server& server = servers_[out.server];
+  attempt.sent = true;
+  attempt.sent_at = now_;
+  Server& server = servers_[attempt.server];
   server.recent_sends.push_back(now_);
-  // Only what was sent counts: a set-up that waited for the guard in vain once raised it too.
+  // Counts sent attempts only. An attempt that waited for the release guard and was never sent must not raise
+  // the peak.
   if (is_warmed_up(server))
     server.peak_sends = std::max(server.peak_sends, static_cast<double>(server.recent_sends.size()));
   counters_.add("broker.attempts");
-  emit(StartAttempt{call.request, out.index, out.server, out.deadline});
+  emit(StartAttempt{call.request, attempt.index, attempt.server, attempt.deadline});
 }
 
 void Broker::report_not_sent(Call& call, int index, ServerId server) {
@@ -406,26 +414,28 @@
   while (!times.empty() && now_ - times.front() > settings_.overload_window) times.pop_front();
 }
 
-// In service, and a cold one not beyond what this gatekeeper's own part of its warm load allows, or what it
-// has just answered here, if that is more: it has warmed as far at least. The module spends less than that,
-// so this binds only where it errs.
-bool Broker::may_send(ServerId id, std::string_view& why_not) {
+// Whether the server may get a new setup; if not, sets `barred_counter` to the name of the counter to
+// increment. The server must be in service. During slow start, sends within an overload window are also
+// limited to a multiple of its estimated capacity: the larger of a fraction of this gatekeeper's peak sends
+// to any server and the calls recently established there. The Controller stays below this limit, so it takes
+// effect only if the Controller errs.
+bool Broker::may_send(ServerId id, std::string_view& barred_counter) {
   const auto it = servers_.find(id);
   if (it == servers_.end() || it->second.state != ServerState::in_service) {
-    why_not = "broker.sends_barred.drain";
+    barred_counter = "broker.sends_barred.drain";
     return false;
   }
   Server& server = it->second;
   trim_window(server.recent_sends);
   const auto recent = static_cast<double>(server.recent_sends.size());
   if (is_warmed_up(server)) return true;
-  double busiest = 0.0;
-  for (const auto& [other, s] : servers_) busiest = std::max(busiest, s.peak_sends);
+  double peak_sends = 0.0;
+  for (const auto& [other_id, other] : servers_) peak_sends = std::max(peak_sends, other.peak_sends);
   trim_window(server.recently_established);
-  const double can_do = std::max(settings_.slow_start_fraction * busiest,
-                                 static_cast<double>(server.recently_established.size()));
-  if (recent < std::max(kMinSlowStartSends, settings_.overload_multiple * can_do)) return true;
-  why_not = "broker.sends_barred.cold";
+  const double capacity = std::max(settings_.slow_start_fraction * peak_sends,
+                                   static_cast<double>(server.recently_established.size()));
+  if (recent < std::max(kMinSlowStartSends, settings_.overload_multiple * capacity)) return true;
+  barred_counter = "broker.sends_barred.cold";
   return false;
 }
 
@@ -437,7 +447,7 @@
 
 void Broker::abandon_attempt(Call& call) {
   if (call.current_attempt->abandoned) return;
-  if (!call.current_attempt->sent) {  // it still waits for the guard: nothing has to be called off
+  if (!call.current_attempt->sent) {  // it waits for the release guard: there is nothing to cancel
     const Attempt waiting = *call.current_attempt;
     call.current_attempt.reset();
     return report_not_sent(call, waiting.index, waiting.server);
@@ -464,32 +474,32 @@
 }
 
 void Broker::apply(const SetTimer& action) {
-  arm_timer(now_ + action.delay, {PendingTimer::Kind::module, {}, action.timer});
+  arm_timer(now_ + action.delay, {PendingTimer::Kind::controller, {}, action.timer});
 }
 
-// ---- small things
+// ---- helpers
 
-void Broker::answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
+void Broker::answer_request(Call& call, bool served, bool rejected, RejectReason reason, Duration retry_after,
                             const std::string& description, call_gapping::Treatment treatment) {
   call.answered = true;
   call.rejected = !served;
   --unanswered_;
   const CallId id = call.request->call;
-  metrics_.answered(call.request->class_name, served, refused);
+  metrics_.count_answer(call.request->class_name, served, rejected);
   if (served) {
     counters_.add("broker.served");
     emit(AnswerCaller{id, description});
   } else {
-    counters_.add(refused ? "broker.refused" : "broker.failed");
-    emit(RejectRequest{id, refused, why, wait, std::move(treatment)});
+    counters_.add(rejected ? "broker.refused" : "broker.failed");
+    emit(RejectRequest{id, rejected, reason, retry_after, std::move(treatment)});
     if (call.current_attempt) abandon_attempt(call);
   }
-  emit(RequestAnswered{call.request, call.received_at, served, served ? std::nullopt : std::optional(why),
+  emit(RequestAnswered{call.request, call.received_at, served, served ? std::nullopt : std::optional(reason),
                        std::move(call.attempt_records)});
 }
 
 void Broker::record_attempt(Call& call, std::optional<Outcome> outcome) {
-  // Called just before or after the attempt ends; `out` is the one that was sent last.
+  // Called just before the current attempt is cleared or when it is established.
   AttemptRecord attempt;
   attempt.outcome = outcome;
   attempt.ended_at = now_;
@@ -503,18 +513,18 @@
 void Broker::erase_if_finished(CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end() || !it->second.answered || it->second.current_attempt) return;
-  const auto label = by_correlation_id_.find(it->second.request->correlation_id);
-  if (label != by_correlation_id_.end() && label->second == id) by_correlation_id_.erase(label);
+  const auto entry = by_correlation_id_.find(it->second.request->correlation_id);
+  if (entry != by_correlation_id_.end() && entry->second == id) by_correlation_id_.erase(entry);
   retain_release_guard(it->second);
   calls_.erase(it);
 }
 
-// The guard of a call outlives it: its label may come again.
+// Keeps the release guard of a finished call, since its correlation id may come again.
 void Broker::retain_release_guard(const Call& call) {
   while (!guards_by_time_.empty() &&
          (guards_by_time_.front().first <= now_ || guards_by_time_.size() >= kMaxReleaseGuards)) {
-    const auto old = guards_.find(guards_by_time_.front().second);
-    if (old != guards_.end() && old->second <= guards_by_time_.front().first) guards_.erase(old);
+    const auto oldest = guards_.find(guards_by_time_.front().second);
+    if (oldest != guards_.end() && oldest->second <= guards_by_time_.front().first) guards_.erase(oldest);
     guards_by_time_.pop_front();
   }
   if (call.guard_until <= now_) return;
@@ -522,8 +532,8 @@
   guards_by_time_.emplace_back(call.guard_until, call.request->correlation_id);
 }
 
-void Broker::arm_timer(Time at, PendingTimer alarm) {
-  timers_.emplace(++last_timer_, alarm);
+void Broker::arm_timer(Time at, PendingTimer timer) {
+  timers_.emplace(++last_timer_, timer);
   emit(ArmTimer{at, last_timer_});
 }
 
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -1,7 +1,8 @@
-// The broker: requests, attempts, outcomes and standing calls, whatever wire they came by. It drives the
-// Controller, which decides, and keeps the rules itself whatever the Controller says: one final answer by the
-// deadline, one attempt out, the release guard, nothing new to a server that drains, no flood of a cold one.
-// It is a reducer: events with their time in, effects out.
+// The broker tracks requests, attempts and established calls of every front end. It passes events to the
+// Controller, which decides, and enforces these invariants whatever the Controller decides: one final answer
+// by the deadline, one attempt outstanding per request, no attempt within the release guard, no new setups to
+// a draining server, and a limit on setups to a server in slow start.
+// It is a reducer: events with their time in, effects out. It performs no I/O and reads no clock.
 #pragma once
 
 #include <deque>
@@ -22,32 +23,34 @@
 
 namespace graniterun::core {
 
-// A front numbers its own calls; the top bits of a CallId are the front's.
+// Each front end numbers its own calls. The top 8 bits of a CallId identify the front end.
 enum class Front : std::uint8_t { platform = 0, sip = 1 };
-constexpr int kFrontShift = 56;
-constexpr CallId call_id(Front front, std::uint64_t number) {
-  return CallId{static_cast<std::uint64_t>(front) << kFrontShift | number};
+constexpr int kFrontEndShift = 56;
+constexpr CallId call_id(Front front_end, std::uint64_t number) {
+  return CallId{static_cast<std::uint64_t>(front_end) << kFrontEndShift | number};
 }
 constexpr Front front_of(CallId call) {
-  return static_cast<Front>(static_cast<std::uint64_t>(call) >> kFrontShift);
+  return static_cast<Front>(static_cast<std::uint64_t>(call) >> kFrontEndShift);
 }
 
+// A client's request for a call.
 struct Request {
   CallId call{};
-  std::string correlation_id{};  // the id by which servers are to know the call
+  std::string correlation_id{};  // identifies the call to servers
   std::string team{};
   ClassIndex call_class{};
   std::string class_name{};
   std::string number_text{};
   Number number{};
   Pool destination{-1};
-  Time deadline{};
-  double circuits{1};
-  bool redial{};
-  bool cut_before{};
-  std::string description{};
+  Time deadline{};            // when the client stops waiting
+  double circuits{1};         // circuits that the call occupies at a server
+  bool redial{};              // the caller's own repeat of a call
+  bool cut_before{};          // the call was established, was cut and is requested again
+  std::string description{};  // session description (SDP)
 };
 
+// Why a request was rejected or failed.
 enum class RejectReason : std::uint8_t {
   gapped,
   throttled,
@@ -78,21 +81,22 @@
   int attempt{};
   std::string description{};
 };
-struct AttemptFinished {  // before it stood, or a standing call's end
+// An attempt ended without an established call, or an established call ended.
+struct AttemptFinished {
   CallId call{};
   int attempt{};
   Outcome outcome{};
   FullReason reason{};
   LoadReport report{};
-  int cause{};                            // of a standing call's end
-  bool late_success = false;              // the server's success crossed our giving up; it has been released
-  std::optional<Duration> retry_after{};  // by a full processor
+  int cause{};                            // Q.850 cause of an established call's end
+  bool late_success = false;              // the server's success raced the cancellation; it has been released
+  std::optional<Duration> retry_after{};  // sent by a server whose processor is full
 };
-// A server released a call whose attempt there is over already, or was never known here.
+// A server released a call whose attempt there has already ended or is unknown to this process.
 struct ServerReleased {
   std::string correlation_id{};
   int cause{};
-  bool attempt_known{};  // an attempt of the call is known to have been at that server
+  bool attempt_known{};  // this process knows an attempt of the call at that server
 };
 struct ServersChanged {
   ServerList list{};
@@ -104,10 +108,12 @@
 struct TimerExpired {
   std::uint64_t timer{};
 };
-struct SettingsReplaced {  // the settings have changed; requests under way keep their terms
+// The settings have changed. Open requests keep the deadline and attempt limit that they started with.
+struct SettingsReplaced {
   Settings settings{};
 };
-struct ShutdownStarted {};  // the process ends: whatever is open is answered now
+// The process is shutting down. Every open request is answered immediately.
+struct ShutdownStarted {};
 
 using Event = std::variant<RequestReceived, RequestCancelled, CallerReleased, AttemptEstablished,
                            AttemptFinished, ServerReleased, ServersChanged, LoadReportReceived, TimerExpired,
@@ -121,32 +127,36 @@
   ServerId server{};
   Time deadline{};
 };
-struct AbandonAttempt {  // answered by an AttemptFinished
+// Cancels an attempt. An AttemptFinished follows.
+struct AbandonAttempt {
   std::shared_ptr<const Request> request{};
   int attempt{};
 };
-struct ReleaseServer {  // cut the standing call
+// Releases the established call at the server, with a Q.850 cause.
+struct ReleaseServer {
   std::shared_ptr<const Request> request{};
   int attempt{};
   int cause{};
 };
-struct AnswerCaller {  // final answer
+// Final answer: the call is established.
+struct AnswerCaller {
   CallId call{};
   std::string description{};
 };
-struct RejectRequest {  // final answer
+// Final answer: rejected or failed.
+struct RejectRequest {
   CallId call{};
-  bool rejected{};  // else failed
+  bool rejected{};  // false: failed
   RejectReason reason{};
-  Duration retry_after{};               // the caller is to stay away so long
-  call_gapping::Treatment treatment{};  // of a call that is gapped
+  Duration retry_after{};               // minimum time before the caller's next request
+  call_gapping::Treatment treatment{};  // set for RejectReason::gapped
 };
 struct ReleaseCaller {
   CallId call{};
   int cause{};
 };
-// A server released a call that nobody holds open: it stood before a restart, and its caller may still be
-// there.
+// A server released a call that is unknown here. It was established before a restart of this process, and its
+// caller may still be connected.
 struct ForwardRelease {
   std::string correlation_id{};
   int cause{};
@@ -155,16 +165,17 @@
   Time at{};
   std::uint64_t timer{};
 };
-struct LogLine {  // a line for the log
+struct LogLine {
   std::string text{};
 };
-// What a request went through, once it is answered: for traces.
+// One attempt of an answered request, for traces.
 struct AttemptRecord {
   ServerId server{};
   Time started_at{};
   Time ended_at{};
-  std::optional<Outcome> outcome{};  // absent: it stands
+  std::optional<Outcome> outcome{};  // absent: the call is established
 };
+// A request has received its final answer. Exported as a trace.
 struct RequestAnswered {
   std::shared_ptr<const Request> request{};
   Time received_at{};
@@ -179,38 +190,41 @@
 
 class Broker {
  public:
-  // What decides: it is handed each event with its time and appends its actions.
-  using Decide = std::function<void(Time, const graniterun::Event&, std::vector<Action>&)>;
+  // Decides on an event: receives it with its time and appends the resulting actions.
+  using DecisionFunction = std::function<void(Time, const graniterun::Event&, std::vector<Action>&)>;
 
-  // What new calls must pass before the module hears of them, on whichever front they come.
+  // Checks a new request of either front end before the Controller sees it.
   using AdmissionCheck = std::function<call_gapping::Verdict(Time, const Request&)>;
 
   Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
-         AdmissionCheck gate = {});
-  Broker(const Settings& settings, Decide decide, Contracts contracts, Counters& counters,
-         AdmissionCheck gate = {});
+         AdmissionCheck admission_check = {});
+  Broker(const Settings& settings, DecisionFunction decide, Contracts contracts, Counters& counters,
+         AdmissionCheck admission_check = {});
 
+  // Handles one event at `now` and appends its effects. A `now` before an earlier one counts as that one.
   void step(Time now, const Event& event, Effects& effects);
 
+  // Requests without a final answer.
   std::size_t unanswered() const { return unanswered_; }
+  // Established calls.
   std::size_t established() const { return established_; }
-  // The places of the classes that open calls came with.
+  // For each ClassIndex of the settings, whether an open call uses it.
   std::vector<bool> places_in_use() const;
   RequestMetrics& metrics() { return metrics_; }
   const RequestMetrics& metrics() const { return metrics_; }
-  // Setup servers that the module avoids now; 0 where something else decides.
+  // Setup servers that the Controller ejects at `now`; 0 with a DecisionFunction given from outside.
   std::size_t ejected(Time now) const { return controller_ ? controller_->ejected(now) : 0; }
 
  private:
   Broker(const Settings& settings, std::shared_ptr<Controller> controller, Contracts contracts,
-         Counters& counters, AdmissionCheck gate);
+         Counters& counters, AdmissionCheck admission_check);
 
   struct Attempt {
     int index{};
     ServerId server{};
     Time deadline{};
     Time sent_at{};
-    bool sent = false;  // else it waits for the release guard
+    bool sent = false;  // false: it waits for the release guard
     bool established = false;
     bool abandoned = false;
   };
@@ -224,8 +238,8 @@
     bool answered = false;
     bool rejected = false;
     Time guard_until{};
-    // An earlier call under the same label has its attempt out still: none of this one begins before its end
-    // and the release guard after it.
+    // An earlier call with the same correlation id whose attempt is still outstanding. No attempt of this
+    // call starts before that attempt has ended and its release guard has passed.
     std::optional<CallId> predecessor{};
     std::optional<CallId> successor{};
     std::vector<AttemptRecord> attempt_records{};
@@ -233,17 +247,18 @@
   struct Server {
     ServerState state{};
     std::optional<Time> online_since{};
-    std::deque<Time> recent_sends{};  // within the last window
-    // set-ups that stood there within the last window, while it was cold
+    std::deque<Time> recent_sends{};  // attempts sent within the last overload window
+    // Calls established within the last overload window, recorded only during slow start.
     std::deque<Time> recently_established{};
-    double peak_sends = 0.0;  // the most sends within a window while it was warm
+    double peak_sends = 0.0;  // maximum sends within an overload window after slow start
   };
   struct PendingTimer {
-    enum class Kind : std::uint8_t { deadline, guard, module } kind{};
+    enum class Kind : std::uint8_t { deadline, guard, controller } kind{};
     CallId call{};
     TimerId timer{};
   };
 
+  // One handler per event.
   void on(const RequestReceived& event);
   void on(const RequestCancelled& event);
   void on(const CallerReleased& event);
@@ -256,6 +271,7 @@
   void on(const SettingsReplaced& event);
   void on(const ShutdownStarted& event);
 
+  // One handler per action of the Controller.
   void apply(const SendSetup& action);
   void apply(const CancelAttempt& action);
   void apply(const Reject& action);
@@ -272,16 +288,16 @@
   void record_attempt_end(Call& call, Outcome outcome);
   void retain_release_guard(const Call& call);
   void report_not_sent(Call& call, int index, ServerId server);
-  bool may_send(ServerId server, std::string_view& why_not);
+  bool may_send(ServerId server, std::string_view& barred_counter);
   void trim_window(std::deque<Time>& times) const;
   bool is_warmed_up(const Server& server) const {
     return !server.online_since || now_ >= *server.online_since + settings_.slow_start_duration;
   }
-  void answer_request(Call& call, bool served, bool refused, RejectReason why, Duration wait,
+  void answer_request(Call& call, bool served, bool rejected, RejectReason reason, Duration retry_after,
                       const std::string& description, call_gapping::Treatment treatment = {});
   void record_attempt(Call& call, std::optional<Outcome> outcome);
   void erase_if_finished(CallId id);
-  void arm_timer(Time at, PendingTimer alarm);
+  void arm_timer(Time at, PendingTimer timer);
   Duration default_retry_after() const;
   Call* find(CallId id);
   void emit(Effect effect) { effects_->push_back(std::move(effect)); }
@@ -290,13 +306,14 @@
   Contracts contracts_;
   Counters& counters_;
   std::shared_ptr<Controller> controller_{};
-  Decide decide_;
+  DecisionFunction decide_;
   AdmissionCheck admission_check_;
   Time now_{};
   Effects* effects_ = nullptr;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, CallId> by_correlation_id_;  // of calls_; the newest under a label
-  std::unordered_map<std::string, Time> guards_;               // of labels whose call is over: until when
+  std::unordered_map<std::string, CallId> by_correlation_id_;  // the newest call of each id
+  // End of the release guard of finished calls, by correlation id.
+  std::unordered_map<std::string, Time> guards_;
   std::deque<std::pair<Time, std::string>> guards_by_time_;
   std::map<ServerId, Server> servers_;
   std::unordered_map<std::uint64_t, PendingTimer> timers_;
--- a/src/core/classes.cpp
+++ b/src/core/classes.cpp
@@ -31,25 +31,25 @@
   Classes classes;
   std::vector<bool> taken(before.places.size());
   for (std::size_t i = 0; i < taken.size(); ++i) taken[i] = i < in_use.size() && in_use[i];
-  std::vector<std::optional<ClassIndex>> places(names.size());
+  std::vector<std::optional<ClassIndex>> indexes(names.size());
   for (std::size_t i = 0; i < names.size(); ++i) {
-    const NamedClass* old = before.classes->find(names[i]);
-    if (old == nullptr || !(old->terms == terms[i])) continue;
-    places[i] = old->place;
-    taken[old->place] = true;
+    const NamedClass* previous = before.classes->find(names[i]);
+    if (previous == nullptr || !(previous->terms == terms[i])) continue;
+    indexes[i] = previous->place;
+    taken[previous->place] = true;
   }
   for (std::size_t i = 0; i < names.size(); ++i) {
-    if (!places[i]) {
+    if (!indexes[i]) {
       const auto free = std::find(taken.begin(), taken.end(), false);
-      places[i] = static_cast<ClassIndex>(free - taken.begin());
+      indexes[i] = static_cast<ClassIndex>(free - taken.begin());
       if (free == taken.end()) taken.push_back(true);
-      taken[*places[i]] = true;
+      taken[*indexes[i]] = true;
     }
-    if (*places[i] >= after.places.size()) after.places.resize(*places[i] + 1);
-    after.places[*places[i]] = terms[i];
-    classes.named.push_back({names[i], *places[i], terms[i]});
+    if (*indexes[i] >= after.places.size()) after.places.resize(*indexes[i] + 1);
+    after.places[*indexes[i]] = terms[i];
+    classes.named.push_back({names[i], *indexes[i], terms[i]});
   }
-  // What is free holds nothing that the decisions could reckon with.
+  // Free entries are cleared, so that no decision is based on a class that is no longer used.
   for (std::size_t i = 0; i < taken.size(); ++i) {
     if (!taken[i]) after.places[i] = CallClass{};
   }
--- a/src/core/contracts.cpp
+++ b/src/core/contracts.cpp
@@ -11,7 +11,8 @@
   }
 }
 
-// The team's contract for the class, else its contract for every class, else that of those without one.
+// Order of precedence: the team's contract for the class, the team's contract for every class, the contract
+// of teams without their own for the class, and theirs for every class.
 Contracts::Account* Contracts::find(std::string_view team, std::string_view call_class) {
   Account* best = nullptr;
   int best_rank = 0;
@@ -37,9 +38,9 @@
   terms.deadline = contract.deadline;
   terms.attempts = contract.attempts;
   if (!contract.per_second) return terms;
-  const double since = std::chrono::duration<double>(now - account->filled.value_or(now)).count();
-  account->filled = now;
-  account->tokens = std::min(contract.burst, account->tokens + since * *contract.per_second);
+  const double elapsed_s = std::chrono::duration<double>(now - account->refilled_at.value_or(now)).count();
+  account->refilled_at = now;
+  account->tokens = std::min(contract.burst, account->tokens + elapsed_s * *contract.per_second);
   if (account->tokens >= 1.0) {
     account->tokens -= 1.0;
   } else {
--- a/src/core/contracts.h
+++ b/src/core/contracts.h
@@ -1,4 +1,5 @@
-// Contracts between the broker and the teams whose services call through it, and the budgets they buy.
+// Contracts with the teams whose services send requests: a maximum deadline, a maximum number of attempts and
+// a request budget, which is a token bucket.
 #pragma once
 
 #include <map>
@@ -12,12 +13,12 @@
 namespace graniterun::core {
 
 struct Contract {
-  std::string team{};                       // empty: whoever has no contract of its own
-  std::optional<std::string> call_class{};  // by name; absent: every class
-  std::optional<Duration> deadline{};       // the longest a request may wait, whatever it asks for
-  std::optional<int> attempts{};            // the most for a request
-  std::optional<double> per_second{};       // budget; absent: unlimited
-  double burst = 1.0;                       // requests that may come at once
+  std::string team{};                       // empty: teams without a matching contract
+  std::optional<std::string> call_class{};  // class name; absent: every class
+  std::optional<Duration> deadline{};       // upper bound on a request's deadline, from its arrival
+  std::optional<int> attempts{};            // maximum attempts of a request
+  std::optional<double> per_second{};       // budget in requests per second; absent: unlimited
+  double burst = 1.0;                       // capacity of the token bucket, in requests
 };
 
 class Contracts {
@@ -27,17 +28,19 @@
   struct Terms {
     std::optional<Duration> deadline{};
     std::optional<int> attempts{};
-    // set: refuse at once; the budget has room again after this
+    // Set if the budget is exhausted: the request is to be rejected, and the budget admits one after this
+    // time.
     std::optional<Duration> over_budget_retry_after{};
   };
-  // Takes one request out of the budget, where it has room.
+  // Terms of the contract that applies to the team and class. Takes one request out of its budget, if one is
+  // left.
   Terms admit(Time now, std::string_view team, std::string_view call_class);
 
  private:
   struct Account {
     Contract contract;
     double tokens = 0.0;
-    std::optional<Time> filled{};
+    std::optional<Time> refilled_at{};
   };
   Account* find(std::string_view team, std::string_view call_class);
   std::vector<Account> accounts_;
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -1,4 +1,4 @@
-// What the program has taken in, sent and answered, by name.
+// Named event counters of the process, and gauges.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace graniterun {
 
-// A figure of one thing at one time, such as how hot a number is.
+// A measured value at one moment, such as the call rate of a hot number.
 struct Gauge {
   std::string name{};
   std::string unit{};
@@ -18,6 +18,7 @@
   std::vector<std::pair<std::string, std::string>> attributes{};
 };
 
+// Counters by name. A counter starts at 0 and only grows; one that was never incremented is not listed.
 class Counters {
  public:
   void add(std::string_view name, std::uint64_t count = 1) {
--- a/src/core/deadline_queue.h
+++ b/src/core/deadline_queue.h
@@ -1,5 +1,5 @@
-// What falls due when, in order of time. Setting, clearing and taking out cost O(log n) of what it holds; it
-// holds one entry a key, so it is bounded by whatever bounds the keys.
+// A queue of deadlines, one for each key, in order of time. Setting, clearing and popping cost O(log n) in
+// the number of entries. A key has at most one entry, so the bound on the keys also bounds the queue.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 template <class Key>
 class DeadlineQueue {
  public:
-  // Falls due at `at`; what was set for the key before is void.
+  // Sets the deadline of the key and replaces any earlier one.
   void set(const Key& key, Time at) {
     clear(key);
     at_.emplace(key, at);
@@ -26,7 +26,7 @@
     order_.erase({it->second, key});
     at_.erase(it);
   }
-  // The earliest key that is due by `now`, taken out.
+  // Removes and returns the key with the earliest deadline, if that is at or before `now`.
   std::optional<Key> pop_due(Time now) {
     if (order_.empty() || order_.begin()->first > now) return std::nullopt;
     const Key key = order_.begin()->second;
@@ -34,7 +34,7 @@
     order_.erase(order_.begin());
     return key;
   }
-  // When the next one falls due.
+  // The earliest deadline.
   std::optional<Time> next() const {
     return order_.empty() ? std::nullopt : std::optional(order_.begin()->first);
   }
--- a/src/core/random_id.h
+++ b/src/core/random_id.h
@@ -1,4 +1,5 @@
-// Words of 16 hex digits that nobody else is likely to use: call ids, tags, branches, spans.
+// Generates random 64-bit identifiers as 16 hex digits, for call ids, SIP tags and branches, and span ids.
+// Not cryptographically secure.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,9 @@
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9U;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebU;
     z ^= z >> 31;
-    std::string word(16, '0');
-    for (std::size_t i = 0; i < 16; ++i) word[15 - i] = "0123456789abcdef"[z >> (4 * i) & 15];
-    return word;
+    std::string id(16, '0');
+    for (std::size_t i = 0; i < 16; ++i) id[15 - i] = "0123456789abcdef"[z >> (4 * i) & 15];
+    return id;
   }
 
  private:
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -1,4 +1,5 @@
-// How requests were answered, by class: what operators are told. The broker counts, where it answers.
+// Counts of served, rejected and failed requests by class, for the operators' metrics. The broker increments
+// them when it answers a request.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +16,20 @@
   std::uint64_t failed = 0;
 };
 
-// Only classes that the settings name or have named are counted, so nobody else can make one grow.
+// Counts only classes that the settings name or have named, so that clients cannot add entries.
 class RequestMetrics {
  public:
-  // Classes named by the settings now in force. Those of before keep what was counted, as long as there are
-  // no more than `kMost` in all.
+  // Adds the classes of the active settings, up to kMaxClasses in all. Classes of earlier settings keep their
+  // counts.
   void name(const std::vector<std::string>& classes) {
-    for (const std::string& one : classes) {
-      if (by_class_.size() < kMaxClasses) by_class_.try_emplace(one);
+    for (const std::string& class_name : classes) {
+      if (by_class_.size() < kMaxClasses) by_class_.try_emplace(class_name);
     }
   }
-  void answered(std::string_view call_class, bool served, bool refused) {
+  void count_answer(std::string_view call_class, bool served, bool rejected) {
     const auto it = by_class_.find(call_class);
     if (it == by_class_.end()) return;
-    ++(served ? it->second.served : refused ? it->second.rejected : it->second.failed);
+    ++(served ? it->second.served : rejected ? it->second.rejected : it->second.failed);
   }
   const std::map<std::string, ClassMetrics, std::less<>>& by_class() const { return by_class_; }
 
