--- a/src/call_gapping/gap.cpp
+++ b/src/call_gapping/gap.cpp
@@ -8,8 +8,8 @@
 namespace graniterun::call_gapping {
 namespace {
 
-// Such text comes back in log lines and in answers.
-bool has_control(const std::string& text) {
+// Whether the text has a control character. Texts of an announcement are copied into log lines and answers.
+bool has_control_character(const std::string& text) {
   return std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; });
 }
 
@@ -20,7 +20,7 @@
   for (const std::string& text : texts) {
     if (text.empty()) return std::string("one of the ") + what + " is empty";
     if (too_long(text)) return std::string("one of the ") + what + " is over 128 characters long";
-    if (has_control(text)) return std::string("one of the ") + what + " holds a control character";
+    if (has_control_character(text)) return std::string("one of the ") + what + " holds a control character";
   }
   return {};
 }
@@ -29,7 +29,7 @@
   const Criteria& c = gap.criteria;
   for (const auto& [texts, what] : {std::pair{&c.numbers, "numbers"}, std::pair{&c.prefixes, "prefixes"},
                                     std::pair{&c.classes, "classes"}}) {
-    if (std::string trouble = find_error_in(*texts, what); !trouble.empty()) return trouble;
+    if (std::string error = find_error_in(*texts, what); !error.empty()) return error;
   }
   if (c.numbers.empty() && c.prefixes.empty() && c.classes.empty())
     return "the gap names no number, no prefix and no class: it would be for every call";
@@ -42,12 +42,12 @@
   }
   const int cause = gap.treatment.cause;
   if (cause != 34 && cause != 42 && cause != 102) return "the cause is not 34, 42 or 102";
-  if (too_long(gap.treatment.text) || has_control(gap.treatment.text))
+  if (too_long(gap.treatment.text) || has_control_character(gap.treatment.text))
     return "the words are over 128 characters long or hold a control character";
   return {};
 }
 
-// How much it holds back: more is stricter.
+// Strictness of a gap: greater lets fewer calls pass. A lift has the lowest value.
 double strictness(const Announcement& a) {
   if (!a.gap) return -1.0;
   if (a.gap->shape == Shape::percentage) return 100.0 - a.gap->percent;
@@ -55,9 +55,10 @@
   return std::chrono::duration<double>(*a.gap->interval).count();
 }
 
-auto rest_of(const Announcement& a) {
-  static const Gap kNone{};
-  const Gap& g = a.gap ? *a.gap : kNone;
+// Orders announcements of equal strictness.
+auto tie_breakers(const Announcement& a) {
+  static const Gap kNoGap{};
+  const Gap& g = a.gap ? *a.gap : kNoGap;
   return std::tuple(a.end, a.start, a.created_at, a.author, g.shape, g.criteria.numbers, g.criteria.prefixes,
                     g.criteria.classes, g.treatment.cause, g.treatment.text);
 }
@@ -66,7 +67,7 @@
 
 std::string find_error(const Announcement& a, Time now) {
   if (a.id.empty() || too_long(a.id)) return "the id is empty or over 128 characters long";
-  if (has_control(a.id) || has_control(a.author))
+  if (has_control_character(a.id) || has_control_character(a.author))
     return "the id or the announcer's name holds a control character";
   if (too_long(a.author)) return "the announcer's name is over 128 characters long";
   if (a.version == 0) return "the version is not above 0";
@@ -80,7 +81,7 @@
 bool supersedes(const Announcement& a, const Announcement& b) {
   const double left = strictness(a);
   const double right = strictness(b);
-  return left != right ? left > right : rest_of(a) > rest_of(b);
+  return left != right ? left > right : tie_breakers(a) > tie_breakers(b);
 }
 
 }  // namespace graniterun::call_gapping
--- a/src/call_gapping/gap.h
+++ b/src/call_gapping/gap.h
@@ -1,5 +1,5 @@
 // A call gap and its announcement, in the terms of Q.1218 (gap criteria, gap interval, gap duration, gap
-// treatment). Plain data; what it does is in gap_register.h.
+// treatment), and their validation. Plain data; gap_register.h applies it to calls.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace graniterun::call_gapping {
 
-// Which calls it is for: those to one of the numbers, or to a number that begins with one of the prefixes, or
-// to any where neither is named; and of one of the classes, where any are named. All text is compared to the
-// letter.
+// The calls that a gap applies to. A call matches if its number is listed or starts with a listed prefix, or
+// if no number and no prefix is listed; and if its class is listed, or no class is listed. Comparison is
+// exact.
 struct Criteria {
   std::vector<std::string> numbers{};
   std::vector<std::string> prefixes{};
@@ -22,12 +22,12 @@
 };
 
 enum class Shape : std::uint8_t {
-  whole,        // one slot for all that it is for
-  each_number,  // one slot for each called number
-  percentage,   // a share of the calls passes, drawn at random
+  whole,        // all matching calls share one slot per interval
+  each_number,  // each called number has its own slot per interval
+  percentage,   // a percentage of matching calls passes, drawn at random
 };
 
-// What a gapped call is told. The cause is one of Q.850 that callers take for a refusal: 34, 42 or 102.
+// How a gapped call is answered: a Q.850 cause that callers treat as a rejection (34, 42 or 102) and a text.
 struct Treatment {
   int cause = 42;
   std::string text{};
@@ -37,36 +37,43 @@
 struct Gap {
   Criteria criteria{};
   Shape shape{};
-  // At most one call in so long passes; 0: all pass; absent: none. Not for a percentage.
+  // At most one call passes per interval; 0: all pass; absent: none. Absent for a percentage.
   std::optional<Duration> interval{};
-  double percent{};  // of the calls passes, 0 to 100; only for a percentage
+  double percent{};  // percentage of calls that pass, 0 to 100; only for Shape::percentage
   Treatment treatment{};
   bool operator==(const Gap&) const = default;
 };
 
-// Announced by someone, for a span of Unix time. Of two under an id the higher version holds.
+// One version of a gap, valid from `start` to `end` in Unix time. Of two announcements with one id the higher
+// version applies.
 struct Announcement {
   std::string id{};
   std::uint64_t version{};
   std::string author{};
   Time created_at{};
-  Time start{};  // slots are counted from here
+  Time start{};  // slots are numbered from here
   Time end{};
-  std::optional<Gap> gap{};  // absent: the gap is lifted
+  std::optional<Gap> gap{};  // absent: this version lifts the gap
   bool operator==(const Announcement&) const = default;
 };
 
-constexpr std::size_t kMaxTextLength = 128;                   // of an id, a name, a number, a prefix, words
-constexpr std::size_t kMaxCriteria = 1000;                    // numbers, prefixes and classes of a gap, each
-constexpr Duration kMaxGapDuration = std::chrono::hours(24);  // from `made` to `end`
+// Maximum length in bytes of an id, an author, a number, a prefix, a class name or a treatment's text.
+constexpr std::size_t kMaxTextLength = 128;
+// Maximum count of numbers, of prefixes and of classes of a gap.
+constexpr std::size_t kMaxCriteria = 1000;
+// Maximum time from `created_at` to `end`, and to `start`.
+constexpr Duration kMaxGapDuration = std::chrono::hours(24);
+// Minimum interval of a gap, apart from 0.
 constexpr Duration kMinInterval = std::chrono::milliseconds(10);
-constexpr Duration kMaxClockError = std::chrono::minutes(5);  // by which `made` may lie ahead
+// Maximum time by which `created_at` may be ahead of the local clock.
+constexpr Duration kMaxClockError = std::chrono::minutes(5);
 
-// What is wrong with it, in one line; empty: nothing.
+// Describes the first error in the announcement, in one line; empty if it is valid.
 std::string find_error(const Announcement& a, Time now);
 
-// Of two that name the same id and version: whether the first is to hold wherever both are heard, in whatever
-// order. The stricter one does, so that a quarrel between two announcers never lets a flood through.
+// Whether `a` replaces `b`, of two different announcements with the same id and version. The order is total,
+// so gatekeepers that have received both agree in whatever order they came. The stricter gap wins, so that
+// two conflicting announcers never let a flood through.
 bool supersedes(const Announcement& a, const Announcement& b);
 
 }  // namespace graniterun::call_gapping
--- a/src/call_gapping/hot_numbers.cpp
+++ b/src/call_gapping/hot_numbers.cpp
@@ -8,56 +8,58 @@
 
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-// Units grow by e once per `memory`; well before a double can't hold them they are brought down.
+// The unit grows by a factor of e per rate window. Counts are scaled down at e^200, far below the maximum of
+// a double (about e^709).
 constexpr double kMaxExponent = 200.0;
 
 }  // namespace
 
 double HotNumbers::unit(Time now) const {
-  return std::exp(std::max(0.0, seconds(now - base_) / seconds(settings_.rate_window)));
+  return std::exp(std::max(0.0, seconds(now - unit_base_) / seconds(settings_.rate_window)));
 }
 
 void HotNumbers::renormalize(Time now) {
-  if (base_ == Time{}) base_ = now;
-  if (seconds(now - base_) / seconds(settings_.rate_window) < kMaxExponent) return;
-  const double by = 1.0 / unit(now);
+  if (unit_base_ == Time{}) unit_base_ = now;
+  if (seconds(now - unit_base_) / seconds(settings_.rate_window) < kMaxExponent) return;
+  const double factor = 1.0 / unit(now);
   order_.clear();
   for (auto& [number, e] : entries_) {
-    e.count *= by;
-    e.error *= by;
+    e.count *= factor;
+    e.error *= factor;
     order_.emplace(e.count, number);
   }
-  base_ = now;
+  unit_base_ = now;
 }
 
 void HotNumbers::record_call(Time now, std::string_view number) {
   renormalize(now);
   std::string key(number);
-  const double one = unit(now);
+  const double increment = unit(now);
   auto it = entries_.find(key);
   if (it == entries_.end()) {
-    Entry fresh;
+    Entry new_entry;
     if (entries_.size() >= kMaxEntries) {
-      // The least called makes room. One that is hot stays until it was told that it is so no more.
-      auto least = order_.begin();
-      while (least != order_.end() && entries_.at(least->second).hot) ++least;
-      if (least == order_.end()) return;
-      fresh.count = fresh.error = least->first;
-      entries_.erase(least->second);
-      order_.erase(least);
+      // The least called number is replaced. Hot numbers are kept until update() has reported them as cool.
+      auto lowest = order_.begin();
+      while (lowest != order_.end() && entries_.at(lowest->second).hot) ++lowest;
+      if (lowest == order_.end()) return;
+      new_entry.count = new_entry.error = lowest->first;
+      entries_.erase(lowest->second);
+      order_.erase(lowest);
     }
-    it = entries_.emplace(std::move(key), fresh).first;
+    it = entries_.emplace(std::move(key), new_entry).first;
   } else {
     order_.erase({it->second.count, it->first});
   }
-  it->second.count += one;
+  it->second.count += increment;
   order_.emplace(it->second.count, it->first);
 }
 
-HotNumber HotNumbers::describe(Time now, const std::string& number, const Entry& e) const {
-  // A steady rate r adds up to r x memory units.
-  const double per = unit(now) * seconds(settings_.rate_window);
-  return {number, e.count / per, e.error / per, e.above.value_or(now), e.gapped};
+HotNumber HotNumbers::describe(Time now, const std::string& number, const Entry& entry) const {
+  // A constant rate r adds up to a count of r x rate window x unit.
+  const double count_per_rate = unit(now) * seconds(settings_.rate_window);
+  return {number, entry.count / count_per_rate, entry.error / count_per_rate, entry.above_since.value_or(now),
+          entry.gapped};
 }
 
 std::vector<HotNumbers::Change> HotNumbers::update(Time now) {
@@ -67,7 +69,7 @@
     const HotNumber state = describe(now, it->first, entry);
     update_thresholds(now, state, entry);
     update_state(now, it->first, entry, changes);
-    if (!entry.hot && state.rate * seconds(settings_.rate_window) < 0.1) {  // long not called
+    if (!entry.hot && state.rate * seconds(settings_.rate_window) < 0.1) {  // not called for a long time
       order_.erase({entry.count, it->first});
       it = entries_.erase(it);
     } else {
@@ -77,39 +79,39 @@
   return changes;
 }
 
-// Since when it has been over the upper threshold by what is certain, or under the lower one.
+// Updates since when the rate has been above hot_threshold even without its error, or below cool_threshold.
 void HotNumbers::update_thresholds(Time now, const HotNumber& state, Entry& entry) const {
-  const double certain = state.rate - state.error;
-  if (certain >= settings_.hot_threshold) {
-    if (!entry.above) entry.above = now;
-    entry.below.reset();
+  const double guaranteed_rate = state.rate - state.error;
+  if (guaranteed_rate >= settings_.hot_threshold) {
+    if (!entry.above_since) entry.above_since = now;
+    entry.below_since.reset();
   } else if (state.rate < settings_.cool_threshold) {
-    if (!entry.below) entry.below = now;
+    if (!entry.below_since) entry.below_since = now;
   } else {
-    entry.below.reset();
+    entry.below_since.reset();
   }
-  if (!entry.hot && certain < settings_.hot_threshold) entry.above.reset();
+  if (!entry.hot && guaranteed_rate < settings_.hot_threshold) entry.above_since.reset();
 }
 
 void HotNumbers::update_state(Time now, const std::string& number, Entry& entry,
                               std::vector<Change>& changes) {
   const auto add = [&](Change::What what) { changes.push_back({what, describe(now, number, entry)}); };
-  if (!entry.hot && entry.above && now - *entry.above >= settings_.hot_duration) {
+  if (!entry.hot && entry.above_since && now - *entry.above_since >= settings_.hot_duration) {
     entry.hot = true;
     add(Change::What::hot);
   }
-  if (entry.hot && !entry.gapped && !entry.below && gapped_ < settings_.max_gaps) {
+  if (entry.hot && !entry.gapped && !entry.below_since && gapped_ < settings_.max_gaps) {
     entry.gapped = true;
     ++gapped_;
     add(Change::What::gap);
   }
-  if (!entry.hot || !entry.below || now - *entry.below < settings_.cool_duration) return;
+  if (!entry.hot || !entry.below_since || now - *entry.below_since < settings_.cool_duration) return;
   if (entry.gapped) {
     --gapped_;
     add(Change::What::lift);
   }
   entry.hot = entry.gapped = false;
-  entry.above.reset();
+  entry.above_since.reset();
   add(Change::What::cool);
 }
 
--- a/src/call_gapping/hot_numbers.h
+++ b/src/call_gapping/hot_numbers.h
@@ -1,9 +1,10 @@
-// The called numbers that most calls go to, found in bounded memory: Space-Saving (Metwally et al.) over
-// counts that decay, so that a count stands for a rate. A number that is hot for long enough may be given a
-// gap by the program itself; it is lifted once the calls stay away. Pure.
+// Detects the most frequently called numbers in bounded memory: Space-Saving (Metwally et al.) with
+// exponentially decaying counts, so that a count represents a call rate. The program may announce a gap for a
+// number that has been hot for long enough, and lifts it once the calls have stopped. Pure: no I/O, no clock.
 //
-// Errs upwards only: a number that takes the place of the least called inherits its count, and is told with
-// that as its error; it counts as hot by what is certain. Memory: kMost entries; O(log kMost) a call.
+// Rates are only overestimated: a number that replaces the least called one inherits its count and reports
+// that count as its error. A number becomes hot by its rate minus the error. Memory: kMaxEntries entries.
+// Cost: O(log kMaxEntries) per call.
 #pragma once
 
 #include <cstdint>
@@ -19,62 +20,67 @@
 namespace graniterun::call_gapping {
 
 struct HotSettings {
-  double hot_threshold = 20.0;  // calls a second
-  Duration hot_duration = std::chrono::seconds(2);
-  double cool_threshold = 5.0;
-  Duration cool_duration = std::chrono::seconds(30);
-  std::size_t max_gaps = 0;  // announced by the program itself at a time; 0: it announces none
-  Duration rate_window = std::chrono::seconds(5);  // over which rates are taken
+  double hot_threshold = 20.0;                        // calls per second
+  Duration hot_duration = std::chrono::seconds(2);    // minimum time above the threshold to become hot
+  double cool_threshold = 5.0;                        // calls per second
+  Duration cool_duration = std::chrono::seconds(30);  // minimum time below the threshold to become cool
+  std::size_t max_gaps = 0;  // maximum number of gaps announced by the program at a time; 0: none
+  Duration rate_window = std::chrono::seconds(5);  // time constant of the decay
 };
 
 struct HotNumber {
   std::string number{};
-  double rate{};   // calls a second, at most
-  double error{};  // of which so many may be others'
-  Time since{};    // hot, without a break
-  bool gapped{};   // by the program itself
+  double rate{};   // upper bound of the calls per second
+  double error{};  // part of `rate` that may be calls to other numbers
+  Time since{};    // when the rate rose above hot_threshold
+  bool gapped{};   // the program has announced a gap for it
 };
 
 class HotNumbers {
  public:
+  // Maximum number of called numbers that are tracked.
   static constexpr std::size_t kMaxEntries = 512;
 
   explicit HotNumbers(HotSettings settings) : settings_(settings) {}
 
+  // Counts one call to the number.
   void record_call(Time now, std::string_view number);
 
   struct Change {
     enum class What : std::uint8_t { hot, cool, gap, lift } what{};
     HotNumber number{};
   };
-  // To be called now and then, some times a second: what has become hot or cool since.
+  // Returns the changes since the last update. To be called a few times per second.
   std::vector<Change> update(Time now);
-  // Those that are hot, the hottest first.
+  // The hot numbers, in descending order of rate.
   std::vector<HotNumber> hot(Time now) const;
+  // Tracked numbers.
   std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    double count = 0.0;  // in units that grow with time
+    double count = 0.0;  // in units of unit(), which grows with time
     double error = 0.0;
-    std::optional<Time> above{};  // since when it is over the threshold
-    std::optional<Time> below{};  // since when it is under the lower one
+    std::optional<Time> above_since{};  // begin of the time above hot_threshold
+    std::optional<Time> below_since{};  // begin of the time below cool_threshold
     bool hot = false;
     bool gapped = false;
   };
   using Entries = std::unordered_map<std::string, Entry>;
 
+  // What one call at `now` adds to a count. Growing units replace decaying all counts.
   double unit(Time now) const;
+  // Scales all counts down before the units overflow.
   void renormalize(Time now);
-  HotNumber describe(Time now, const std::string& number, const Entry& e) const;
+  HotNumber describe(Time now, const std::string& number, const Entry& entry) const;
   void update_thresholds(Time now, const HotNumber& state, Entry& entry) const;
   void update_state(Time now, const std::string& number, Entry& entry, std::vector<Change>& changes);
 
   HotSettings settings_;
   Entries entries_;
   std::set<std::pair<double, std::string>> order_;  // by count
-  Time base_{};                                     // when a call counted 1
-  std::size_t gapped_ = 0;
+  Time unit_base_{};                                // when unit() was 1
+  std::size_t gapped_ = 0;                          // entries with a gap
 };
 
 }  // namespace graniterun::call_gapping
--- a/src/call_gapping/slot_failover.h
+++ b/src/call_gapping/slot_failover.h
@@ -1,19 +1,24 @@
-// The slots of a gatekeeper that is gone go to the next one in turn, so that they are not lost until somebody
-// edits files. Pure.
+// Failover of slots: the slots of a gatekeeper whose process has ended are used by the next gatekeeper in
+// turn, so that they are not lost until the configuration is edited. Pure: no I/O, no clock.
 //
-// What counts as gone is a port that refuses: the kernel gives a process' port back when it ends, and not
-// while it is stopped. Who holds the port may use its own slots; nobody else's word is needed, and no
-// agreement. Why no slot is used twice, with clocks at most kMaxClockSkew apart:
-//   - a refusal proves that at some moment between the asking and the answer nobody held the port;
-//   - what the process that is gone used, or ceded ahead, lies before kTakeoverDelay after the first refusal;
-//   - a process that takes the port uses no slot for kMaxCedeAhead, so one that came and went between two
-//   refusals no
-//     more than kMaxProbeGap apart has used none;
-//   - an heir uses a slot only within kProbeValidity of asking, before a process that has come since may use
-//   any;
-//   - to be the heir, all between the owner and oneself must be gone in the same way. What was inherited is
-//   not ceded.
-// A process that is stopped, cut off, or on a machine that vanished refuses nothing: its slots wait for it.
+// A gatekeeper counts as ended when its port refuses connections: the kernel releases the port of a process
+// that ends, but not of one that is stopped (SIGSTOP). The process that holds a gatekeeper's port may use its
+// slots without agreement with anyone. No slot is used twice, with clocks at most kMaxClockSkew apart,
+// because:
+//   - a refusal proves that at some moment between probe and answer no process held the port;
+//   - the slots that the ended process used, or ceded ahead, start before kTakeoverDelay after the first
+//   refusal;
+//   - a process that acquires the port uses no slot for kMaxCedeAhead, so a process that started and ended
+//   between
+//     two refusals at most kMaxProbeGap apart has used none;
+//   - a successor uses a slot only within kProbeValidity of sending a refused probe, which is before a
+//   process
+//     started since then may use any;
+//   - a successor takes over only if all gatekeepers from the owner to itself have ended, by the same rule.
+//   Slots
+//     that were taken over are not ceded.
+// A process that is stopped or partitioned, or whose machine has failed, refuses nothing, so its slots stay
+// unused.
 #pragma once
 
 #include <optional>
@@ -25,34 +30,40 @@
 
 class SlotFailover {
  public:
+  // Maximum difference between the clocks of two gatekeepers.
   static constexpr Duration kMaxClockSkew = std::chrono::milliseconds(400);
+  // Time from the sending of a refused probe during which the port counts as free.
   static constexpr Duration kProbeValidity = std::chrono::milliseconds(1200);
+  // Maximum time from sending a refused probe to the next refusal in an unbroken series.
   static constexpr Duration kMaxProbeGap = std::chrono::milliseconds(1500);
+  // Time from the first refusal to the first slot that may be taken over.
   static constexpr Duration kTakeoverDelay = std::chrono::milliseconds(2500);
 
-  explicit SlotFailover(Fleet fleet) : fleet_(fleet), absences_(fleet.size) {}
+  explicit SlotFailover(Fleet fleet) : fleet_(fleet), refusals_(fleet.size) {}
 
-  // The port of that gatekeeper was asked at `asked`, and the refusal came at `now`.
-  void mark_unreachable(Time now, std::uint32_t who, Time asked);
-  // Something was heard of it.
-  void mark_alive(std::uint32_t who);
-  // Whether this gatekeeper may use a slot of `owner` now; the slot began at `began`.
-  bool may_take_over(Time now, Time began, std::uint32_t owner) const;
-  // Whose ports are to be asked, again and again: those before this one that are gone, and the first that is
-  // not.
+  // The port of the gatekeeper refused, at `now`, a probe sent at `probe_sent_at`.
+  void mark_unreachable(Time now, std::uint32_t gatekeeper, Time probe_sent_at);
+  // A message of the gatekeeper was received: its process runs.
+  void mark_alive(std::uint32_t gatekeeper);
+  // Whether this gatekeeper may use, at `now`, a slot of `owner` that started at `slot_start`.
+  bool may_take_over(Time now, Time slot_start, std::uint32_t owner) const;
+  // Gatekeepers whose ports are to be probed periodically: those directly before this one in turn that have
+  // ended, and the first before them that has not.
   std::vector<std::uint32_t> ports_to_watch(Time now) const;
-  // Those whose slots this one has now.
+  // Number of gatekeepers whose slots this one uses at `now`.
   std::size_t taken_over(Time now) const;
 
  private:
-  struct Absence {
-    Time since{};          // of the first refusal in an unbroken row
-    Time last_probe_at{};  // before the last one
+  // An unbroken series of refused probes to one gatekeeper.
+  struct RefusalSeries {
+    Time first_refused_at{};
+    Time last_probe_sent_at{};
   };
-  bool is_absent(Time now, std::uint32_t who) const;
+  // Whether the gatekeeper's port is known to be free at `now`.
+  bool has_ended(Time now, std::uint32_t gatekeeper) const;
 
   Fleet fleet_;
-  std::vector<std::optional<Absence>> absences_;
+  std::vector<std::optional<RefusalSeries>> refusals_;  // by index of the gatekeeper
 };
 
 }  // namespace graniterun::call_gapping
