--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,5 +1,6 @@
-// The gatekeeper's place in its fleet: datagrams in and out for the membership, and what it finds told to the
-// log, the counters and whoever watches. A sub-reducer; it alone speaks between gatekeepers.
+// Connects the membership state machine to the gatekeeper: decodes and encodes its datagrams, and reports its
+// events to the log, the counters and the watchers. A sub-reducer, and the only part that communicates with
+// other gatekeepers.
 #pragma once
 
 #include <functional>
@@ -17,13 +18,14 @@
 
 class Fleet {
  public:
-  // Told of each change, after it has been taken.
+  // Called for each membership event, after the membership has applied it.
   using Watcher = std::function<void(Time now, const membership::MemberEvent& event, Outbox& out)>;
-  // Told when this process has the fleet's port, and when it has it no more; and of members that are gone for
-  // sure.
-  struct SlotPlaces {
-    std::function<void(Time now, bool holds)> owned{};
-    std::function<void(Time now, const std::string& name, Time asked)> port_released{};
+  // Callbacks for slot failover, which relies on who holds a fleet port. `owned` is called when this process
+  // binds its fleet port and when it releases it, `port_released` when a watched dead member's port was found
+  // free. `ports_to_watch` returns the names of the members to watch.
+  struct PortCallbacks {
+    std::function<void(Time now, bool owned)> owned{};
+    std::function<void(Time now, const std::string& name, Time probed_at)> port_released{};
     std::function<std::set<std::string>(Time now)> ports_to_watch{};
   };
 
@@ -35,13 +37,14 @@
   void on(Time now, const net::Bound& event, Outbox& out);
   void on(Time now, const net::BindFailed& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
-  // At the end of this process, or because an operator says so. With a successor its port is free at once.
-  void leave(Time now, bool successor, Outbox& out);
+  // Leaves the fleet, at the end of this process or on an operator's request. With `handover` another process
+  // continues under this name: no leave is announced, and the port is released after a short notice period.
+  void leave(Time now, bool handover, Outbox& out);
 
-  void places(SlotPlaces places) { places_ = std::move(places); }
+  void places(PortCallbacks places) { port_callbacks_ = std::move(places); }
   void watch(Watcher watcher) { watchers_.push_back(std::move(watcher)); }
   const membership::Membership& membership() const { return membership_; }
-  // For the control listener: `fleet` with `what` members, view or leave.
+  // Answers a `fleet` request of the control listener, whose `what` is members, view or leave.
   nlohmann::json answer(Time now, const nlohmann::json& line, Outbox& out);
   std::vector<Gauge> gauges(Time now) const;
   void count(Counters& all) const;
@@ -54,7 +57,7 @@
   RateLimitedWarning decode_warning_;
   membership::Membership membership_;
   std::vector<Watcher> watchers_;
-  SlotPlaces places_{};
+  PortCallbacks port_callbacks_{};
   bool stopped_ = false;
 };
 
--- a/src/fleet/settings.h
+++ b/src/fleet/settings.h
@@ -1,4 +1,4 @@
-// What the deploy file says of the fleet.
+// The fleet's part of the deploy file.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 namespace graniterun::fleet {
 
 struct FleetSettings {
-  std::string fleet{};   // its name: datagrams of another one are dropped
-  std::string listen{};  // address:port, UDP, of its own
+  std::string fleet{};   // name of the fleet; datagrams of other fleets are dropped
+  std::string listen{};  // UDP address:port used only for the fleet; empty: not part of a fleet
   Key key{};
   membership::Settings membership{};
 };
--- a/src/membership/broadcast_queue.h
+++ b/src/membership/broadcast_queue.h
@@ -1,5 +1,6 @@
-// Which names' records are to be told on, and how often each has been told: those told least go first, and
-// each is told about as often as it takes to reach a fleet of that size (SWIM, section 4.1).
+// The gossip queue: names of the records still to be broadcast, and how often each was transmitted. Records
+// with the fewest transmissions go first; each is dropped after the number of transmissions that reaches a
+// fleet of the given size (SWIM, section 4.1).
 #pragma once
 
 #include <map>
@@ -12,13 +13,13 @@
 
 class BroadcastQueue {
  public:
-  // News of that name: what was told of it before is told no more.
+  // Queues a changed record; its transmission count starts again at 0.
   void add(const std::string& name) {
-    drop(name);
+    remove(name);
     transmissions_.emplace(name, 0);
     order_.emplace(0, name);
   }
-  void drop(const std::string& name) {
+  void remove(const std::string& name) {
     const auto it = transmissions_.find(name);
     if (it == transmissions_.end()) return;
     order_.erase({it->second, name});
@@ -27,21 +28,22 @@
   bool empty() const { return transmissions_.empty(); }
   std::size_t size() const { return transmissions_.size(); }
 
-  // Takes names for one datagram: `fits` is asked of each and says whether it has room there. Each taken one
-  // counts as told once more, and goes when it has been told `most` times. O(log n) a name taken.
+  // Selects names for one datagram: `fits` is called for each in order and returns false when the datagram
+  // has no room for it. Each selected name counts as transmitted once more, and is removed after
+  // `transmission_limit` transmissions. O(log n) per selected name.
   template <class Fits>
-  std::vector<std::string> next_batch(int most, Fits fits) {
-    std::vector<std::pair<int, std::string>> taken;
-    for (const auto& next : order_) {
-      if (!fits(next.second)) break;
-      taken.push_back(next);
+  std::vector<std::string> next_batch(int transmission_limit, Fits fits) {
+    std::vector<std::pair<int, std::string>> batch;
+    for (const auto& entry : order_) {
+      if (!fits(entry.second)) break;
+      batch.push_back(entry);
     }
     std::vector<std::string> names;
-    for (auto& [times, name] : taken) {
-      order_.erase({times, name});
-      if (times + 1 < most) {
-        order_.emplace(times + 1, name);
-        transmissions_.at(name) = times + 1;
+    for (auto& [transmissions, name] : batch) {
+      order_.erase({transmissions, name});
+      if (transmissions + 1 < transmission_limit) {
+        order_.emplace(transmissions + 1, name);
+        transmissions_.at(name) = transmissions + 1;
       } else {
         transmissions_.erase(name);
       }
@@ -52,7 +54,7 @@
 
  private:
   std::map<std::string, int> transmissions_;
-  std::set<std::pair<int, std::string>> order_;
+  std::set<std::pair<int, std::string>> order_;  // by transmission count, then name
 };
 
 }  // namespace graniterun::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,41 +11,46 @@
 
 using namespace std::chrono_literals;
 
-// A ping of ours is remembered so long for its answer. After a pause none is: answers then come late.
+// How long a sent ping waits for its answer. A pause of this process discards all pending pings, because
+// their answers would arrive late.
 constexpr Duration kPingRetention = 2s;
 constexpr std::size_t kMaxPendingPings = 1024;
 constexpr std::size_t kMaxUnknownSenders = 256;
-constexpr Duration kUnknownSenderInterval = 200ms;
-// A stop of this process is one from this lateness of its own tick on.
+constexpr Duration kUnknownSenderInterval = 200ms;  // between pings to one unknown sender
+// Minimum lateness of this process's own tick that counts as a pause.
 constexpr Duration kPauseThreshold = 400ms;
-// A port that refuses is asked again after so long: a process that is just binding is no dead one.
+// Delay before an unreachable port is pinged again: a process that is about to bind its port is not dead.
 constexpr Duration kUnreachableRecheckDelay = 100ms;
-// A death that others tell of is believed when the member has not answered an own ping for so long.
+// A death reported by others is accepted when the member has not answered this process's ping for this time.
 constexpr Duration kReportedDeathTimeout = 1s;
-// Where no other member can be asked, only so long a silence is held against one.
+// If no other member responds to indirect probes, only a member that has been silent this long is suspected.
 constexpr Duration kIsolationTimeout = 10s;
-// A successor has so long to come up.
+// Time limit for the process that takes over at a handover to start; until then the member is not suspected.
 constexpr Duration kHandoverTimeout = 5s;
-constexpr Duration kHandoverNoticePeriod = 300ms;  // so long it is told, before the port is free
-// A process that gets no answer from any seed goes on alone.
+constexpr Duration kHandoverNoticePeriod = 300ms;  // from the handover notice to the release of the port
+// A process that gets no answer from any seed announces itself after this time.
 constexpr Duration kStartAloneDelay = 300ms;
-constexpr Duration kSeedIntervalAlone = 200ms;
-constexpr Duration kSeedInterval = 1s;
-constexpr Duration kReconnectInterval = 500ms;
-constexpr Duration kSyncDelay = 200ms;
-constexpr Duration kSettleDelay = 400ms;
-constexpr std::size_t kMaxSyncDatagrams = 24;
+constexpr Duration kSeedIntervalAlone = 200ms;  // between pings to missing seeds while no member is known
+constexpr Duration kSeedInterval = 1s;          // the same with members known
+constexpr Duration kReconnectInterval = 500ms;  // between pings to dead members, one member each time
+constexpr Duration kSyncDelay = 200ms;          // from a differing digest to the sync request
+constexpr Duration kSettleDelay = 400ms;        // without a change before the view counts as settled
+constexpr std::size_t kMaxSyncDatagrams = 24;   // in the answer to one sync request
 constexpr Duration kDuplicateProbeInterval = 300ms;
-constexpr int kMaxDuplicateProbes = 3;
+constexpr int kMaxDuplicateProbes = 3;  // without an answer, before the name counts as free
 constexpr Duration kStoodDownRecheckInterval = 2s;
-constexpr int kMaxIncarnationsInARow = 6;
-constexpr Duration kIncarnationRunReset = 1min;
-constexpr int kRetransmitMultiplier = 4;            // times log10 of the fleet, each rumour is told
-constexpr std::size_t kMaxLeaveNotifications = 64;  // members that one who leaves tells by itself
+// Bounds a contest of two processes that overrule each other's incarnation; the count starts again after a
+// minute without a new incarnation.
+constexpr int kMaxConsecutiveIncarnations = 6;
+constexpr Duration kIncarnationCountResetDelay = 1min;
+// A record is broadcast this many times the logarithm (base 10) of the fleet size.
+constexpr int kRetransmitMultiplier = 4;
+constexpr std::size_t kMaxLeaveNotifications = 64;  // members that a leaving process notifies directly
 
 std::size_t bucket_of(const std::string& name) { return XXH3_64bits(name.data(), name.size()) % kBuckets; }
 
-// Suspicions come and go at different times everywhere: they are no part of what is compared.
+// Hash of a record for the table digests. A suspect hashes as alive: suspicions begin and end at different
+// times at different members and must not make their digests differ.
 std::uint64_t hash_of(const Record& record) {
   const State state = record.state == State::suspect ? State::alive : record.state;
   const std::string text = record.name + '\n' + std::to_string(record.incarnation) + '\n' +
@@ -54,32 +59,32 @@
   return XXH3_64bits(text.data(), text.size());
 }
 
-// As it was before it was doubted.
+// The record as it was before the suspicion.
 Record without_suspicion(Record record) {
   record.state = State::alive;
   record.suspecting_member.clear();
   return record;
 }
 
-std::string ms_text(Duration duration) {
+std::string format_ms(Duration duration) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count()) + " ms";
 }
 
 }  // namespace
 
-std::string_view to_string(MemberEventKind what) {
-  constexpr std::string_view kWords[] = {"joined",  "suspected", "refuted",   "died",       "left",
+std::string_view to_string(MemberEventKind kind) {
+  constexpr std::string_view kNames[] = {"joined",  "suspected", "refuted",   "died",       "left",
                                          "settled", "paused",    "caught-up", "name-taken", "yielded"};
-  return kWords[static_cast<std::size_t>(what)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
-std::string_view to_string(Reachability reach) {
-  constexpr std::string_view kWords[] = {"unknown", "direct", "through-others", "none"};
-  return kWords[static_cast<std::size_t>(reach)];
+std::string_view to_string(Reachability reachability) {
+  constexpr std::string_view kNames[] = {"unknown", "direct", "through-others", "none"};
+  return kNames[static_cast<std::size_t>(reachability)];
 }
-std::string_view to_string(DropReason drop) {
-  constexpr std::string_view kWords[] = {"not_in_roster", "misdirected", "old_life", "doubled",
+std::string_view to_string(DropReason reason) {
+  constexpr std::string_view kNames[] = {"not_in_roster", "misdirected", "old_life", "doubled",
                                          "too_old",       "unverified",  "full",     "own"};
-  return kWords[static_cast<std::size_t>(drop)];
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 Membership::Membership(Settings settings) : settings_(std::move(settings)), random_(settings_.seed) {
@@ -91,14 +96,14 @@
 }
 
 void Membership::step(Time now, const Event& event, Effects& effects) {
-  out_ = &effects;
-  std::visit([&](const auto& notice) { on(now, notice); }, event);
-  out_ = nullptr;
+  effects_ = &effects;
+  std::visit([&](const auto& received) { on(now, received); }, event);
+  effects_ = nullptr;
 }
 
-// ---- what is held
+// ---- member table
 
-Membership::Peer* Membership::find(const std::string& name) {
+Membership::Peer* Membership::find_peer(const std::string& name) {
   const auto it = peers_.find(name);
   return it == peers_.end() ? nullptr : &it->second;
 }
@@ -115,14 +120,16 @@
   digest_ += hash;
 }
 
-// Takes `r` for what is known of that name now, and keeps all that follows from it in step.
+// Replaces the peer's record and updates everything derived from it: digests, indexes, counters, timers and
+// the broadcast queue.
 void Membership::store_record(Time now, Peer& peer, const Record& record) {
-  const bool was = peer.record.is_member();
-  const bool moved = peer.record.address != record.address || was != record.is_member();
+  const bool was_member = peer.record.is_member();
+  const bool address_index_changes =
+      peer.record.address != record.address || was_member != record.is_member();
   if (!peer.broadcast_ended) update_digest(peer.record, -1);
-  if (moved && was) by_address_.erase(peer.record.address);
+  if (address_index_changes && was_member) members_by_address_.erase(peer.record.address);
   if (!peer.record.same_incarnation(record) || !record.is_member()) {
-    if (peer.verified) --verified_;
+    if (peer.verified) --verified_count_;
     peer.verified = false;
   }
   if (!peer.record.same_incarnation(record)) {
@@ -145,23 +152,24 @@
   peer.reported_death.reset();
   reported_deaths_.clear(record.name);
   if (record.state == State::alive) peer.unreachable_since.reset();
-  if (moved && record.is_member()) by_address_[record.address] = record.name;
-  if (was != record.is_member()) record.is_member() ? count_member_in(record) : count_member_out(now, record);
+  if (address_index_changes && record.is_member()) members_by_address_[record.address] = record.name;
+  if (was_member != record.is_member())
+    record.is_member() ? on_member_added(record) : on_member_removed(now, record);
   changed_at_ = now;
   broadcast(record.name);
 }
 
-void Membership::count_member_in(const Record& record) {
-  ++members_;
+void Membership::on_member_added(const Record& record) {
+  ++member_count_;
   expirations_.clear(record.name);
-  // Anywhere in the round, so that nobody knows who is probed next.
-  const std::size_t at = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
+  // At a random position of the probe round (SWIM, section 4.3), so that the next target is not predictable.
+  const std::size_t position = probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1);
   if (std::find(probe_order_.begin(), probe_order_.end(), record.name) == probe_order_.end())
-    probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(at), record.name);
+    probe_order_.insert(probe_order_.begin() + static_cast<std::ptrdiff_t>(position), record.name);
 }
 
-void Membership::count_member_out(Time now, const Record& record) {
-  --members_;
+void Membership::on_member_removed(Time now, const Record& record) {
+  --member_count_;
   expirations_.set(record.name, now + settings_.dead_member_retention / 2);
 }
 
@@ -172,8 +180,8 @@
   update_digest(record, 1);
   if (record.state == State::dead) dead_members_.insert(record.name);
   if (record.is_member()) {
-    ++members_;
-    by_address_[record.address] = record.name;
+    ++member_count_;
+    members_by_address_[record.address] = record.name;
     probe_order_.insert(
         probe_order_.begin() +
             static_cast<std::ptrdiff_t>(probe_order_.empty() ? 0 : random_() % (probe_order_.size() + 1)),
@@ -193,15 +201,16 @@
   reported_deaths_.clear(it->first);
   suspects_.clear(it->first);
   unreachable_checks_.clear(it->first);
-  broadcasts_.drop(it->first);
+  broadcasts_.remove(it->first);
   std::erase(probe_order_, it->first);
   probe_position_ = std::min(probe_position_, probe_order_.size());
   peers_.erase(it);
 }
 
-// For one more name. Those that are gone make room for those that are there.
+// Makes room for one more member: erases the record that has been dead or departed longest if the table is
+// full. Returns false if members alone fill it.
 bool Membership::make_room() {
-  if (members_known() >= kMaxMembers) return false;
+  if (fleet_size() >= kMaxMembers) return false;
   if (peers_.size() < 2 * kMaxMembers) return true;
   auto oldest = peers_.end();
   for (auto it = peers_.begin(); it != peers_.end(); ++it) {
@@ -223,143 +232,150 @@
     member.self = true;
     return member;
   };
-  bool said = false;
-  for (const auto& [name, p] : peers_) {
-    if (!said && self_.name < name) {
+  bool self_added = false;
+  for (const auto& [name, peer] : peers_) {
+    if (!self_added && self_.name < name) {
       all.push_back(self());
-      said = true;
+      self_added = true;
     }
     MemberView member;
-    member.record = p.record;
-    member.state_since = p.state_since;
-    member.last_received_at = p.last_received_at;
-    if (p.first_unanswered_at) {
-      member.reachability = p.last_relayed_ack_at && *p.last_relayed_ack_at >= *p.first_unanswered_at
+    member.record = peer.record;
+    member.state_since = peer.state_since;
+    member.last_received_at = peer.last_received_at;
+    if (peer.first_unanswered_at) {
+      member.reachability = peer.last_relayed_ack_at && *peer.last_relayed_ack_at >= *peer.first_unanswered_at
                                 ? Reachability::through_others
                                 : Reachability::none;
-    } else if (p.last_ack_at) {
+    } else if (peer.last_ack_at) {
       member.reachability = Reachability::direct;
     }
     all.push_back(std::move(member));
   }
-  if (!said) all.push_back(self());
+  if (!self_added) all.push_back(self());
   return all;
 }
 
-std::size_t Membership::in_touch(Time now) const {
-  return static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& p) {
-    return p.second.record.is_member() && p.second.last_received_at && now - *p.second.last_received_at <= 2s;
+std::size_t Membership::recent_contact_count(Time now) const {
+  return static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
+    return entry.second.record.is_member() && entry.second.last_received_at &&
+           now - *entry.second.last_received_at <= 2s;
   }));
 }
 
 std::size_t Membership::memory() const {
-  constexpr std::size_t kNode = 64;  // of a map, about
+  constexpr std::size_t kMapNodeBytes = 64;  // approximate
   std::size_t bytes = sizeof *this;
-  for (const auto& [name, p] : peers_) {
-    bytes += kNode + sizeof p + 3 * name.capacity() + p.record.name.capacity() + p.record.address.capacity() +
-             p.record.suspecting_member.capacity() + 2 * kNode;
+  for (const auto& [name, peer] : peers_) {
+    bytes += kMapNodeBytes + sizeof peer + 3 * name.capacity() + peer.record.name.capacity() +
+             peer.record.address.capacity() + peer.record.suspecting_member.capacity() + 2 * kMapNodeBytes;
   }
   return bytes + probe_order_.capacity() * sizeof(std::string) +
-         pending_pings_.size() * (kNode + sizeof(PendingPing)) + broadcasts_.size() * kNode;
+         pending_pings_.size() * (kMapNodeBytes + sizeof(PendingPing)) + broadcasts_.size() * kMapNodeBytes;
 }
 
-// ---- saying
+// ---- sending
 
 void Membership::attach_broadcasts(Datagram& datagram) {
   std::size_t bytes = 0;
-  // Whoever has just been stopped may know what is long refuted.
+  // A process that is catching up after a pause may hold suspicions that were refuted long ago, so it sends
+  // only its own record.
   const auto fits = [&](const std::string& name) {
     const Record* record = record_of(name);
     if (record == nullptr || (catching_up_ && name != self_.name))
-      return true;  // counts as told, and is left out
-    if (bytes + bytes_of(*record) > kRecordBytes) return false;
-    bytes += bytes_of(*record);
+      return true;  // counts as transmitted, but is left out
+    if (bytes + max_encoded_bytes(*record) > kMaxRecordBytes) return false;
+    bytes += max_encoded_bytes(*record);
     return true;
   };
   for (const std::string& name : broadcasts_.next_batch(transmission_limit(), fits)) {
     const Record* record = record_of(name);
     if (record == nullptr || (catching_up_ && name != self_.name)) continue;
-    if (name != self_.name) datagram.records.push_back(*record);  // itself is in `from`
+    if (name != self_.name) datagram.records.push_back(*record);  // its own record is in `from`
   }
 }
 
 int Membership::transmission_limit() const {
   return kRetransmitMultiplier *
-         static_cast<int>(std::ceil(std::log10(static_cast<double>(members_known() + 1))));
+         static_cast<int>(std::ceil(std::log10(static_cast<double>(fleet_size() + 1))));
 }
 
 void Membership::send_datagram(const std::string& address, const std::string& to, Body body,
-                               bool with_rumours) {
+                               bool with_broadcasts) {
   Datagram datagram;
   datagram.from = self_;
   datagram.to = to;
-  datagram.number = ++number_;
+  datagram.number = ++last_sequence_number_;
   datagram.digest = digest_;
   datagram.catching_up = catching_up_;
   datagram.body = std::move(body);
-  if (with_rumours && announced_) attach_broadcasts(datagram);
-  out_->push_back(SendDatagram{address, std::move(datagram)});
+  if (with_broadcasts && announced_) attach_broadcasts(datagram);
+  effects_->push_back(SendDatagram{address, std::move(datagram)});
 }
 
-std::uint64_t Membership::ping(Time now, const std::string& name, const std::string& address, Purpose purpose,
-                               const Record* said) {
+std::uint64_t Membership::ping(Time now, const std::string& name, const std::string& address,
+                               PingPurpose purpose, const Record* receiver_record) {
   Ping ping;
   ping.token = random_();
-  ping.by_non_member = !announced_ || purpose == Purpose::duplicate_name;
-  if (said == nullptr && !name.empty() && purpose != Purpose::duplicate_name) said = record_of(name);
-  // A suspect hears of it from everybody who asks it; without the refinement only by rumour.
-  if (said != nullptr && (settings_.refinements.notify_suspect_at_once || said->state != State::suspect)) {
-    ping.known = true;
-    ping.about_receiver = *said;
+  ping.by_non_member = !announced_ || purpose == PingPurpose::duplicate_name;
+  if (receiver_record == nullptr && !name.empty() && purpose != PingPurpose::duplicate_name)
+    receiver_record = record_of(name);
+  // Every ping to a suspect notifies it of the suspicion; without the refinement only broadcasts do.
+  if (receiver_record != nullptr &&
+      (settings_.refinements.notify_suspect_at_once || receiver_record->state != State::suspect)) {
+    ping.has_record = true;
+    ping.receiver_record = *receiver_record;
   }
   while (pending_pings_.size() >= kMaxPendingPings) pending_pings_.erase(pending_pings_.begin());
-  PendingPing a;
-  a.purpose = purpose;
-  a.name = name;
-  a.address = address;
-  a.sent_at = now;
-  pending_pings_.emplace(ping.token, std::move(a));
+  PendingPing pending;
+  pending.purpose = purpose;
+  pending.name = name;
+  pending.address = address;
+  pending.sent_at = now;
+  pending_pings_.emplace(ping.token, std::move(pending));
   const std::uint64_t token = ping.token;
-  // To one that is gone it is short, so that a refusal brings it back whole.
-  send_datagram(address, purpose == Purpose::duplicate_name ? std::string() : name, std::move(ping),
-                purpose != Purpose::reconnect);
+  // A ping to a dead member carries no broadcasts: it is short, so that the port-unreachable report returns
+  // it complete, with its token.
+  send_datagram(address, purpose == PingPurpose::duplicate_name ? std::string() : name, std::move(ping),
+                purpose != PingPurpose::reconnect);
   return token;
 }
 
-void Membership::emit_event(Time now, MemberEventKind what, const Record& record, std::string evidence) {
-  if (what != MemberEventKind::settled && what != MemberEventKind::caught_up) changed_at_ = now;
-  out_->push_back(MemberEvent{what, record, std::move(evidence)});
+void Membership::emit_event(Time now, MemberEventKind kind, const Record& record, std::string evidence) {
+  if (kind != MemberEventKind::settled && kind != MemberEventKind::caught_up) changed_at_ = now;
+  effects_->push_back(MemberEvent{kind, record, std::move(evidence)});
 }
 
-std::vector<Membership::Peer*> Membership::random_members(std::size_t most, const std::string& but) {
-  std::vector<Peer*> found;
-  if (probe_order_.empty()) return found;
+std::vector<Membership::Peer*> Membership::random_members(std::size_t max_count,
+                                                          const std::string& excluded) {
+  std::vector<Peer*> selected;
+  if (probe_order_.empty()) return selected;
   const std::size_t size = probe_order_.size();
-  const auto take = [&](std::size_t at) {
-    Peer* peer = find(probe_order_[at]);
-    if (peer != nullptr && peer->record.is_member() && peer->record.name != but) found.push_back(peer);
+  const auto select = [&](std::size_t position) {
+    Peer* peer = find_peer(probe_order_[position]);
+    if (peer != nullptr && peer->record.is_member() && peer->record.name != excluded)
+      selected.push_back(peer);
   };
-  if (2 * most >= size) {  // nearly all: in turn, from anywhere on
+  if (2 * max_count >= size) {  // at least half of all: consecutive ones from a random position
     const std::size_t first = random_() % size;
-    for (std::size_t i = 0; i < size && found.size() < most; ++i) take((first + i) % size);
-    return found;
+    for (std::size_t i = 0; i < size && selected.size() < max_count; ++i) select((first + i) % size);
+    return selected;
   }
-  // Drawn; a few more tries, since some of the ring may be gone.
-  std::set<std::size_t> tried;
-  for (std::size_t i = 0; i < 4 * most + 8 && found.size() < most && tried.size() < size; ++i) {
-    const std::size_t at = random_() % size;
-    if (tried.insert(at).second) take(at);
+  // Random draws, with some extra ones because entries of the probe order may no longer be members.
+  std::set<std::size_t> drawn;
+  for (std::size_t i = 0; i < 4 * max_count + 8 && selected.size() < max_count && drawn.size() < size; ++i) {
+    const std::size_t position = random_() % size;
+    if (drawn.insert(position).second) select(position);
   }
-  return found;
+  return selected;
 }
 
 Duration Membership::scaled_by_health(Duration duration) const {
   return settings_.refinements.local_health ? duration * (1 + health_score_) : duration;
 }
 
-void Membership::adjust_health(int by) { health_score_ = std::clamp(health_score_ + by, 0, kWorstHealth); }
+void Membership::adjust_health(int by) { health_score_ = std::clamp(health_score_ + by, 0, kMaxHealthScore); }
 
-// ---- hearing
+// ---- receiving
 
 void Membership::on(Time now, const DatagramReceived& event) {
   if (stopped_) return;
@@ -368,58 +384,59 @@
   if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(datagram.from.name))
     return count_drop(DropReason::not_allowed);
   if (!datagram.to.empty() && datagram.to != self_.name) return count_drop(DropReason::misdirected);
-  Peer* peer = find(datagram.from.name);
+  Peer* peer = find_peer(datagram.from.name);
   const auto rank = [](const Record& record) { return std::pair(record.incarnation, record.start_nonce); };
   const Ping* ping = std::get_if<Ping>(&datagram.body);
   if (peer != nullptr && rank(datagram.from) < rank(peer->record)) {
     count_drop(DropReason::old_incarnation);
-    // It may be a restart whose clock stepped back: told what is known of its name, it takes a later life.
+    // It may be a restart whose clock stepped back: the Ack carries the stored record of its name, from which
+    // it takes a higher incarnation.
     if (ping != nullptr) handle_ping(now, datagram, *ping);
     return;
   }
   const bool verified = peer != nullptr && peer->verified && peer->record.same_incarnation(datagram.from);
   if (verified) {
-    const auto verdict = peer->window.accept(datagram.number);
-    if (verdict != ReplayWindow::Verdict::fresh)
-      return count_drop(verdict == ReplayWindow::Verdict::duplicate ? DropReason::duplicate
-                                                                    : DropReason::too_old);
+    const auto result = peer->window.accept(datagram.number);
+    if (result != ReplayWindow::Result::fresh)
+      return count_drop(result == ReplayWindow::Result::duplicate ? DropReason::duplicate
+                                                                  : DropReason::too_old);
     return handle_datagram(now, *peer, datagram);
   }
-  // Not enough to believe it, but no silence either.
+  // An unverified datagram is not trusted, but finish_probe() does not count its sender as silent.
   if (peer != nullptr && peer->record.same_incarnation(datagram.from)) peer->last_unverified_at = now;
   handle_unverified(now, datagram, ping);
 }
 
-// From a process that has not answered a ping of this one's: only an answer to such a ping counts.
+// Handles a datagram of an incarnation that has not answered a ping of this process yet. Only an answer to
+// such a ping is accepted.
 void Membership::handle_unverified(Time now, const Datagram& datagram, const Ping* ping) {
   if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
     if (!handle_ack(now, datagram, *ack)) count_drop(DropReason::unverified);
     return;
   }
-  // Anything could have been recorded and be played again: a stranger is asked, and what it says otherwise
-  // does not count.
+  // Any other datagram could be a replay: the sender is pinged, and the rest of the content is ignored.
   if (ping != nullptr) handle_ping(now, datagram, *ping);
   if (ping == nullptr) count_drop(DropReason::unverified);
   if (!announced_ || (ping != nullptr && ping->by_non_member) || datagram.from.state == State::left) return;
-  auto& last = unknown_senders_[datagram.from.address];
-  if (last != Time{} && now - last < kUnknownSenderInterval) return;
-  last = now;
+  auto& last_ping_at = unknown_senders_[datagram.from.address];
+  if (last_ping_at != Time{} && now - last_ping_at < kUnknownSenderInterval) return;
+  last_ping_at = now;
   if (unknown_senders_.size() > kMaxUnknownSenders) unknown_senders_.erase(unknown_senders_.begin());
-  this->ping(now, datagram.from.name, datagram.from.address, Purpose::join);
+  this->ping(now, datagram.from.name, datagram.from.address, PingPurpose::join);
 }
 
 void Membership::handle_ping(Time, const Datagram& datagram, const Ping& ping) {
   if (!announced_ || stood_down_for_) return;
-  // What is known of the sender is told to it, so that it can overrule it.
+  // The sender gets the stored record of itself, so that it can refute it.
   Ack ack{ping.token, false, {}};
   if (const Record* record = record_of(datagram.from.name); record != nullptr) {
-    ack.known = true;
-    ack.about_receiver = *record;
+    ack.has_record = true;
+    ack.receiver_record = *record;
   }
   send_datagram(datagram.from.address, datagram.from.name, std::move(ack));
 }
 
-// From the very process that the record is of.
+// Handles a datagram of a verified sender.
 void Membership::handle_datagram(Time now, Peer& from, const Datagram& datagram) {
   const std::string name = datagram.from.name;
   from.last_received_at = now;
@@ -434,16 +451,16 @@
 
 void Membership::compare_digest(Time now, const std::string& name, std::uint64_t digest) {
   if (digest == digest_) {
-    differs_since_.reset();
+    digest_differs_since_.reset();
     return;
   }
-  if (!differs_since_) differs_since_ = now;
-  differs_with_ = name;
+  if (!digest_differs_since_) digest_differs_since_ = now;
+  digest_differs_from_ = name;
 }
 
 void Membership::handle_body(Time now, const Datagram& datagram) {
   if (const auto* ping = std::get_if<Ping>(&datagram.body)) {
-    if (ping->known) merge_own_record(now, ping->about_receiver);
+    if (ping->has_record) merge_own_record(now, ping->receiver_record);
     handle_ping(now, datagram, *ping);
   } else if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
     handle_ack(now, datagram, *ack);
@@ -452,65 +469,67 @@
   } else if (const auto* relayed = std::get_if<RelayedAck>(&datagram.body)) {
     handle_relayed_ack(now, *relayed);
   } else if (const auto* nack = std::get_if<Nack>(&datagram.body)) {
-    if (probe_ && nack->token == probe_->token) ++probe_->witnesses;
-  } else if (const auto* ask = std::get_if<SyncRequest>(&datagram.body)) {
-    handle_sync_request(now, datagram, *ask);
+    if (probe_ && nack->token == probe_->token) ++probe_->responses_received;
+  } else if (const auto* sync = std::get_if<SyncRequest>(&datagram.body)) {
+    handle_sync_request(now, datagram, *sync);
   }
 }
 
 void Membership::handle_relayed_ack(Time now, const RelayedAck& ack) {
   if (!probe_ || ack.token != probe_->token) return;
-  ++probe_->witnesses;
+  ++probe_->responses_received;
   probe_->answered = true;
-  if (Peer* peer = find(probe_->name)) peer->last_relayed_ack_at = now;
+  if (Peer* peer = find_peer(probe_->name)) peer->last_relayed_ack_at = now;
 }
 
-// Whether it answers a ping of ours: that proves that its sender is there and hears us.
+// Returns whether the Ack answers a pending ping, which proves that its sender is running and receives this
+// process's datagrams.
 bool Membership::handle_ack(Time now, const Datagram& datagram, const Ack& ack) {
   const auto it = pending_pings_.find(ack.token);
   if (it == pending_pings_.end()) return false;
-  const PendingPing asked = it->second;
-  if (!asked.name.empty() && asked.name != datagram.from.name) return false;
+  const PendingPing pending = it->second;
+  if (!pending.name.empty() && pending.name != datagram.from.name) return false;
   pending_pings_.erase(it);
-  if (asked.purpose == Purpose::duplicate_name) return true;
-  if (ack.known) merge_own_record(now, ack.about_receiver);
+  if (pending.purpose == PingPurpose::duplicate_name) return true;
+  if (ack.has_record) merge_own_record(now, ack.receiver_record);
   if (!announced_ && !duplicate_) announce_self(now);
-  handle_non_member(now, datagram);
+  handle_verified_sender(now, datagram);
   if (probe_ && (ack.token == probe_->token || ack.token == probe_->repeat_token)) probe_->answered = true;
-  if (asked.purpose == Purpose::relay)
-    send_datagram(asked.for_address, asked.for_name, RelayedAck{asked.for_token});
+  if (pending.purpose == PingPurpose::relay)
+    send_datagram(pending.for_address, pending.for_name, RelayedAck{pending.for_token});
   if (catching_up_) {
-    answered_since_.insert(datagram.from.name);
-    if (answered_since_.size() >= std::min<std::size_t>(2, std::max<std::size_t>(1, members_))) {
+    catch_up_responders_.insert(datagram.from.name);
+    if (catch_up_responders_.size() >= std::min<std::size_t>(2, std::max<std::size_t>(1, member_count_))) {
       catching_up_ = false;
       emit_event(now, MemberEventKind::caught_up, self_,
-                 "heard from " + std::to_string(answered_since_.size()));
+                 "heard from " + std::to_string(catch_up_responders_.size()));
     }
   }
-  if (asked.name.empty() && announced_) {
-    // A seed, now known by name: told again who we are, it takes us in.
-    ping(now, datagram.from.name, datagram.from.address, Purpose::join);
+  if (pending.name.empty() && announced_) {
+    // A seed whose name is known now: pinged as a member, it adds this process to its table.
+    ping(now, datagram.from.name, datagram.from.address, PingPurpose::join);
   }
   return true;
 }
 
-void Membership::handle_non_member(Time now, const Datagram& datagram) {
+void Membership::handle_verified_sender(Time now, const Datagram& datagram) {
   if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(datagram.from.name))
     return count_drop(DropReason::not_allowed);
   merge_record(now, datagram.from, true);
-  Peer* peer = find(datagram.from.name);
+  Peer* peer = find_peer(datagram.from.name);
   if (peer == nullptr) return;
-  // Held dead at a later incarnation, it has not heard of it yet; its next answer will say otherwise.
+  // The stored record supersedes the received one: the peer has not learned of its reported death yet and
+  // will refute it in its next answer.
   if (!peer->record.same_incarnation(datagram.from) || !peer->record.is_member()) return;
   if (!peer->verified) {
     peer->verified = true;
-    ++verified_;
-    peer->window.accept(
-        datagram.number);  // of the same life, what was taken before a silence is not taken again
-    if (verified_ == 1 && settings_.refinements.anti_entropy) {
-      // The first who is known for sure: all that it knows is asked for.
-      differs_since_ = now - kSyncDelay;
-      differs_with_ = peer->record.name;
+    ++verified_count_;
+    // The window survives a death of the same incarnation: earlier datagrams are not accepted again.
+    peer->window.accept(datagram.number);
+    if (verified_count_ == 1 && settings_.refinements.anti_entropy) {
+      // The first verified member: request a sync of its whole table.
+      digest_differs_since_ = now - kSyncDelay;
+      digest_differs_from_ = peer->record.name;
     }
   }
   peer->last_received_at = peer->last_ack_at = now;
@@ -525,20 +544,20 @@
 
 void Membership::handle_ping_request(Time now, const Datagram& datagram, const PingRequest& request) {
   if (request.name == self_.name || !announced_) return;
-  const Peer* peer = find(request.name);
+  const Peer* peer = find_peer(request.name);
   const std::string address = peer != nullptr ? peer->record.address : request.address;
-  const std::uint64_t token = ping(now, request.name, address, Purpose::relay);
-  PendingPing& asked = pending_pings_.at(token);
-  asked.for_address = datagram.from.address;
-  asked.for_name = datagram.from.name;
-  asked.for_token = request.token;
+  const std::uint64_t token = ping(now, request.name, address, PingPurpose::relay);
+  PendingPing& pending = pending_pings_.at(token);
+  pending.for_address = datagram.from.address;
+  pending.for_name = datagram.from.name;
+  pending.for_token = request.token;
 }
 
-void Membership::handle_sync_request(Time, const Datagram& datagram, const SyncRequest& ask) {
-  if (ask.buckets.size() != kBuckets || !announced_ || catching_up_) return;
-  std::array<bool, kBuckets> wanted{};
+void Membership::handle_sync_request(Time, const Datagram& datagram, const SyncRequest& request) {
+  if (request.buckets.size() != kBuckets || !announced_ || catching_up_) return;
+  std::array<bool, kBuckets> differs{};
   bool any = false;
-  for (std::size_t i = 0; i < kBuckets; ++i) any = (wanted[i] = ask.buckets[i] != buckets_[i]) || any;
+  for (std::size_t i = 0; i < kBuckets; ++i) any = (differs[i] = request.buckets[i] != buckets_[i]) || any;
   if (!any) return;
   ++metrics_.syncs;
   std::vector<Record> records;
@@ -548,40 +567,41 @@
     Datagram out;
     out.from = self_;
     out.to = datagram.from.name;
-    out.number = ++number_;
+    out.number = ++last_sequence_number_;
     out.digest = digest_;
     out.body = Gossip{};
     out.records = std::exchange(records, {});
-    out_->push_back(SendDatagram{datagram.from.address, std::move(out)});
+    effects_->push_back(SendDatagram{datagram.from.address, std::move(out)});
     bytes = 0;
     ++datagrams;
   };
-  // Bucket by bucket, from any one on: what does not fit is another part each time, and a bucket that was
-  // told whole is wanted no more. In order of names a large fleet would be told the same first names for
-  // ever.
+  // Bucket by bucket, starting at a random one: records beyond kMaxSyncDatagrams are other ones each time,
+  // and a completely sent bucket does not differ in the next request. In order of names, a large fleet's
+  // member would get the same first names in each answer and never the rest.
   const std::size_t first = random_() % kBuckets;
-  std::vector<std::pair<std::size_t, const Record*>> told;
-  for (const auto& [name, p] : peers_) {
+  std::vector<std::pair<std::size_t, const Record*>> selected;
+  for (const auto& [name, peer] : peers_) {
     const std::size_t bucket = bucket_of(name);
-    if (!p.broadcast_ended && wanted[bucket])
-      told.emplace_back((bucket + kBuckets - first) % kBuckets, &p.record);
+    if (!peer.broadcast_ended && differs[bucket])
+      selected.emplace_back((bucket + kBuckets - first) % kBuckets, &peer.record);
   }
-  std::stable_sort(told.begin(), told.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [turn, r] : told) {
-    if (bytes + bytes_of(*r) > kRecordBytes) send();
+  std::stable_sort(selected.begin(), selected.end(),
+                   [](const auto& a, const auto& b) { return a.first < b.first; });
+  for (const auto& [position, record] : selected) {
+    if (bytes + max_encoded_bytes(*record) > kMaxRecordBytes) send();
     if (datagrams >= kMaxSyncDatagrams) break;
-    bytes += bytes_of(*r);
-    records.push_back(*r);
+    bytes += max_encoded_bytes(*record);
+    records.push_back(*record);
   }
-  if (datagrams < kMaxSyncDatagrams) send();  // an empty one too: `from` is what it may lack
+  if (datagrams < kMaxSyncDatagrams) send();  // even without records: the requester may lack `from`
 }
 
-// ---- learning
+// ---- merging records
 
 void Membership::merge_record(Time now, const Record& record, bool first_hand) {
   if (record.name == self_.name) return merge_own_record(now, record);
   if (!settings_.allowed_names.empty() && !settings_.allowed_names.contains(record.name)) return;
-  Peer* peer = find(record.name);
+  Peer* peer = find_peer(record.name);
   if (peer == nullptr) return merge_unknown_peer(now, record, first_hand);
   if (!supersedes(record, peer->record)) return confirm_suspicion(*peer, record);
   switch (record.state) {
@@ -614,7 +634,7 @@
     emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
 }
 
-// Another member's suspicion of one that is suspect already confirms it.
+// Counts another member's suspicion of a peer that is suspect already as a confirmation.
 void Membership::confirm_suspicion(Peer& peer, const Record& record) {
   const bool same_suspicion = record.state == State::suspect && peer.record.state == State::suspect &&
                               record.same_incarnation(peer.record) &&
@@ -625,23 +645,23 @@
 }
 
 void Membership::merge_alive(Time now, Peer& peer, const Record& record, bool first_hand) {
-  const Record before = peer.record;
-  const bool newer_incarnation = !record.same_incarnation(before);
-  if (!before.is_member() && members_known() >= kMaxMembers) return count_drop(DropReason::full);
+  const Record previous = peer.record;
+  const bool newer_incarnation = !record.same_incarnation(previous);
+  if (!previous.is_member() && fleet_size() >= kMaxMembers) return count_drop(DropReason::full);
   if (peer.reported_death) ++metrics_.deaths_disproved;
   store_record(now, peer, record);
-  if (newer_incarnation && before.is_member()) {
-    Record ended = before;
-    ended.state = State::dead;
-    ended.evidence = Evidence::replaced;
-    emit_event(now, MemberEventKind::died, ended,
-               "its life " + std::to_string(before.incarnation) + " was ended by life " +
+  if (newer_incarnation && previous.is_member()) {
+    Record replaced = previous;
+    replaced.state = State::dead;
+    replaced.evidence = Evidence::replaced;
+    emit_event(now, MemberEventKind::died, replaced,
+               "its life " + std::to_string(previous.incarnation) + " was ended by life " +
                    std::to_string(record.incarnation));
   }
-  if (newer_incarnation || !before.is_member()) {
+  if (newer_incarnation || !previous.is_member()) {
     emit_event(now, MemberEventKind::joined, record, first_hand ? "it answered" : "told");
-  } else if (before.state == State::suspect) {
-    ++metrics_.refuted;
+  } else if (previous.state == State::suspect) {
+    ++metrics_.suspicions_refuted;
     emit_event(now, MemberEventKind::refuted, record,
                "it says so, in incarnation " + std::to_string(record.refutation));
   }
@@ -657,15 +677,16 @@
 }
 
 void Membership::merge_dead(Time now, Peer& peer, const Record& record) {
-  const bool own_finding = peer.suspicion && peer.suspicion->deadline() <= now;
-  if (!peer.record.is_member() || !record.same_incarnation(peer.record) || own_finding ||
+  const bool suspicion_expired = peer.suspicion && peer.suspicion->deadline() <= now;
+  if (!peer.record.is_member() || !record.same_incarnation(peer.record) || suspicion_expired ||
       !settings_.refinements.verify_reported_deaths)
     return declare_dead(now, peer, record);
-  // Two sides of a cut hold each other dead for good reason; a side that has one in reach asks it.
+  // The two sides of a network partition declare each other's members dead. A process that can reach the
+  // member verifies the report with a ping of its own.
   if (peer.reported_death && !supersedes(record, *peer.reported_death)) return;
   peer.reported_death = record;
   reported_deaths_.set(record.name, now + kReportedDeathTimeout);
-  ping(now, record.name, peer.record.address, Purpose::check, &record);
+  ping(now, record.name, peer.record.address, PingPurpose::check, &record);
 }
 
 void Membership::merge_suspicion(Time now, Peer& peer, const Record& record) {
@@ -678,7 +699,7 @@
              std::string(to_string(record.evidence)) + ", says " + record.suspecting_member);
 }
 
-// This process finds that it can't reach the member.
+// Suspects a member that this process cannot reach, or confirms the suspicion of it.
 void Membership::raise_suspicion(Time now, Peer& peer, Evidence evidence) {
   if (catching_up_ || !announced_) return;
   Record record = peer.record;
@@ -689,25 +710,25 @@
   if (peer.record.state == State::suspect) {
     if (peer.suspicion && peer.suspicion->confirm(self_.name)) {
       suspects_.set(record.name, peer.suspicion->deadline());
-      peer.record.suspecting_member = self_.name;  // told on as our own doubt
+      peer.record.suspecting_member = self_.name;  // broadcast as this process's own suspicion
       broadcast(record.name);
     }
   } else {
     merge_suspicion(now, peer, record);
   }
-  if (settings_.refinements.notify_suspect_at_once) ping(now, peer, Purpose::check);
+  if (settings_.refinements.notify_suspect_at_once) ping(now, peer, PingPurpose::check);
 }
 
 void Membership::declare_dead(Time now, Peer& peer, const Record& dead) {
-  const bool member = peer.record.is_member();
-  const std::size_t accusers = peer.suspicion ? peer.suspicion->suspecting_members() : 0;
+  const bool was_member = peer.record.is_member();
+  const std::size_t suspecting_members = peer.suspicion ? peer.suspicion->suspecting_members() : 0;
   store_record(now, peer, dead);
-  if (!member) return;
-  ++metrics_.confirmed;
+  if (!was_member) return;
+  ++metrics_.suspicions_confirmed;
   if (dead.evidence == Evidence::port_unreachable) ++metrics_.deaths_by_unreachable_port;
   emit_event(now, MemberEventKind::died, dead,
              std::string(to_string(dead.evidence)) + ", says " + dead.suspecting_member +
-                 (accusers > 1 ? " and " + std::to_string(accusers - 1) + " more" : ""));
+                 (suspecting_members > 1 ? " and " + std::to_string(suspecting_members - 1) + " more" : ""));
 }
 
 void Membership::merge_own_record(Time now, const Record& record) {
@@ -725,8 +746,8 @@
     broadcast(self_.name);
     return;
   }
-  // An older life at another address may be a process of the same name: who is not a member yet asks it, who
-  // is one leaves it to the other to hear of the later life.
+  // An older incarnation at another address may be a running process of the same name. A process that is not
+  // announced yet contests the name; an announced one waits for the other to learn of the higher incarnation.
   const bool older = record.incarnation < self_.incarnation;
   if (older && (announced_ || !record.is_member() || record.address == self_.address)) return;
   contest_name(now, record);
@@ -734,29 +755,29 @@
 
 void Membership::on(Time now, const PortUnreachable& event) {
   if (!settings_.refinements.unreachable_ports || stopped_) return;
-  if (const auto asked = event.token ? pending_pings_.find(*event.token) : pending_pings_.end();
-      asked != pending_pings_.end()) {
-    const Peer* gone = find(asked->second.name);
-    if (gone != nullptr && watched_ports_.contains(asked->second.name) && gone->record.state == State::dead &&
-        gone->record.evidence == Evidence::port_unreachable)
-      out_->push_back(PortReleased{asked->second.name, asked->second.sent_at});
+  if (const auto pending = event.token ? pending_pings_.find(*event.token) : pending_pings_.end();
+      pending != pending_pings_.end()) {
+    const Peer* target = find_peer(pending->second.name);
+    if (target != nullptr && watched_ports_.contains(pending->second.name) &&
+        target->record.state == State::dead && target->record.evidence == Evidence::port_unreachable)
+      effects_->push_back(PortReleased{pending->second.name, pending->second.sent_at});
   }
-  const auto it = by_address_.find(event.address);
-  if (it == by_address_.end()) return;
-  Peer* peer = find(it->second);
+  const auto it = members_by_address_.find(event.address);
+  if (it == members_by_address_.end()) return;
+  Peer* peer = find_peer(it->second);
   if (peer == nullptr || !peer->record.is_member()) return;
   if (peer->record.handing_over && now - peer->state_since < kHandoverTimeout) return;
-  // Another member's word that it is dead, or that its port refuses it too, makes two.
+  // Two reports make a death: this one and another member's report of its death or of its unreachable port.
   if (peer->reported_death) return declare_dead(now, *peer, Record(*peer->reported_death));
-  const bool second = peer->record.state == State::suspect &&
-                      peer->record.evidence == Evidence::port_unreachable &&
-                      peer->record.suspecting_member != self_.name && !catching_up_;
-  if (!peer->unreachable_since && !second) {
+  const bool second_report = peer->record.state == State::suspect &&
+                             peer->record.evidence == Evidence::port_unreachable &&
+                             peer->record.suspecting_member != self_.name && !catching_up_;
+  if (!peer->unreachable_since && !second_report) {
     peer->unreachable_since = now;
     unreachable_checks_.set(peer->record.name, now + kUnreachableRecheckDelay);
     return raise_suspicion(now, *peer, Evidence::port_unreachable);
   }
-  if (!second && (now - *peer->unreachable_since < kUnreachableRecheckDelay || catching_up_)) return;
+  if (!second_report && (now - *peer->unreachable_since < kUnreachableRecheckDelay || catching_up_)) return;
   Record dead = peer->record;
   dead.state = State::dead;
   dead.evidence = Evidence::port_unreachable;
@@ -764,10 +785,11 @@
   declare_dead(now, *peer, dead);
 }
 
-// ---- one name, one process
+// ---- duplicate names
 
-// Another process has this one's name, or an earlier life of it is still known. At this address nobody else
-// can be: it is gone. At another one it may be there, and is asked.
+// Handles a record of this process's name that is of another incarnation. At this address no other process
+// can be running, so a higher incarnation overrules the record. A process at another address may be running
+// and is probed.
 void Membership::contest_name(Time now, const Record& record) {
   if (!record.is_member() || record.address == self_.address)
     return take_incarnation(now, std::max(record.incarnation, self_.incarnation) + 1);
@@ -778,7 +800,7 @@
 
 void Membership::check_duplicate_name(Time now) {
   if (stood_down_for_) {
-    // From time to time it is asked whether the other one is still there.
+    // Checks from time to time whether the other process is still running.
     if (!duplicate_) {
       duplicate_ = DuplicateName{};
       duplicate_->record = *stood_down_for_;
@@ -787,28 +809,30 @@
     }
     if (now - duplicate_->probed_at < kStoodDownRecheckInterval) return;
   } else {
-    if (!duplicate_ || (duplicate_->tries > 0 && now - duplicate_->probed_at < kDuplicateProbeInterval))
+    if (!duplicate_ || (duplicate_->probes_sent > 0 && now - duplicate_->probed_at < kDuplicateProbeInterval))
       return;
   }
-  if (duplicate_->tries >= kMaxDuplicateProbes) {
-    const Incarnation life = std::max(duplicate_->record.incarnation, self_.incarnation);
+  if (duplicate_->probes_sent >= kMaxDuplicateProbes) {
+    const Incarnation highest = std::max(duplicate_->record.incarnation, self_.incarnation);
     duplicate_.reset();
     stood_down_for_.reset();
-    take_incarnation(now, life + 1);
+    take_incarnation(now, highest + 1);
     return announce_self(now);
   }
-  ++duplicate_->tries;
+  ++duplicate_->probes_sent;
   duplicate_->probed_at = now;
-  duplicate_->token = ping(now, self_.name, duplicate_->record.address, Purpose::duplicate_name);
+  duplicate_->token = ping(now, self_.name, duplicate_->record.address, PingPurpose::duplicate_name);
 }
 
 void Membership::handle_duplicate_name(Time now, const Datagram& datagram) {
-  if (datagram.from.start_nonce == self_.start_nonce) return count_drop(DropReason::own);  // ours, sent back
+  if (datagram.from.start_nonce == self_.start_nonce)
+    return count_drop(DropReason::own);  // sent by this process itself
   if (const auto* ack = std::get_if<Ack>(&datagram.body)) {
     if (!duplicate_ || ack->token != duplicate_->token) return count_drop(DropReason::own);
     pending_pings_.erase(ack->token);
-    duplicate_->tries = 0;
-    // It is there. Whoever is a member already stays, unless the other one's life is the later.
+    duplicate_->probes_sent = 0;
+    // The other process is running. An announced process keeps the name, unless the other's incarnation is
+    // higher.
     if (stood_down_for_ || !announced_ ||
         std::pair(datagram.from.incarnation, datagram.from.start_nonce) >
             std::pair(self_.incarnation, self_.start_nonce))
@@ -817,7 +841,7 @@
     return;
   }
   if (datagram.from.address == self_.address)
-    return count_drop(DropReason::own);  // an earlier life of ours, late
+    return count_drop(DropReason::own);  // delayed, from an earlier incarnation of this process
   if (const auto* ping = std::get_if<Ping>(&datagram.body)) {
     if (ping->by_non_member && duplicate_addresses_.size() < 16 &&
         duplicate_addresses_.insert(datagram.from.address).second)
@@ -833,22 +857,23 @@
 }
 
 void Membership::stand_down(Time now, const Record& to) {
-  const bool news = !stood_down_for_;
+  const bool first_time = !stood_down_for_;
   stood_down_for_ = to;
   announced_ = false;
   duplicate_->record = to;
-  if (news)
+  if (first_time)
     emit_event(now, MemberEventKind::stood_down, to,
                "the process at " + to.address + " has this one's name: it takes no part");
 }
 
-void Membership::take_incarnation(Time now, Incarnation life) {
-  if (now - incarnation_taken_at_ > kIncarnationRunReset) incarnations_in_a_row_ = 0;
-  if (++incarnations_in_a_row_ > kMaxIncarnationsInARow) return;  // somebody else does the same: not for ever
+void Membership::take_incarnation(Time now, Incarnation incarnation) {
+  if (now - incarnation_taken_at_ > kIncarnationCountResetDelay) consecutive_incarnations_ = 0;
+  if (++consecutive_incarnations_ > kMaxConsecutiveIncarnations)
+    return;  // another process raises its incarnation too
   incarnation_taken_at_ = now;
   ++metrics_.incarnations_taken;
   update_digest(self_, -1);
-  self_.incarnation = life;
+  self_.incarnation = incarnation;
   self_.refutation = 0;
   self_.state = State::alive;
   update_digest(self_, 1);
@@ -864,7 +889,7 @@
   emit_event(now, MemberEventKind::joined, self_, "life " + std::to_string(self_.incarnation));
 }
 
-// ---- time
+// ---- timers
 
 void Membership::on(Time now, const Started&) {
   started_at_ = changed_at_ = listening_since_ = now;
@@ -877,21 +902,21 @@
   if (stopped_ || stops_at_ || self_.state == State::left) return;
   update_digest(self_, -1);
   ++self_.refutation;
-  if (event.successor) {
+  if (event.handover) {
     self_.handing_over = true;
   } else {
     self_.state = State::left;
   }
   update_digest(self_, 1);
   broadcast(self_.name);
-  if (!event.successor) emit_event(now, MemberEventKind::left, self_, "it was asked to");
+  if (!event.handover) emit_event(now, MemberEventKind::left, self_, "it was asked to");
   if (announced_) {
     for (const Peer* peer : random_members(kMaxLeaveNotifications, {}))
       send_datagram(peer->record.address, peer->record.name, Gossip{}, false);
   }
-  // It goes on for a moment: those who have not spoken with it yet ask first, and may tell nobody else in
-  // time.
-  if (event.successor) stops_at_ = now + kHandoverNoticePeriod;
+  // This process keeps answering for a moment: a member that has not verified it yet pings it first, and has
+  // to learn of the handover before the port is released.
+  if (event.handover) stops_at_ = now + kHandoverNoticePeriod;
 }
 
 void Membership::on(Time now, const Tick&) {
@@ -911,58 +936,59 @@
 }
 
 void Membership::detect_pause(Time now) {
-  const Duration late = last_tick_at_ ? now - *last_tick_at_ - kTick : Duration{};
+  const Duration lateness = last_tick_at_ ? now - *last_tick_at_ - kTick : Duration{};
   last_tick_at_ = now;
-  if (!settings_.refinements.pause_detection || late < kPauseThreshold) return;
-  // Answers and refutations came to a process that did not run: nothing of that time counts against anybody.
+  if (!settings_.refinements.pause_detection || lateness < kPauseThreshold) return;
+  // Answers and refutations sent during the pause were not processed: that time counts against no member.
   ++metrics_.pauses;
   listening_since_ = now;
   probe_.reset();
   pending_pings_.clear();
-  for (auto& [name, p] : peers_) {
-    p.unreachable_since.reset();
-    if (p.suspicion) {
-      p.suspicion->discount(late);
-      suspects_.set(name, p.suspicion->deadline());
+  for (auto& [name, peer] : peers_) {
+    peer.unreachable_since.reset();
+    if (peer.suspicion) {
+      peer.suspicion->extend(lateness);
+      suspects_.set(name, peer.suspicion->deadline());
     }
-    if (p.reported_death) reported_deaths_.set(name, now + kReportedDeathTimeout);
+    if (peer.reported_death) reported_deaths_.set(name, now + kReportedDeathTimeout);
   }
   if (settings_.refinements.local_health) adjust_health(2);
-  emit_event(now, MemberEventKind::paused, self_, "for " + ms_text(late));
+  emit_event(now, MemberEventKind::paused, self_, "for " + format_ms(lateness));
   if (has_no_members() || !announced_) return;
   catching_up_ = true;
-  answered_since_.clear();
-  for (const Peer* peer : random_members(3, {})) ping(now, *peer, Purpose::check);
+  catch_up_responders_.clear();
+  for (const Peer* peer : random_members(3, {})) ping(now, *peer, PingPurpose::check);
 }
 
 void Membership::check_ping_timeouts(Time now) {
-  std::vector<std::uint64_t> over;
-  for (auto& [token, a] : pending_pings_) {
-    if (a.purpose == Purpose::relay && !a.nack_sent && now - a.sent_at >= settings_.ack_timeout) {
-      a.nack_sent = true;
-      send_datagram(a.for_address, a.for_name, Nack{a.for_token});
+  std::vector<std::uint64_t> expired;
+  for (auto& [token, pending] : pending_pings_) {
+    if (pending.purpose == PingPurpose::relay && !pending.nack_sent &&
+        now - pending.sent_at >= settings_.ack_timeout) {
+      pending.nack_sent = true;
+      send_datagram(pending.for_address, pending.for_name, Nack{pending.for_token});
     }
-    if (now - a.sent_at >= kPingRetention) over.push_back(token);
+    if (now - pending.sent_at >= kPingRetention) expired.push_back(token);
   }
-  for (const std::uint64_t token : over) pending_pings_.erase(token);
+  for (const std::uint64_t token : expired) pending_pings_.erase(token);
   std::erase_if(unknown_senders_,
-                [&](const auto& s) { return now - s.second > 10 * kUnknownSenderInterval; });
+                [&](const auto& sender) { return now - sender.second > 10 * kUnknownSenderInterval; });
 }
 
 void Membership::check_suspicion_timeouts(Time now) {
   if (catching_up_) {
-    // Not before it has heard again what others hold.
+    // Refutations may have been missed during the pause; other members' answers bring them.
     return;
   }
   while (const auto name = suspects_.pop_due(now)) {
-    Peer* peer = find(*name);
+    Peer* peer = find_peer(*name);
     if (peer == nullptr || peer->record.state != State::suspect) continue;
     Record dead = peer->record;
     dead.state = State::dead;
     declare_dead(now, *peer, dead);
   }
   while (const auto name = reported_deaths_.pop_due(now)) {
-    Peer* peer = find(*name);
+    Peer* peer = find_peer(*name);
     if (peer == nullptr || !peer->reported_death) continue;
     const Record dead = *peer->reported_death;
     if (supersedes(dead, peer->record)) declare_dead(now, *peer, dead);
@@ -974,38 +1000,39 @@
       erase_peer(it);
       continue;
     }
-    // Told no more, but still known: what comes late of it changes nothing.
+    // The record is not sent any more but still stored, so that delayed older records do not bring the member
+    // back.
     it->second.broadcast_ended = true;
     dead_members_.erase(*name);
     update_digest(it->second.record, -1);
     expirations_.set(*name, now + settings_.dead_member_retention / 2);
   }
-  // A refusal is looked at again: two make a death.
+  // A second ping to an unreachable port: two reports of it make a death.
   while (const auto name = unreachable_checks_.pop_due(now)) {
-    Peer* peer = find(*name);
-    if (peer != nullptr && peer->unreachable_since) ping(now, *peer, Purpose::check);
+    Peer* peer = find_peer(*name);
+    if (peer != nullptr && peer->unreachable_since) ping(now, *peer, PingPurpose::check);
   }
 }
 
 void Membership::start_probe(Time now) {
-  for (std::size_t tries = 0; tries <= probe_order_.size() && !probe_order_.empty(); ++tries) {
+  for (std::size_t checked = 0; checked <= probe_order_.size() && !probe_order_.empty(); ++checked) {
     if (probe_position_ >= probe_order_.size()) {
       probe_position_ = 0;
       std::erase_if(probe_order_, [&](const std::string& name) {
-        const Peer* peer = find(name);
+        const Peer* peer = find_peer(name);
         return peer == nullptr || !peer->record.is_member();
       });
       std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
       if (probe_order_.empty()) return;
     }
     const std::string name = probe_order_[probe_position_++];
-    Peer* peer = find(name);
+    Peer* peer = find_peer(name);
     if (peer == nullptr || !peer->record.is_member()) continue;
     Probe probe;
     probe.name = name;
     probe.indirect_at = now + scaled_by_health(settings_.ack_timeout);
     probe.deadline = now + scaled_by_health(settings_.probe_interval);
-    probe.token = ping(now, name, peer->record.address, Purpose::probe);
+    probe.token = ping(now, name, peer->record.address, PingPurpose::probe);
     probe_ = probe;
     return;
   }
@@ -1022,22 +1049,23 @@
   }
 }
 
-// No answer so far: it is pinged once more, and others are asked to ping it.
+// Called when the probed member has not answered within the ack timeout: pings it again and sends indirect
+// probe requests to other members.
 void Membership::probe_indirectly(Time now) {
   probe_->indirect_sent = true;
-  Peer* peer = find(probe_->name);
+  Peer* peer = find_peer(probe_->name);
   if (peer == nullptr || !peer->record.is_member()) return;
   if (!peer->first_unanswered_at) peer->first_unanswered_at = now;
-  probe_->repeat_token = ping(now, probe_->name, peer->record.address, Purpose::probe);
+  probe_->repeat_token = ping(now, probe_->name, peer->record.address, PingPurpose::probe);
   if (!settings_.refinements.indirect_probing) return;
-  // Those heard of late are the likelier to answer.
+  // Prefers members with recent datagrams, which are more likely to answer.
   std::vector<Peer*> helpers = random_members(3 * settings_.indirect_probes, probe_->name);
   std::stable_sort(helpers.begin(), helpers.end(), [](const Peer* left, const Peer* right) {
     return left->last_received_at > right->last_received_at;
   });
   if (helpers.size() > settings_.indirect_probes) helpers.resize(settings_.indirect_probes);
   for (const Peer* helper : helpers) {
-    ++probe_->helpers;
+    ++probe_->requests_sent;
     send_datagram(helper->record.address, helper->record.name,
                   PingRequest{probe_->token, probe_->name, peer->record.address});
   }
@@ -1047,42 +1075,46 @@
   const Probe probe = *probe_;
   probe_.reset();
   if (probe.answered) return adjust_health(-1);
-  Peer* peer = find(probe.name);
+  Peer* peer = find_peer(probe.name);
   if (peer == nullptr || !peer->record.is_member() || catching_up_) return;
-  // Helpers that answered speak for this process' own health (Lifeguard, section IV-A).
-  if (probe.helpers == 0 || probe.witnesses < probe.helpers) adjust_health(1);
-  // Where those who were asked say nothing either, it is more likely this process that is not heard.
-  const Time last = std::max({peer->last_received_at.value_or(peer->state_since),
-                              peer->last_unverified_at.value_or(peer->state_since), listening_since_});
-  const bool witnessed = !settings_.refinements.indirect_probing || members_ < 2 || probe.witnesses > 0;
+  // Missing responses to indirect probe requests count against this process's own health (Lifeguard, section
+  // IV-A).
+  if (probe.requests_sent == 0 || probe.responses_received < probe.requests_sent) adjust_health(1);
+  // If no requested member responded either, it is more likely that this process's datagrams are lost.
+  const Time last_activity_at =
+      std::max({peer->last_received_at.value_or(peer->state_since),
+                peer->last_unverified_at.value_or(peer->state_since), listening_since_});
+  const bool others_reachable =
+      !settings_.refinements.indirect_probing || member_count_ < 2 || probe.responses_received > 0;
   const bool handing_over = peer->record.handing_over && now - peer->state_since < kHandoverTimeout;
-  if (!handing_over && (witnessed || now - last > kIsolationTimeout))
+  if (!handing_over && (others_reachable || now - last_activity_at > kIsolationTimeout))
     raise_suspicion(now, *peer, Evidence::unresponsive);
 }
 
-// Seeds that are no members are asked for ever; members that are dead are asked whether they are back.
+// Pings seeds that are not members, without end, and dead members, to find those that are back.
 void Membership::contact_missing_members(Time now) {
   if (self_.state == State::left || stood_down_for_) return;
   if (now - seeds_contacted_at_ >= (has_no_members() ? kSeedIntervalAlone : kSeedInterval)) {
     seeds_contacted_at_ = now;
     for (const std::string& seed : settings_.seeds) {
-      if (seed != settings_.advertise && !by_address_.contains(seed)) ping(now, {}, seed, Purpose::join);
+      if (seed != settings_.advertise && !members_by_address_.contains(seed))
+        ping(now, {}, seed, PingPurpose::join);
     }
   }
   if (announced_ && now - ports_checked_at_ >= settings_.probe_interval) {
     ports_checked_at_ = now;
     for (const std::string& name : watched_ports_) {
-      const Peer* peer = find(name);
-      if (peer != nullptr && peer->record.state == State::dead) ping(now, *peer, Purpose::reconnect);
+      const Peer* peer = find_peer(name);
+      if (peer != nullptr && peer->record.state == State::dead) ping(now, *peer, PingPurpose::reconnect);
     }
   }
   if (!announced_ || now - last_reconnect_at_ < kReconnectInterval) return;
   last_reconnect_at_ = now;
   if (dead_members_.empty()) return;
-  auto it = dead_members_.upper_bound(last_reconnect_);
+  auto it = dead_members_.upper_bound(last_reconnect_name_);
   if (it == dead_members_.end()) it = dead_members_.begin();
-  last_reconnect_ = *it;
-  if (const Peer* peer = find(last_reconnect_)) ping(now, *peer, Purpose::reconnect);
+  last_reconnect_name_ = *it;
+  if (const Peer* peer = find_peer(last_reconnect_name_)) ping(now, *peer, PingPurpose::reconnect);
 }
 
 void Membership::send_gossip(Time now) {
@@ -1095,15 +1127,15 @@
 }
 
 void Membership::request_sync(Time now) {
-  if (!settings_.refinements.anti_entropy || !announced_ || !differs_since_ ||
-      now - *differs_since_ < kSyncDelay)
+  if (!settings_.refinements.anti_entropy || !announced_ || !digest_differs_since_ ||
+      now - *digest_differs_since_ < kSyncDelay)
     return;
-  // Large fleets differ more often, and by less.
-  const Duration every = kSyncDelay * (members_known() > 100 ? 4 : 1);
-  if (now - sync_requested_at_ < every) return;
-  Peer* peer = find(differs_with_);
+  // In large fleets digests differ more often, and by fewer records.
+  const Duration min_interval = kSyncDelay * (fleet_size() > 100 ? 4 : 1);
+  if (now - sync_requested_at_ < min_interval) return;
+  Peer* peer = find_peer(digest_differs_from_);
   if (peer == nullptr || !peer->record.is_member()) {
-    differs_since_.reset();
+    digest_differs_since_.reset();
     return;
   }
   sync_requested_at_ = now;
@@ -1112,9 +1144,9 @@
 }
 
 void Membership::update_view(Time now) {
-  const bool quiet = announced_ && !catching_up_ && suspects_.size() == 0 && reported_deaths_.size() == 0 &&
-                     !differs_since_ && now - changed_at_ >= kSettleDelay;
-  if (!quiet) {
+  const bool stable = announced_ && !catching_up_ && suspects_.size() == 0 && reported_deaths_.size() == 0 &&
+                      !digest_differs_since_ && now - changed_at_ >= kSettleDelay;
+  if (!stable) {
     if (view_.settled) view_.changed_at = now;
     view_.settled = false;
     return;
@@ -1128,15 +1160,15 @@
     view_.names.push_back(record.name);
     text += record.name + '\n' + std::to_string(record.incarnation) + '\n';
   };
-  bool said = !self_.is_member();
-  for (const auto& [name, p] : peers_) {
-    if (!said && self_.name < name) {
+  bool self_added = !self_.is_member();
+  for (const auto& [name, peer] : peers_) {
+    if (!self_added && self_.name < name) {
       add(self_);
-      said = true;
+      self_added = true;
     }
-    if (p.record.is_member()) add(p.record);
+    if (peer.record.is_member()) add(peer.record);
   }
-  if (!said) add(self_);
+  if (!self_added) add(self_);
   view_.digest = XXH3_64bits(text.data(), text.size());
   if (settled_digest_ == view_.digest) return;
   settled_digest_ = view_.digest;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,10 +1,11 @@
-// Who of the fleet is alive, as one process knows it: SWIM with Lifeguard's refinements, lives that end
-// earlier ones, and refusals as a proof of death. Pure: no I/O, no clock, no wire; `now` is a time that goes
-// on while the process is stopped. docs/design/membership.md tells why it is as it is.
+// Group membership and failure detection: SWIM with Lifeguard's refinements. In addition a newer incarnation
+// supersedes older ones of its name, and unreachable ports count as evidence of death. A pure state machine:
+// events in, effects out, without I/O, clock or encoding. `now` comes from a clock that advances while the
+// process is stopped. docs/design/membership.md gives the reasons for the design.
 //
-// Bounded: kMaxMembers records of members and as many of those that are gone, forgotten after a while; pings
-// without an answer, asked for others, strangers: each by a constant in membership.cpp. A step costs O(log
-// n); a settled view's digest, at most one for each change, and the answer to an exchange cost O(n log n).
+// Memory is bounded: at most kMaxMembers members and as many dead or departed ones, which expire; constants
+// in membership.cpp bound pending pings and unknown senders. A step costs O(log n). Computing the digest of a
+// settled view, at most once per change, and answering a sync request cost O(n log n).
 #pragma once
 
 #include <array>
@@ -24,32 +25,33 @@
 
 namespace graniterun::membership {
 
-// Each can be taken out, to measure what it is good for. All stay on in service.
+// Switches of the protocol's refinements, to measure the effect of each. All are on in production.
 struct Refinements {
-  bool indirect_probing = true;        // others are asked before one is doubted
-  bool local_health = true;            // who fails to hear from many judges more slowly
-  bool shrinking_suspicion = true;     // suspicions end sooner as others confirm them
-  bool notify_suspect_at_once = true;  // a suspect hears of it from who doubts it
-  bool unreachable_ports = true;       // a port that refuses counts as a proof
-  bool pause_detection = true;         // who was stopped does not judge before it has caught up
-  bool verify_reported_deaths = true;  // a death told by others is checked by an own ping
-  bool anti_entropy = true;            // all that is known is compared and exchanged
+  bool indirect_probing = true;        // other members probe a peer before it is suspected
+  bool local_health = true;            // timeouts grow when this process misses many answers
+  bool shrinking_suspicion = true;     // confirmations by other members shorten a suspicion
+  bool notify_suspect_at_once = true;  // the suspecting member notifies the suspect directly
+  bool unreachable_ports = true;       // ICMP port unreachable counts as evidence of death
+  bool pause_detection = true;         // after a pause this process suspects nobody until it caught up
+  bool verify_reported_deaths = true;  // this process pings a member that others report dead
+  bool anti_entropy = true;            // member tables are compared by digest and synchronized
 };
 
 struct Settings {
   std::string name{};
-  std::string advertise{};                // address:port at which others reach this process
-  std::vector<std::string> seeds{};       // address:port, asked until they are members, for ever
-  std::set<std::string> allowed_names{};  // who may be a member; empty: anyone with the key
-  Incarnation incarnation{};              // milliseconds of Unix time at the start: only a first guess
-  std::uint64_t start_nonce{};            // random, another one at every start
-  std::uint64_t seed{};                   // for random numbers
-  Duration probe_interval{std::chrono::milliseconds(250)};  // one member is probed in each; 50 ms to 10 s
-  Duration ack_timeout{std::chrono::milliseconds(100)};     // then others are asked; under the period
+  std::string advertise{};                // address:port at which other members reach this process
+  std::vector<std::string> seeds{};       // address:port; pinged without end while they are not members
+  std::set<std::string> allowed_names{};  // names allowed as members; empty allows any with the key
+  Incarnation incarnation{};              // initial value: Unix time of the start in milliseconds
+  std::uint64_t start_nonce{};            // random, drawn at every start
+  std::uint64_t seed{};                   // of the random number generator
+  Duration probe_interval{
+      std::chrono::milliseconds(250)};                   // between probes of one member each; 50 ms to 10 s
+  Duration ack_timeout{std::chrono::milliseconds(100)};  // before indirect probes; less than probe_interval
   Duration gossip_interval{std::chrono::milliseconds(100)};
-  Duration min_suspicion_timeout{std::chrono::seconds(3)};  // longer than the pauses that are to be borne
+  Duration min_suspicion_timeout{std::chrono::seconds(3)};  // longer than tolerated pauses
   Duration max_suspicion_timeout{std::chrono::seconds(6)};
-  Duration dead_member_retention{std::chrono::minutes(10)};  // members that are dead or have left
+  Duration dead_member_retention{std::chrono::minutes(10)};  // of dead and departed members
   std::size_t indirect_probes = 3;
   std::size_t gossip_fanout = 3;
   Refinements refinements{};
@@ -58,18 +60,20 @@
 // ---- events
 struct Started {};
 struct DatagramReceived {
-  Datagram datagram;  // its tag, fleet and version have been found good
+  Datagram datagram;  // with a valid tag, fleet name and version
 };
-struct PortUnreachable {  // nobody listens at the address that a datagram went to
+struct PortUnreachable {  // the kernel reports that no process listens at the destination of a datagram
   std::string address;
-  std::optional<std::uint64_t> token{};  // of the ping that it was, where that is known
+  std::optional<std::uint64_t> token{};  // of the ping that caused it, if known
 };
-struct WatchPorts {  // members whose ports are asked often while they are dead: by whoever does their work
+// Replaces the set of members that are pinged every probe interval while dead; sent by the process that took
+// over their slots.
+struct WatchPorts {
   std::set<std::string> names;
 };
 struct Tick {};  // every kTick
 struct LeaveRequested {
-  bool successor = false;  // another process goes on under this name: it is not said that it left
+  bool handover = false;  // another process continues under this name, so no leave is announced
 };
 using Event = std::variant<Started, DatagramReceived, PortUnreachable, Tick, LeaveRequested, WatchPorts>;
 
@@ -81,24 +85,24 @@
   Datagram datagram;
 };
 enum class MemberEventKind : std::uint8_t {
-  joined,  // or came back, or a newer life ended the one before
+  joined,  // also: became alive again, or a newer incarnation superseded the older one
   suspected,
   refuted,
   died,
   left,
-  settled,  // nobody is doubted, and all who were heard of late hold the same
-  paused,   // this process was stopped
-  caught_up,
-  name_taken,  // another process has this one's name
-  stood_down,  // this one takes no part as long as the other one is there
+  settled,     // no suspicions, and the latest datagrams of other members carried this process's digest
+  paused,      // this process was stopped for a while
+  caught_up,   // enough members answered after a pause
+  name_taken,  // another process has this process's name
+  stood_down,  // this process stops participating while the other process of its name is present
 };
 struct MemberEvent {
   MemberEventKind kind{};
   Record record{};
-  std::string evidence{};  // for people
+  std::string evidence{};  // human-readable explanation
 };
-// Of a member that is watched and dead by a refusal: nobody held its port at some moment from `asked` until
-// now.
+// For a watched member that died with an unreachable port: at some moment between `probed_at` and now no
+// process held its port.
 struct PortReleased {
   std::string name;
   Time probed_at{};
@@ -106,28 +110,28 @@
 using Effect = std::variant<SendDatagram, MemberEvent, PortReleased>;
 using Effects = std::vector<Effect>;
 
-std::string_view to_string(MemberEventKind what);
+std::string_view to_string(MemberEventKind kind);
 
-// How this process itself reaches another, which is not whether that one is alive.
+// How this process reaches a member; independent of whether the member is alive.
 enum class Reachability : std::uint8_t { unknown, direct, through_others, none };
-std::string_view to_string(Reachability reach);
+std::string_view to_string(Reachability reachability);
 
 struct MemberView {
   Record record{};
-  Time state_since{};  // of the record's state, here
+  Time state_since{};  // when this process set the record's current state
   Reachability reachability{};
-  std::optional<Time> last_received_at{};  // by this process, last
+  std::optional<Time> last_received_at{};  // this process's last verified datagram from the member
   bool self = false;
 };
 
 struct View {
-  std::vector<std::string> names{};  // members, those doubted among them, in order
-  std::uint64_t digest{};            // of names and lives: equal where views are
+  std::vector<std::string> names{};  // members including suspects, sorted
+  std::uint64_t digest{};            // of names and incarnations: equal for equal views
   bool settled = false;
-  Time changed_at{};  // of the last change, or of its being settled
+  Time changed_at{};  // when `settled` last changed
 };
 
-// Why a datagram counted for nothing.
+// Why a datagram was dropped.
 enum class DropReason : std::uint8_t {
   not_allowed,
   misdirected,
@@ -138,21 +142,21 @@
   full,
   own
 };
-constexpr std::size_t kDropReasons = static_cast<std::size_t>(DropReason::own) + 1;
-std::string_view to_string(DropReason drop);
+constexpr std::size_t kDropReasonCount = static_cast<std::size_t>(DropReason::own) + 1;
+std::string_view to_string(DropReason reason);
 
 struct Metrics {
   std::uint64_t suspicions_raised = 0;  // by this process
-  std::uint64_t suspicions_known = 0;   // raised or heard of
-  std::uint64_t refuted = 0;
-  std::uint64_t confirmed = 0;                   // ended in a death
+  std::uint64_t suspicions_known = 0;   // raised here or received from others
+  std::uint64_t suspicions_refuted = 0;
+  std::uint64_t suspicions_confirmed = 0;        // ended in a death
   std::uint64_t own_suspicions_refuted = 0;      // suspicions of this process itself
-  std::uint64_t deaths_by_unreachable_port = 0;  // of those confirmed, by a port that refuses
-  std::uint64_t deaths_disproved = 0;            // told by others, and the member answered
+  std::uint64_t deaths_by_unreachable_port = 0;  // those of suspicions_confirmed with an unreachable port
+  std::uint64_t deaths_disproved = 0;            // reported by others, but the member answered
   std::uint64_t pauses = 0;
-  std::uint64_t incarnations_taken = 0;  // beyond the first
+  std::uint64_t incarnations_taken = 0;  // after the initial one
   std::uint64_t syncs = 0;
-  std::array<std::uint64_t, kDropReasons> dropped{};
+  std::array<std::uint64_t, kDropReasonCount> dropped{};
 };
 
 class Membership {
@@ -162,45 +166,47 @@
 
   const Record& self() const { return self_; }
   bool is_member() const { return announced_ && !stood_down_for_ && !stopped_ && self_.is_member(); }
-  // It has handed over, and says nothing any more.
+  // Handover is complete: this process sends nothing any more.
   bool stopped() const { return stopped_; }
-  // It does not know yet whether its name is free, and takes no part so far.
+  // Not announced yet: this process is still checking whether its name is free.
   bool starting() const { return !announced_ && !stood_down_for_ && !stopped_; }
   bool catching_up() const { return catching_up_; }
-  int health() const { return health_score_; }  // 0: well; up to kWorstHealth
-  static constexpr int kWorstHealth = 4;
-  std::vector<MemberView> members() const;  // all that is known, in order of names
+  // Lifeguard's local health multiplier: 0 is healthy, kMaxHealthScore is worst.
+  int health() const { return health_score_; }
+  static constexpr int kMaxHealthScore = 4;
+  std::vector<MemberView> members() const;  // the whole table including dead and departed, sorted by name
   const View& view() const { return view_; }
-  // In touch with so many members within the last two seconds.
-  std::size_t in_touch(Time now) const;
+  // Number of members from which this process received a datagram within the last two seconds.
+  std::size_t recent_contact_count(Time now) const;
   const Metrics& metrics() const { return metrics_; }
   std::uint64_t digest() const { return digest_; }
-  std::size_t memory() const;  // bytes, about
+  std::size_t memory() const;  // approximate, in bytes
 
  private:
   struct Peer {
     Record record{};
     Time state_since{};
-    bool verified = false;  // this very process has answered a ping of ours
+    bool verified = false;  // this incarnation has answered a ping of this process
     ReplayWindow window{};
     std::optional<Time> last_received_at{};
-    std::optional<Time> last_unverified_at{};   // something in its name, that proves nothing
-    std::optional<Time> last_ack_at{};          // a ping of ours, directly
-    std::optional<Time> first_unanswered_at{};  // the first one since then
-    std::optional<Time> last_relayed_ack_at{};  // another member told of its answer
+    std::optional<Time> last_unverified_at{};   // last datagram that carried its name but proves nothing
+    std::optional<Time> last_ack_at{};          // last direct answer to a ping
+    std::optional<Time> first_unanswered_at{};  // first missed ack timeout since last_ack_at
+    std::optional<Time> last_relayed_ack_at{};  // last answer relayed by another member
     std::optional<Suspicion> suspicion{};
-    std::optional<Record> reported_death{};   // by others, and being checked
-    std::optional<Time> unreachable_since{};  // since it was heard last
-    bool broadcast_ended = false;             // gone for so long that it is told no more
+    std::optional<Record> reported_death{};   // reported by others, being verified by a ping
+    std::optional<Time> unreachable_since{};  // first unreachable port since the last received datagram
+    // Dead or departed for half of the retention: the record is neither sent nor part of the digest.
+    bool broadcast_ended = false;
   };
   using Peers = std::map<std::string, Peer>;
-  enum class Purpose : std::uint8_t { probe, check, join, reconnect, duplicate_name, relay };
-  struct PendingPing {  // a ping of ours
-    Purpose purpose{};
-    std::string name{};  // may be empty: of a seed it is not known
+  enum class PingPurpose : std::uint8_t { probe, check, join, reconnect, duplicate_name, relay };
+  struct PendingPing {  // a ping sent by this process and not answered yet
+    PingPurpose purpose{};
+    std::string name{};  // empty for a seed whose name is not known yet
     std::string address{};
     Time sent_at{};
-    // Of a relay: who wants to know.
+    // For PingPurpose::relay: the member that requested the indirect probe, and its token.
     std::string for_address{};
     std::string for_name{};
     std::uint64_t for_token{};
@@ -209,19 +215,19 @@
   struct Probe {
     std::string name{};
     std::uint64_t token{};
-    std::uint64_t repeat_token{};  // of its repeat
+    std::uint64_t repeat_token{};  // of the second direct ping
     Time indirect_at{};
     Time deadline{};
-    std::size_t helpers = 0;
-    std::size_t witnesses = 0;  // helpers that said anything
+    std::size_t requests_sent = 0;       // indirect probe requests
+    std::size_t responses_received = 0;  // RelayedAck and Nack
     bool indirect_sent = false;
     bool answered = false;
   };
-  struct DuplicateName {  // another process that may have this one's name
+  struct DuplicateName {  // another process that may have this process's name
     Record record{};
     std::uint64_t token{};
     Time probed_at{};
-    int tries = 0;
+    int probes_sent = 0;  // without an answer
   };
 
   void on(Time now, const Started& event);
@@ -229,7 +235,7 @@
   void on(Time now, const PortUnreachable& event);
   void on(Time now, const Tick& event);
   void on(Time now, const LeaveRequested& event);
-  void on(Time, const WatchPorts& notice) { watched_ports_ = notice.names; }
+  void on(Time, const WatchPorts& event) { watched_ports_ = event.names; }
 
   void handle_datagram(Time now, Peer& from, const Datagram& datagram);
   void handle_unverified(Time now, const Datagram& datagram, const Ping* ping);
@@ -237,10 +243,10 @@
   void handle_relayed_ack(Time now, const RelayedAck& ack);
   void compare_digest(Time now, const std::string& name, std::uint64_t digest);
   bool handle_ack(Time now, const Datagram& datagram, const Ack& ack);
-  void handle_non_member(Time now, const Datagram& datagram);
+  void handle_verified_sender(Time now, const Datagram& datagram);
   void handle_ping(Time now, const Datagram& datagram, const Ping& ping);
   void handle_ping_request(Time now, const Datagram& datagram, const PingRequest& request);
-  void handle_sync_request(Time now, const Datagram& datagram, const SyncRequest& ask);
+  void handle_sync_request(Time now, const Datagram& datagram, const SyncRequest& request);
   void handle_duplicate_name(Time now, const Datagram& datagram);
 
   void merge_record(Time now, const Record& record, bool first_hand);
@@ -254,14 +260,14 @@
   void declare_dead(Time now, Peer& peer, const Record& dead);
   void raise_suspicion(Time now, Peer& peer, Evidence evidence);
   void store_record(Time now, Peer& peer, const Record& record);
-  void count_member_in(const Record& record);
-  void count_member_out(Time now, const Record& record);
+  void on_member_added(const Record& record);
+  void on_member_removed(Time now, const Record& record);
   Peer& add_peer(Time now, const Record& record);
   bool make_room();
   void erase_peer(Peers::iterator it);
 
   void contest_name(Time now, const Record& record);
-  void take_incarnation(Time now, Incarnation life);
+  void take_incarnation(Time now, Incarnation incarnation);
   void check_duplicate_name(Time now);
   void stand_down(Time now, const Record& to);
   void announce_self(Time now);
@@ -278,59 +284,61 @@
   void contact_missing_members(Time now);
   void update_view(Time now);
 
-  void send_datagram(const std::string& address, const std::string& to, Body body, bool with_rumours = true);
-  // `said`: what it is told of itself; none: what is known of it.
-  std::uint64_t ping(Time now, const std::string& name, const std::string& address, Purpose purpose,
-                     const Record* said = nullptr);
-  void ping(Time now, const Peer& peer, Purpose purpose) {
+  void send_datagram(const std::string& address, const std::string& to, Body body,
+                     bool with_broadcasts = true);
+  // Sends a ping and returns its token. `receiver_record` is sent to the receiver; if null, the stored
+  // record.
+  std::uint64_t ping(Time now, const std::string& name, const std::string& address, PingPurpose purpose,
+                     const Record* receiver_record = nullptr);
+  void ping(Time now, const Peer& peer, PingPurpose purpose) {
     ping(now, peer.record.name, peer.record.address, purpose);
   }
   void attach_broadcasts(Datagram& datagram);
-  void emit_event(Time now, MemberEventKind what, const Record& record, std::string evidence);
-  void count_drop(DropReason why) { ++metrics_.dropped[static_cast<std::size_t>(why)]; }
+  void emit_event(Time now, MemberEventKind kind, const Record& record, std::string evidence);
+  void count_drop(DropReason reason) { ++metrics_.dropped[static_cast<std::size_t>(reason)]; }
   void broadcast(const std::string& name) { broadcasts_.add(name); }
-  Peer* find(const std::string& name);
+  Peer* find_peer(const std::string& name);
   const Record* record_of(const std::string& name) const;
-  std::vector<Peer*> random_members(std::size_t most, const std::string& but);
-  std::size_t members_known() const { return members_ + 1; }  // with this one
+  std::vector<Peer*> random_members(std::size_t max_count, const std::string& excluded);
+  std::size_t fleet_size() const { return member_count_ + 1; }  // including this process
   int transmission_limit() const;
   Duration scaled_by_health(Duration duration) const;
   void adjust_health(int by);
   void update_digest(const Record& record, int sign);
-  bool has_no_members() const { return members_ == 0; }
+  bool has_no_members() const { return member_count_ == 0; }
 
   Settings settings_;
   std::mt19937_64 random_;
   Record self_{};
   Peers peers_;
-  std::map<std::string, std::string> by_address_;  // members
-  std::size_t members_ = 0;                        // of the peers
-  std::size_t verified_ = 0;
-  std::vector<std::string> probe_order_;  // the order of probing
+  std::map<std::string, std::string> members_by_address_;  // names
+  std::size_t member_count_ = 0;                           // alive and suspect peers
+  std::size_t verified_count_ = 0;
+  std::vector<std::string> probe_order_;  // round robin, shuffled after each round
   std::size_t probe_position_ = 0;
   BroadcastQueue broadcasts_;
-  DeadlineQueue<std::string> suspects_;            // when a suspicion ends
-  DeadlineQueue<std::string> unreachable_checks_;  // when a port that refused is asked again
-  DeadlineQueue<std::string> reported_deaths_;     // when a death that was told is believed
-  DeadlineQueue<std::string> expirations_;         // when a record fades, then when it is forgotten
-  std::set<std::string> dead_members_;             // told of still: asked in turn whether they are back
+  DeadlineQueue<std::string> suspects_;            // when a suspicion times out
+  DeadlineQueue<std::string> unreachable_checks_;  // when an unreachable port is pinged again
+  DeadlineQueue<std::string> reported_deaths_;     // when an unverified reported death is accepted
+  DeadlineQueue<std::string> expirations_;         // when a record's broadcast ends, then when it is erased
+  std::set<std::string> dead_members_;             // still broadcast; pinged in turn to find returned ones
   std::map<std::uint64_t, PendingPing> pending_pings_;
-  std::map<std::string, Time> unknown_senders_;  // by address: when they were last asked who they are
+  std::map<std::string, Time> unknown_senders_;  // by address: when each was last pinged
   std::optional<Probe> probe_{};
   std::optional<DuplicateName> duplicate_{};
-  std::optional<Record> stood_down_for_{};  // to this one
+  std::optional<Record> stood_down_for_{};  // the other process of this name, while stood down
   std::array<std::uint64_t, kBuckets> buckets_{};
   std::uint64_t digest_ = 0;
-  std::uint64_t number_ = 0;
+  std::uint64_t last_sequence_number_ = 0;
   int health_score_ = 0;
   bool announced_ = false;
   bool stopped_ = false;
   std::optional<Time> stops_at_{};
   bool catching_up_ = false;
-  std::set<std::string> answered_since_;  // while catching up
+  std::set<std::string> catch_up_responders_;  // members that answered since the pause
   Time started_at_{};
   std::optional<Time> last_tick_at_{};
-  Time listening_since_{};  // without a pause since
+  Time listening_since_{};  // start, or end of the last pause
   Time last_gossip_at_{};
   Time last_probe_at_{};
   Time last_reconnect_at_{};
@@ -338,17 +346,17 @@
   Time sync_requested_at_{};
   std::set<std::string> watched_ports_;
   Time ports_checked_at_{};
-  std::string last_reconnect_{};         // asked whether it is back
-  std::optional<Time> differs_since_{};  // another's digest from ours, since
-  std::string differs_with_{};
-  Time changed_at_{};
+  std::string last_reconnect_name_{};  // the dead member pinged last
+  std::optional<Time> digest_differs_since_{};
+  std::string digest_differs_from_{};  // the member whose digest differed last
+  Time changed_at_{};                  // last change of the member table
   View view_{};
   std::optional<std::uint64_t> settled_digest_{};
   Time incarnation_taken_at_{};
-  int incarnations_in_a_row_ = 0;
-  std::set<std::string> duplicate_addresses_;  // addresses told of
+  int consecutive_incarnations_ = 0;
+  std::set<std::string> duplicate_addresses_;  // already reported by name_taken
   Metrics metrics_{};
-  Effects* out_ = nullptr;  // of the step that runs
+  Effects* effects_ = nullptr;  // of the current step
 };
 
 }  // namespace graniterun::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,5 +1,4 @@
-// What members say to each other. Each is one datagram; any of them may be lost, late, doubled or out of
-// order.
+// Messages between members. Each is one datagram, which may be lost, delayed, duplicated or reordered.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +10,25 @@
 
 namespace graniterun::membership {
 
-constexpr std::size_t kBuckets = 64;  // names fall into so many, for the exchange of all that is known
+// Anti-entropy sync compares the member table by buckets: a record's bucket is the hash of its name modulo
+// this.
+constexpr std::size_t kBuckets = 64;
 
-// "Are you there?" The token comes back in the answer, so an answer proves that its sender heard this ping.
+// Asks for an Ack. The Ack repeats the random token, which proves that its sender received this ping.
 struct Ping {
   std::uint64_t token{};
-  bool by_non_member = false;  // by a process that is no member yet: it is answered, and not taken in
-  bool known = false;          // whether `about_receiver` holds something
-  // what the sender knows of the receiver: told at once, so that it can be overruled
-  Record about_receiver{};
+  bool by_non_member = false;  // the sender is not a member yet: it is answered but not added to the table
+  bool has_record = false;     // whether `receiver_record` is set
+  // The sender's record of the receiver, so that the receiver can refute a suspicion at once.
+  Record receiver_record{};
 };
 struct Ack {
   std::uint64_t token{};
-  bool known = false;
-  Record about_receiver{};
+  bool has_record = false;
+  Record receiver_record{};
 };
-// "Ask this one for me"; answered by RelayedAck, or by Nack where it has said nothing so far.
+// Indirect probe: asks the receiver to ping the named member. The answer is a RelayedAck, or a Nack if the
+// member has not answered within the ack timeout.
 struct PingRequest {
   std::uint64_t token{};
   std::string name{};
@@ -38,28 +40,29 @@
 struct Nack {
   std::uint64_t token{};
 };
-// "This is a sum of what I know, a bucket each: tell me where yours is another."
+// Anti-entropy sync: carries the sender's digest of each bucket. The receiver sends back its records of the
+// buckets whose digests differ.
 struct SyncRequest {
   std::vector<std::uint64_t> buckets{};
 };
-struct Gossip {};  // nothing but its records
+struct Gossip {};  // carries only the datagram's records
 
 using Body = std::variant<Ping, Ack, PingRequest, RelayedAck, Nack, SyncRequest, Gossip>;
 
 struct Datagram {
-  Record from{};             // the sender, as it knows itself
-  std::string to{};          // name of the receiver, where the sender knows it
-  std::uint64_t number{};    // of the sender's datagrams; grows with each
-  std::uint64_t digest{};    // of all that it knows
-  bool catching_up = false;  // it was stopped, and is not to be believed about others
+  Record from{};             // the sender's own record
+  std::string to{};          // name of the receiver; empty if the sender does not know it
+  std::uint64_t number{};    // sequence number of the sender's datagrams, increasing
+  std::uint64_t digest{};    // of the sender's member table
+  bool catching_up = false;  // the sender was paused: its records of other members are ignored
   Body body{};
   std::vector<Record> records{};
 };
 
-// No more bytes than this in one datagram's records, as bytes_of() reckons them.
-constexpr std::size_t kRecordBytes = 700;
-// No less than what a record takes on the wire (fleet/datagram).
-inline std::size_t bytes_of(const Record& record) {
+// Upper bound on the records of one datagram in bytes, as computed by max_encoded_bytes().
+constexpr std::size_t kMaxRecordBytes = 700;
+// Upper bound on the encoded size of a record in bytes (fleet/datagram.h).
+inline std::size_t max_encoded_bytes(const Record& record) {
   return 36 + record.name.size() + record.address.size() + record.suspecting_member.size();
 }
 
--- a/src/membership/replay_window.h
+++ b/src/membership/replay_window.h
@@ -1,4 +1,5 @@
-// Which of a sender's numbered datagrams have been taken: each once, none much older than the newest.
+// Duplicate detection by sequence number: accepts each datagram of a sender once, and none that is
+// kWindowSize or more behind the newest.
 #pragma once
 
 #include <bitset>
@@ -6,31 +7,31 @@
 
 namespace graniterun::membership {
 
-// The anti-replay window of RFC 4303 (3.4.3), for 256 numbers. 48 bytes.
+// The anti-replay window of RFC 4303, section 3.4.3, over 256 sequence numbers. Takes 48 bytes.
 class ReplayWindow {
  public:
-  enum class Verdict : std::uint8_t { fresh, duplicate, too_old };
-  static constexpr std::uint64_t kSize = 256;
+  enum class Result : std::uint8_t { fresh, duplicate, too_old };
+  static constexpr std::uint64_t kWindowSize = 256;
 
-  Verdict accept(std::uint64_t number) {
+  Result accept(std::uint64_t number) {
     if (number > newest_) {
       const std::uint64_t step = number - newest_;
-      step >= kSize ? seen_.reset() : seen_ <<= step;
+      step >= kWindowSize ? seen_.reset() : seen_ <<= step;
       newest_ = number;
       seen_.set(0);
-      return Verdict::fresh;
+      return Result::fresh;
     }
     const std::uint64_t age = newest_ - number;
-    if (age >= kSize) return Verdict::too_old;
-    if (seen_.test(age)) return Verdict::duplicate;
+    if (age >= kWindowSize) return Result::too_old;
+    if (seen_.test(age)) return Result::duplicate;
     seen_.set(age);
-    return Verdict::fresh;
+    return Result::fresh;
   }
   std::uint64_t newest() const { return newest_; }
 
  private:
   std::uint64_t newest_ = 0;
-  std::bitset<kSize> seen_{};
+  std::bitset<kWindowSize> seen_{};
 };
 
 }  // namespace graniterun::membership
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,5 +1,5 @@
-// How long a suspect has to say otherwise: from the most, when one member doubts it, down to the least as
-// others come to doubt it by themselves (Lifeguard, section IV-B).
+// The timeout of a suspicion: starts at the maximum, when one member suspects the peer, and shrinks to the
+// minimum as other members confirm it independently (Lifeguard, section IV-B).
 #pragma once
 
 #include <algorithm>
@@ -13,30 +13,34 @@
 
 class Suspicion {
  public:
-  static constexpr std::size_t kConfirmations = 3;  // so many beyond the first bring it down to the least
+  // Confirmations, beyond the first suspecting member, that reduce the timeout to its minimum.
+  static constexpr std::size_t kMaxConfirmations = 3;
 
-  // `shrinks`: else it always lasts for the most.
-  Suspicion(Time now, Duration least, Duration most, bool shrinks, const std::string& accuser)
+  // Without `shrinking` the timeout stays at `max_timeout`.
+  Suspicion(Time now, Duration min_timeout, Duration max_timeout, bool shrinking,
+            const std::string& suspecting_member)
       : started_at_(now),
-        min_timeout_(least),
-        max_timeout_(most),
-        shrinking_(shrinks),
-        suspecting_members_{accuser} {}
-
-  // Whether it is news that this one doubts it too.
-  bool confirm(const std::string& accuser) {
-    return suspecting_members_.size() <= kConfirmations && suspecting_members_.insert(accuser).second;
+        min_timeout_(min_timeout),
+        max_timeout_(max_timeout),
+        shrinking_(shrinking),
+        suspecting_members_{suspecting_member} {}
+
+  // Adds a confirmation. Returns false if that member has suspected the peer before, or if the timeout is at
+  // its minimum already.
+  bool confirm(const std::string& suspecting_member) {
+    return suspecting_members_.size() <= kMaxConfirmations &&
+           suspecting_members_.insert(suspecting_member).second;
   }
   Time deadline() const {
     if (!shrinking_) return started_at_ + max_timeout_;
-    const double share =
-        std::log(static_cast<double>(suspecting_members_.size())) / std::log(kConfirmations + 1.0);
-    const auto cut =
-        std::chrono::duration_cast<Duration>((max_timeout_ - min_timeout_) * std::min(1.0, share));
-    return started_at_ + max_timeout_ - cut;
+    const double fraction =
+        std::log(static_cast<double>(suspecting_members_.size())) / std::log(kMaxConfirmations + 1.0);
+    const auto reduction =
+        std::chrono::duration_cast<Duration>((max_timeout_ - min_timeout_) * std::min(1.0, fraction));
+    return started_at_ + max_timeout_ - reduction;
   }
-  // What was not heard for so long does not count against it.
-  void discount(Duration span) { started_at_ += span; }
+  // Moves the deadline by a time in which this process was paused and could not receive a refutation.
+  void extend(Duration span) { started_at_ += span; }
   std::size_t suspecting_members() const { return suspecting_members_.size(); }
 
  private:
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -1,6 +1,7 @@
-// Several real gatekeepers on loopback with a relay between them, and faults put in from outside. The verdict
-// rests on what each holds in the end and on the order of what was told, never on how fast the machine was;
-// each fault is shown to have taken hold. Usage: fleet_process_test GATEKEEPER GRANITERUNCTL
+// Tests with several gatekeeper processes on loopback and a relay that injects faults between them. The
+// checks rest on the final state of each process and on the order of events, never on the speed of the
+// machine; each test also checks that its fault took effect. Usage: fleet_process_test GATEKEEPER
+// GRANITERUNCTL
 #include <csignal>
 
 #include "lab/fleet_rig.h"
@@ -14,33 +15,33 @@
 
 namespace {
 
-constexpr auto kPatience = 20s;
+constexpr auto kConvergenceTimeout = 20s;
 std::string gatekeeper;
 std::string ctl;
 
-void agrees(Rig& rig) {
-  if (Rig::until(kPatience, [&] { return rig.agree(); })) return;
+void expect_agreement(Rig& rig) {
+  if (Rig::until(kConvergenceTimeout, [&] { return rig.agree(); })) return;
   for (std::size_t i = 0; i < rig.size(); ++i) {
     if (rig.up(i)) std::cerr << rig.ask(i, "members").dump() << '\n' << rig.program(i).log() << '\n';
   }
   CHECK(false);
 }
-// All others who are up hold it so.
-bool all_hold(const Rig& rig, std::size_t of, const std::string& state) {
+// Whether all other running processes report the member in that state.
+bool all_report(const Rig& rig, std::size_t subject, const std::string& state) {
   for (std::size_t i = 0; i < rig.size(); ++i) {
-    if (i != of && rig.up(i) && rig.state(i, "n" + std::to_string(of)) != state) return false;
+    if (i != subject && rig.up(i) && rig.state(i, "n" + std::to_string(subject)) != state) return false;
   }
   return true;
 }
-void all_come_to_hold(const Rig& rig, std::size_t of, const std::string& state) {
-  CHECK(Rig::until(kPatience, [&] { return all_hold(rig, of, state); }));
+void expect_all_report(const Rig& rig, std::size_t subject, const std::string& state) {
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return all_report(rig, subject, state); }));
 }
-std::size_t deaths(const Rig& rig, const std::set<std::string>& but = {}) {
+std::size_t count_deaths(const Rig& rig, const std::set<std::string>& excluded = {}) {
   std::size_t count = 0;
-  for (const lab::Event& e : rig.events()) count += e.what == "died" && !but.contains(e.member) ? 1 : 0;
+  for (const lab::Event& e : rig.events()) count += e.what == "died" && !excluded.contains(e.member) ? 1 : 0;
   return count;
 }
-std::uint64_t life_of(const Rig& rig, std::size_t i) {
+std::uint64_t incarnation_of(const Rig& rig, std::size_t i) {
   const json view = rig.ask(i, "members");
   for (const json& m : view["members"]) {
     if (m["self"] == true) return m["life"].get<std::uint64_t>();
@@ -48,142 +49,143 @@
   return 0;
 }
 
-void shorter_suspicion(std::size_t, json& deploy) { deploy["fleet"]["suspicion_ms"] = 1000; }
+void shorten_suspicion(std::size_t, json& deploy) { deploy["fleet"]["suspicion_ms"] = 1000; }
 
-// Started at once, the seeds last; one is killed, and started again from nothing with a clock an hour behind.
-void killed_and_started_again() {
+// All are started at once, the seeds last; one is killed and restarted without stored state, with its clock
+// an hour behind.
+void killed_process_rejoins_after_restart() {
   std::int64_t offset = 0;
   Rig rig(gatekeeper, 6, 1, [&](std::size_t i, json& deploy) {
     if (i == 4) deploy["fleet"]["clock_offset_ms"] = offset;
   });
   for (std::size_t i = rig.size(); i-- > 0;) rig.start(i);
-  agrees(rig);
-  CHECK_EQ(deaths(rig), 0U);
-  const std::uint64_t life = life_of(rig, 4);
+  expect_agreement(rig);
+  CHECK_EQ(count_deaths(rig), 0U);
+  const std::uint64_t incarnation = incarnation_of(rig, 4);
   rig.kill(4);
-  all_come_to_hold(rig, 4, "dead");
+  expect_all_report(rig, 4, "dead");
   CHECK(rig.relay().counts().refused > 0);
-  CHECK_EQ(deaths(rig, {"n4"}), 0U);
-  std::uint64_t by_refusal = 0;
+  CHECK_EQ(count_deaths(rig, {"n4"}), 0U);
+  std::uint64_t deaths_by_unreachable_port = 0;
   for (std::size_t i = 0; i < rig.size(); ++i)
-    by_refusal += i == 4 ? 0 : rig.counter(i, "fleet.deaths_by_refusal");
-  CHECK(by_refusal > 0);
+    deaths_by_unreachable_port += i == 4 ? 0 : rig.counter(i, "fleet.deaths_by_refusal");
+  CHECK(deaths_by_unreachable_port > 0);
   offset = -3'600'000;
   rig.start(4);
-  agrees(rig);
-  CHECK(life_of(rig, 4) > life);
-  // Asked to stop: it says so, and nobody finds it dead.
+  expect_agreement(rig);
+  CHECK(incarnation_of(rig, 4) > incarnation);
+  // A process stopped by SIGTERM announces its leave and is not declared dead.
   rig.forget_events();
   rig.signal(2, SIGTERM);
-  all_come_to_hold(rig, 2, "left");
+  expect_all_report(rig, 2, "left");
   CHECK_EQ(rig.program(2).exit_status(), 0);
   rig.kill(2);
-  agrees(rig);
-  CHECK_EQ(deaths(rig), 0U);
+  expect_agreement(rig);
+  CHECK_EQ(count_deaths(rig), 0U);
 }
 
-void stopped_and_continued() {
-  Rig rig(gatekeeper, 6, 2, shorter_suspicion);
+void paused_process_rejoins() {
+  Rig rig(gatekeeper, 6, 2, shorten_suspicion);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.forget_events();
-  // Not long enough to be found dead: it notices by itself, and accuses nobody.
+  // A pause shorter than the suspicion timeout: the process detects it and declares nobody dead.
   rig.stop(3);
   std::this_thread::sleep_for(600ms);
   rig.go_on(3);
-  agrees(rig);
+  expect_agreement(rig);
   CHECK(rig.counter(3, "fleet.own_pauses") > 0);
-  CHECK_EQ(deaths(rig), 0U);
-  // Longer than that: dead, and back by its own word, in the same life.
-  const std::uint64_t life = life_of(rig, 3);
+  CHECK_EQ(count_deaths(rig), 0U);
+  // A longer pause: it is declared dead and refutes that on resuming, in the same incarnation.
+  const std::uint64_t incarnation = incarnation_of(rig, 3);
   rig.stop(3);
-  all_come_to_hold(rig, 3, "dead");
+  expect_all_report(rig, 3, "dead");
   rig.go_on(3);
-  agrees(rig);
-  CHECK_EQ(life_of(rig, 3), life);
-  CHECK_EQ(deaths(rig, {"n3"}), 0U);
+  expect_agreement(rig);
+  CHECK_EQ(incarnation_of(rig, 3), incarnation);
+  CHECK_EQ(count_deaths(rig, {"n3"}), 0U);
   for (const lab::Event& e : rig.events()) CHECK(e.by != 3 || e.what != "died");
 }
 
-void half_of_them_stopped() {
+void pause_of_half_the_fleet_causes_no_death() {
   Rig rig(gatekeeper, 6, 3);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.forget_events();
   for (const std::size_t i : {0U, 2U, 4U}) rig.stop(i);
   std::this_thread::sleep_for(1500ms);
   for (const std::size_t i : {0U, 2U, 4U}) rig.go_on(i);
-  agrees(rig);
-  CHECK_EQ(deaths(rig), 0U);
+  expect_agreement(rig);
+  CHECK_EQ(count_deaths(rig), 0U);
   CHECK(rig.counter(2, "fleet.own_pauses") > 0);
 }
 
-// From 1 to 4 nothing passes: alive for all, and out of one's own reach for 1.
-void cut_one_way() {
-  Rig rig(gatekeeper, 6, 4, shorter_suspicion);
+// All datagrams from 1 to 4 are dropped: 4 stays alive for all, and 1 reaches it only through others.
+void one_way_cut_leaves_member_alive() {
+  Rig rig(gatekeeper, 6, 4, shorten_suspicion);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.forget_events();
   RealLink cut;
   cut.cut = true;
   rig.relay().link(1, 4, cut);
-  CHECK(Rig::until(kPatience, [&] {
+  CHECK(Rig::until(kConvergenceTimeout, [&] {
     const json view = rig.ask(1, "members");
     for (const json& m : view["members"]) {
       if (m["name"] == "n4") return m["reach"] == "through-others" && m["state"] == "alive";
     }
     return false;
   }));
-  CHECK(Rig::until(kPatience, [&] { return rig.relay().counts().cut >= 10; }));
-  CHECK_EQ(deaths(rig), 0U);
-  CHECK(all_hold(rig, 4, "alive"));
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.relay().counts().cut >= 10; }));
+  CHECK_EQ(count_deaths(rig), 0U);
+  CHECK(all_report(rig, 4, "alive"));
 }
 
-// One that only hears, then one that only speaks: the fleet does without it, and it does not take the others
-// with it; healed, it is back.
-void heard_by_none_and_hearing_none() {
-  Rig rig(gatekeeper, 6, 5, shorter_suspicion);
+// A member that can only receive, then one that can only send: the fleet declares it dead, the others are not
+// affected, and it rejoins after the cut heals.
+void member_cut_off_in_one_direction_is_declared_dead() {
+  Rig rig(gatekeeper, 6, 5, shorten_suspicion);
   rig.start_all();
   for (const bool outwards : {true, false}) {
-    agrees(rig);
+    expect_agreement(rig);
     rig.forget_events();
     RealLink cut;
     cut.cut = true;
     for (std::size_t i = 0; i < rig.size(); ++i)
       outwards ? rig.relay().link(5, i, cut) : rig.relay().link(i, 5, cut);
-    all_come_to_hold(rig, 5, "dead");
+    expect_all_report(rig, 5, "dead");
     CHECK(rig.relay().counts().cut > 0);
     for (const lab::Event& e : rig.events())
       CHECK(e.what != "died" || e.member == "n5" || (e.by == 5 && !outwards));
     rig.relay().heal();
   }
-  agrees(rig);
+  expect_agreement(rig);
 }
 
-void a_third_cut_off_and_back() {
-  Rig rig(gatekeeper, 9, 6, shorter_suspicion);
+void partitioned_third_rejoins_over_lossy_links() {
+  Rig rig(gatekeeper, 9, 6, shorten_suspicion);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.relay().cut({0, 4, 8});
-  CHECK(Rig::until(kPatience, [&] {
+  CHECK(Rig::until(kConvergenceTimeout, [&] {
     return rig.ask(0, "view")["size"] == 3 && rig.ask(1, "view")["size"] == 6 &&
            rig.ask(0, "view")["settled"] == true;
   }));
   CHECK(rig.relay().counts().cut > 0);
-  RealLink bad;  // healed, but not well
+  RealLink bad;  // healed, but with loss, duplicates and delay
   bad.loss = 0.1;
   bad.doubled = 0.1;
   bad.most = 20ms;
   rig.relay().all_links(bad);
-  agrees(rig);
+  expect_agreement(rig);
   CHECK(rig.relay().counts().lost > 0 && rig.relay().counts().doubled > 0);
 }
 
-// Random bytes and datagrams of another key, a thousand and more, at a port that is a member's own.
-void floods_from_outside() {
+// 2,000 datagrams of random bytes are sent to a member's port.
+void flood_of_foreign_datagrams_is_dropped() {
   Rig rig(gatekeeper, 3, 7);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.forget_events();
   const Socket from = Socket::bound(SOCK_DGRAM);
   std::mt19937_64 random(7);
@@ -194,10 +196,10 @@
     if (i % 50 == 0) std::this_thread::sleep_for(20ms);
   }
   CHECK(rig.relay().counts().unknown > 0);
-  CHECK(Rig::until(kPatience, [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
-  agrees(rig);
-  CHECK_EQ(deaths(rig), 0U);
-  // One line a second at most, whatever comes.
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
+  expect_agreement(rig);
+  CHECK_EQ(count_deaths(rig), 0U);
+  // The warning is limited to one line a second.
   const std::string log = rig.program(1).log();
   std::size_t lines = 0;
   for (std::size_t at = log.find("is dropped"); at != std::string::npos; at = log.find("is dropped", at + 1))
@@ -205,24 +207,25 @@
   CHECK(lines > 0 && lines < 60);
 }
 
-// Two programs of one name, the second by mistake: both are told, one stays, and nobody goes back and forth.
-void a_name_taken_twice() {
+// A second process is started under a taken name: both report the conflict, the first stays a member, and the
+// name does not change hands until the first is killed.
+void second_process_of_a_name_stands_down() {
   Rig rig(gatekeeper, 5, 8, [](std::size_t i, json& deploy) {
     if (i == 4) deploy["name_for_tests"] = "n1";
   });
   for (std::size_t i = 0; i < 4; ++i) rig.start(i);
   const std::set<std::string> four{"n0", "n1", "n2", "n3"};
-  CHECK(Rig::until(kPatience, [&] { return rig.agree(four); }));
-  const std::uint64_t life = life_of(rig, 1);
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree(four); }));
+  const std::uint64_t incarnation = incarnation_of(rig, 1);
   rig.start(4);
   rig.program(4).wait_for_log("yielded");
   rig.program(1).wait_for_log("name-taken");
   CHECK_EQ(rig.ask(4, "view")["member"], false);
-  CHECK_EQ(life_of(rig, 1), life);
-  CHECK_EQ(deaths(rig), 0U);
+  CHECK_EQ(incarnation_of(rig, 1), incarnation);
+  CHECK_EQ(count_deaths(rig), 0U);
   rig.kill(1);
-  CHECK(Rig::until(kPatience, [&] { return rig.ask(4, "view")["member"] == true; }));
-  CHECK(Rig::until(kPatience, [&] { return rig.agree(four); }));
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.ask(4, "view")["member"] == true; }));
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree(four); }));
 }
 
 json run_ctl(const std::string& arguments, int& status) {
@@ -235,10 +238,10 @@
   return json::parse(text, nullptr, false);
 }
 
-void people_can_look() {
+void fleet_commands_report_members() {
   Rig rig(gatekeeper, 3, 9);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   std::string to = "--to ";
   for (std::size_t i = 0; i < 3; ++i)
     to += (i > 0 ? "," : "") + std::string("127.0.0.1:") + std::to_string(rig.control(i));
@@ -251,24 +254,25 @@
   CHECK_EQ(status, 0);
   run_ctl("fleet leave --json --to 127.0.0.1:" + std::to_string(rig.control(2)), status);
   CHECK_EQ(status, 0);
-  all_come_to_hold(rig, 2, "left");
+  expect_all_report(rig, 2, "left");
   run_ctl("fleet view --to 127.0.0.1:" + std::to_string(Socket::bound(SOCK_STREAM).port()), status);
   CHECK_EQ(status, 3);
 }
 
-// A process takes over from the one that holds the callers' socket and the fleet's port. The others see one
-// gatekeeper all along.
-void an_upgrade() {
+// A new process takes over from the one that holds the callers' socket and the fleet port. The other members
+// see one gatekeeper throughout.
+void upgrade_keeps_one_member() {
   Rig rig(gatekeeper, 4, 10);
   rig.start_all();
-  agrees(rig);
+  expect_agreement(rig);
   rig.upgrade_begins(3);
-  agrees(rig);
-  const std::uint64_t life = life_of(rig, 3);
+  expect_agreement(rig);
+  const std::uint64_t incarnation = incarnation_of(rig, 3);
   rig.forget_events();
   rig.upgrade(3);
-  CHECK(Rig::until(kPatience, [&] { return rig.agree() && life_of(rig, 3) > life; }));
-  for (const lab::Event& e : rig.events()) CHECK(e.what != "left" && (e.what != "died" || e.life == life));
+  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree() && incarnation_of(rig, 3) > incarnation; }));
+  for (const lab::Event& e : rig.events())
+    CHECK(e.what != "left" && (e.what != "died" || e.life == incarnation));
 }
 
 }  // namespace
@@ -278,14 +282,14 @@
   std::signal(SIGPIPE, SIG_IGN);
   gatekeeper = argv[1];
   ctl = argv[2];
-  killed_and_started_again();
-  stopped_and_continued();
-  half_of_them_stopped();
-  cut_one_way();
-  heard_by_none_and_hearing_none();
-  a_third_cut_off_and_back();
-  floods_from_outside();
-  a_name_taken_twice();
-  people_can_look();
-  an_upgrade();
+  killed_process_rejoins_after_restart();
+  paused_process_rejoins();
+  pause_of_half_the_fleet_causes_no_death();
+  one_way_cut_leaves_member_alive();
+  member_cut_off_in_one_direction_is_declared_dead();
+  partitioned_third_rejoins_over_lossy_links();
+  flood_of_foreign_datagrams_is_dropped();
+  second_process_of_a_name_stands_down();
+  fleet_commands_report_members();
+  upgrade_keeps_one_member();
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// Datagrams among gatekeepers as bytes, and the fleet's part of the gatekeeper: what is dropped, and that it
-// is counted; what becomes of a port that is taken; how a process ends.
+// Tests of the fleet's datagram codec and of the gatekeeper's fleet part: rejected datagrams and their
+// counters, a fleet port that is in use, and how a stopping process leaves the fleet.
 #include <nlohmann/json.hpp>
 #include <random>
 
@@ -28,7 +28,7 @@
   return r;
 }
 
-std::vector<membership::Datagram> every_kind() {
+std::vector<membership::Datagram> one_datagram_of_each_kind() {
   std::vector<membership::Datagram> all;
   const auto add = [&](Body body) {
     membership::Datagram d;
@@ -58,15 +58,15 @@
   CHECK(std::holds_alternative<membership::Datagram>(result));
   return std::get<membership::Datagram>(result);
 }
-fleet::DecodeError refusal(const std::string& bytes, const std::string& fleet_name = kFleet,
-                           const fleet::Key& key = kKey) {
+fleet::DecodeError decode_error(const std::string& bytes, const std::string& fleet_name = kFleet,
+                                const fleet::Key& key = kKey) {
   const auto result = fleet::decode(bytes, fleet_name, key);
   CHECK(std::holds_alternative<fleet::DecodeError>(result));
   return std::get<fleet::DecodeError>(result);
 }
 
-void datagrams_come_back_as_they_were() {
-  for (const membership::Datagram& d : every_kind()) {
+void datagram_roundtrip_preserves_fields() {
+  for (const membership::Datagram& d : one_datagram_of_each_kind()) {
     const std::string bytes = fleet::encode(d, kFleet, kKey);
     CHECK(bytes.size() <= fleet::kMaxDatagramBytes);
     const membership::Datagram again = read(bytes);
@@ -76,76 +76,79 @@
   }
 }
 
-// What membership puts into one datagram fits one, with the longest names there are.
-void the_longest_datagram_fits() {
-  for (membership::Datagram d : every_kind()) {
+// The records that membership puts into one datagram fit the size limit, also with names of maximum length.
+void longest_datagram_fits_size_limit() {
+  for (membership::Datagram d : one_datagram_of_each_kind()) {
     const std::string name(kMaxNameLength, 'n');
     d.from = record(name, kMaxAddressLength);
     d.to = name;
-    if (auto* ping = std::get_if<Ping>(&d.body)) ping->about_receiver = record(name, kMaxAddressLength);
+    if (auto* ping = std::get_if<Ping>(&d.body)) ping->receiver_record = record(name, kMaxAddressLength);
     d.records.clear();
     if (!std::holds_alternative<SyncRequest>(d.body)) {
       std::size_t bytes = 0;
-      for (Record r = record("n5"); bytes + bytes_of(r) <= kRecordBytes; bytes += bytes_of(r))
+      for (Record r = record("n5"); bytes + max_encoded_bytes(r) <= kMaxRecordBytes;
+           bytes += max_encoded_bytes(r))
         d.records.push_back(r);
     }
-    const std::size_t wanted = d.records.size();
+    const std::size_t record_count = d.records.size();
     const std::string bytes = fleet::encode(d, kFleet, kKey);
     CHECK(bytes.size() <= fleet::kMaxDatagramBytes);
-    CHECK(std::holds_alternative<Ping>(d.body) || read(bytes).records.size() == wanted);
-    // Its reckoning is no less than what a record takes.
+    CHECK(std::holds_alternative<Ping>(d.body) || read(bytes).records.size() == record_count);
+    // max_encoded_bytes() is an upper bound on the encoded size of a record.
     Record r = record("n5");
-    membership::Datagram one = d;
-    one.records = {r};
-    membership::Datagram none = d;
-    none.records.clear();
-    CHECK(fleet::encode(one, kFleet, kKey).size() - fleet::encode(none, kFleet, kKey).size() <= bytes_of(r));
+    membership::Datagram with_record = d;
+    with_record.records = {r};
+    membership::Datagram without_records = d;
+    without_records.records.clear();
+    CHECK(fleet::encode(with_record, kFleet, kKey).size() -
+              fleet::encode(without_records, kFleet, kKey).size() <=
+          max_encoded_bytes(r));
   }
 }
 
-void one_bit_is_enough_to_refuse_it() {
-  const std::string bytes = fleet::encode(every_kind()[0], kFleet, kKey);
+void any_changed_bit_fails_authentication() {
+  const std::string bytes = fleet::encode(one_datagram_of_each_kind()[0], kFleet, kKey);
   for (std::size_t at = 0; at < bytes.size(); ++at) {
     for (int bit = 0; bit < 8; ++bit) {
       std::string forged = bytes;
       forged[at] = static_cast<char>(forged[at] ^ (1 << bit));
-      CHECK(refusal(forged) == fleet::DecodeError::tag);
+      CHECK(decode_error(forged) == fleet::DecodeError::tag);
     }
-    CHECK(refusal(bytes.substr(0, at)) == fleet::DecodeError::tag);
+    CHECK(decode_error(bytes.substr(0, at)) == fleet::DecodeError::tag);
   }
-  CHECK(refusal(bytes + "x") == fleet::DecodeError::tag);
-  CHECK(refusal(std::string(1201, 'x')) == fleet::DecodeError::too_long);
-  CHECK(refusal(bytes, "other") == fleet::DecodeError::fleet);
-  CHECK(refusal(bytes, kFleet, *fleet::key_in(std::string(64, 'b'))) == fleet::DecodeError::tag);
+  CHECK(decode_error(bytes + "x") == fleet::DecodeError::tag);
+  CHECK(decode_error(std::string(1201, 'x')) == fleet::DecodeError::too_long);
+  CHECK(decode_error(bytes, "other") == fleet::DecodeError::fleet);
+  CHECK(decode_error(bytes, kFleet, *fleet::key_in(std::string(64, 'b'))) == fleet::DecodeError::tag);
 }
 
-// Whoever has the key may still write nonsense.
-void what_has_the_key_and_makes_no_sense_is_refused() {
+// A holder of the key may still send malformed content: it must be rejected without a crash.
+void authenticated_garbage_is_rejected() {
   std::mt19937_64 random(11);
-  const std::string good = fleet::encode(every_kind()[0], kFleet, kKey).substr(32);
+  const std::string valid = fleet::encode(one_datagram_of_each_kind()[0], kFleet, kKey).substr(32);
   std::size_t malformed = 0;
   for (int i = 0; i < 20'000; ++i) {
-    std::string text = good;
+    std::string text = valid;
     for (int change = 0; change < 1 + i % 4; ++change)
       text[random() % text.size()] = static_cast<char>(random());
     if (i % 5 == 0) text.resize(random() % text.size());
-    const std::string bytes = fleet::sealed(text, kKey);
+    const std::string bytes = fleet::prepend_tag(text, kKey);
     const auto result = fleet::decode(bytes, kFleet, kKey);
     malformed += std::holds_alternative<fleet::DecodeError>(result) ? 1 : 0;
   }
   CHECK(malformed > 1000);
-  CHECK(refusal(fleet::sealed("\x01", kKey)) == fleet::DecodeError::malformed);
-  CHECK(refusal(fleet::sealed(std::string("\x81\x02", 2), kKey)) == fleet::DecodeError::version);
+  CHECK(decode_error(fleet::prepend_tag("\x01", kKey)) == fleet::DecodeError::malformed);
+  CHECK(decode_error(fleet::prepend_tag(std::string("\x81\x02", 2), kKey)) == fleet::DecodeError::version);
 }
 
-void a_key_is_64_hex_digits() {
+void key_requires_64_hex_digits() {
   CHECK(!fleet::key_in(std::string(63, 'a')));
   CHECK(!fleet::key_in(std::string(66, 'a')));
   CHECK(!fleet::key_in(std::string(63, 'a') + "g"));
   CHECK(fleet::key_in("  " + std::string(32, '0') + "\n" + std::string(32, 'F') + "\n").has_value());
 }
 
-// ---- the part of the gatekeeper
+// ---- the gatekeeper's fleet part
 
 DeployConfig deploy(const std::string& name) {
   DeployConfig d;
@@ -162,10 +165,10 @@
   return d;
 }
 
-struct FleetLab : Lab {
-  explicit FleetLab(const PlatformConfig& config = config_for_tests()) : Lab(config, deploy("n0")) {}
+struct FleetFixture : Lab {
+  explicit FleetFixture(const PlatformConfig& config = config_for_tests()) : Lab(config, deploy("n0")) {}
   void datagram(const std::string& bytes) { tell(net::Datagram{Concern::fleet, "127.0.0.1:7947", bytes}); }
-  nlohmann::json ask(const std::string& what) {
+  nlohmann::json request(const std::string& what) {
     const ConnId conn{Concern::control, 1};
     tell(net::Accepted{conn});
     receive(conn, R"({"op":"fleet","what":")" + what + "\"}\n");
@@ -174,13 +177,13 @@
     return line;
   }
   std::string counter(const std::string& name) {
-    const std::string text = printed();
+    const std::string text = print_counters();
     const std::size_t at = text.find("\n" + name + " ");
     return at == std::string::npos
                ? "0"
                : text.substr(at + name.size() + 2, text.find('\n', at + 1) - at - name.size() - 2);
   }
-  std::string printed() {
+  std::string print_counters() {
     net::Effects effects;
     gatekeeper.step(now, net::CountersRequested{}, effects);
     for (const net::Effect& e : effects) {
@@ -190,14 +193,14 @@
   }
 };
 
-void what_is_dropped_is_counted_by_reason() {
-  FleetLab lab;
-  const membership::Datagram d = every_kind()[1];
+void dropped_datagrams_are_counted_by_reason() {
+  FleetFixture lab;
+  const membership::Datagram d = one_datagram_of_each_kind()[1];
   lab.datagram("nonsense of some length, more than a tag has, and then some more");
   lab.datagram(std::string(1300, 'x'));
   lab.datagram(fleet::encode(d, "other", kKey));
-  lab.datagram(fleet::sealed(std::string("\x81\x02", 2), kKey));
-  lab.datagram(fleet::sealed("\x01", kKey));
+  lab.datagram(fleet::prepend_tag(std::string("\x81\x02", 2), kKey));
+  lab.datagram(fleet::prepend_tag("\x01", kKey));
   for (const char* reason : {"tag", "too_long", "fleet", "version", "malformed"})
     CHECK_EQ(lab.counter(std::string("fleet.refused.") + reason), "1");
   membership::Datagram elsewhere = d;
@@ -205,11 +208,11 @@
   lab.datagram(fleet::encode(elsewhere, kFleet, kKey));
   CHECK_EQ(lab.counter("fleet.dropped.misdirected"), "1");
   lab.pass(2s);
-  CHECK_EQ(lab.ask("view")["size"], 1);
+  CHECK_EQ(lab.request("view")["size"], 1);
 }
 
 void two_gatekeepers_find_each_other() {
-  FleetLab lab;
+  FleetFixture lab;
   Membership other([] {
     membership::Settings s;
     s.name = "n1";
@@ -222,8 +225,8 @@
   other.step(lab.now, Started{}, effects);
   for (int i = 0; i < 40; ++i) {
     for (const membership::Effect& e : std::exchange(effects, {})) {
-      if (const auto* tell = std::get_if<SendDatagram>(&e))
-        lab.datagram(fleet::encode(tell->datagram, kFleet, kKey));
+      if (const auto* send = std::get_if<SendDatagram>(&e))
+        lab.datagram(fleet::encode(send->datagram, kFleet, kKey));
     }
     for (const net::SendDatagram& sent : std::exchange(lab.datagrams, {})) {
       CHECK_EQ(sent.peer, "127.0.0.1:7947");
@@ -232,24 +235,24 @@
     lab.pass(50ms);
     other.step(lab.now, Tick{}, effects);
   }
-  const nlohmann::json members = lab.ask("members");
+  const nlohmann::json members = lab.request("members");
   CHECK(members["ok"] == true && members["size"] == 2 && members["settled"] == true);
   CHECK_EQ(members["digest"], std::to_string(other.view().digest));
   CHECK_EQ(members["members"][1]["state"], "alive");
   CHECK_EQ(members["members"][1]["reach"], "direct");
-  CHECK_EQ(lab.ask("nothing")["ok"], false);
+  CHECK_EQ(lab.request("nothing")["ok"], false);
 
-  // Its port refuses, and refuses again when it is asked again.
+  // Its port is unreachable, and again when it is pinged a second time.
   lab.tell(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
-  CHECK_EQ(lab.ask("members")["members"][1]["state"], "suspect");
+  CHECK_EQ(lab.request("members")["members"][1]["state"], "suspect");
   lab.pass(200ms);
   lab.tell(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
-  CHECK_EQ(lab.ask("members")["members"][1]["state"], "dead");
+  CHECK_EQ(lab.request("members")["members"][1]["state"], "dead");
   CHECK_EQ(lab.counter("fleet.deaths_by_refusal"), "1");
 }
 
-void a_taken_port_is_tried_again() {
-  FleetLab lab;
+void bind_is_retried_while_port_is_taken() {
+  FleetFixture lab;
   CHECK_EQ(lab.binds.size(), 1U);
   CHECK(lab.binds[0].exclusive);
   for (int i = 0; i < 3; ++i) {
@@ -260,27 +263,27 @@
   CHECK(!lab.exit_status);
 }
 
-void the_end_of_a_process_is_told() {
+void stopping_process_leaves_or_hands_over() {
   for (const bool inherited : {false, true}) {
     PlatformConfig config = config_for_tests();
     if (inherited) config.inherited = 7;
-    FleetLab lab(config);
-    lab.pass(1s);  // no seed answers: it is there alone
-    CHECK_EQ(lab.ask("view")["member"], true);
+    FleetFixture lab(config);
+    lab.pass(1s);  // no seed answers: it announces itself alone
+    CHECK_EQ(lab.request("view")["member"], true);
     lab.tell(net::StopRequested{});
-    CHECK_EQ(lab.unbinds, 0);  // it is told first
+    CHECK_EQ(lab.unbinds, 0);  // the leave or handover is announced first
     lab.pass(400ms);
     CHECK_EQ(lab.unbinds, inherited ? 1 : 0);
-    CHECK_EQ(lab.ask("view")["member"], false);
+    CHECK_EQ(lab.request("view")["member"], false);
   }
 }
 
-// By hand: it says so, and serves on.
-void an_operator_has_it_leave() {
-  FleetLab lab;
+// An operator's leave is announced, and the process continues to serve calls.
+void operator_leave_keeps_serving_calls() {
+  FleetFixture lab;
   lab.pass(1s);
-  CHECK_EQ(lab.ask("leave")["member"], false);
-  CHECK_EQ(lab.ask("members")["members"][0]["state"], "left");
+  CHECK_EQ(lab.request("leave")["member"], false);
+  CHECK_EQ(lab.request("members")["members"][0]["state"], "left");
   lab.bring_up();
   CHECK(!lab.exit_status);
 }
@@ -288,14 +291,14 @@
 }  // namespace
 
 int main() {
-  datagrams_come_back_as_they_were();
-  the_longest_datagram_fits();
-  one_bit_is_enough_to_refuse_it();
-  what_has_the_key_and_makes_no_sense_is_refused();
-  a_key_is_64_hex_digits();
-  what_is_dropped_is_counted_by_reason();
+  datagram_roundtrip_preserves_fields();
+  longest_datagram_fits_size_limit();
+  any_changed_bit_fails_authentication();
+  authenticated_garbage_is_rejected();
+  key_requires_64_hex_digits();
+  dropped_datagrams_are_counted_by_reason();
   two_gatekeepers_find_each_other();
-  a_taken_port_is_tried_again();
-  the_end_of_a_process_is_told();
-  an_operator_has_it_leave();
+  bind_is_retried_while_port_is_taken();
+  stopping_process_leaves_or_hands_over();
+  operator_leave_keeps_serving_calls();
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,6 @@
-// Membership under a clock and a network of the test's own: what records hold over each other, and each hard
-// case by name. Every failure is a seed. Usage: membership_test [SEEDS of the random runs]
+// Tests of the membership state machine in a simulated network with a simulated clock: the order of records,
+// one test per fault scenario, and random faults. Every failure is reproducible from a seed. Usage:
+// membership_test [NUMBER_OF_RANDOM_SEEDS]
 #include <cstring>
 #include <deque>
 #include <random>
@@ -20,18 +21,18 @@
 
 // ---- records
 
-std::vector<Record> some_records() {
+std::vector<Record> sample_records() {
   std::vector<Record> all;
-  for (const Incarnation life : {1, 2}) {
-    for (const std::uint64_t birth : {7, 8}) {
-      for (const std::uint32_t incarnation : {0, 1}) {
+  for (const Incarnation incarnation : {1, 2}) {
+    for (const std::uint64_t start_nonce : {7, 8}) {
+      for (const std::uint32_t refutation : {0, 1}) {
         for (const State state : {State::alive, State::suspect, State::dead, State::left}) {
           Record r;
           r.name = "g1";
           r.address = "10.0.0.2:7946";
-          r.incarnation = life;
-          r.start_nonce = birth;
-          r.refutation = incarnation;
+          r.incarnation = incarnation;
+          r.start_nonce = start_nonce;
+          r.refutation = refutation;
           r.state = state;
           r.suspecting_member = "g2";
           all.push_back(r);
@@ -42,9 +43,9 @@
   return all;
 }
 
-// Exhaustively: of any two records one holds over the other, never both, and it goes on through a third.
-void records_are_in_one_order() {
-  const auto all = some_records();
+// Exhaustive: of any two different records exactly one supersedes the other, and the order is transitive.
+void records_are_totally_ordered() {
+  const auto all = sample_records();
   for (const Record& a : all) {
     for (const Record& b : all) {
       const bool same = a.same_incarnation(b) && a.refutation == b.refutation && a.state == b.state;
@@ -58,13 +59,12 @@
   Record next_alive = old_left;
   next_alive.state = State::alive;
   next_alive.refutation = 9;
-  CHECK(supersedes(old_left, next_alive));  // who has left is not brought back by a late word of that life
+  CHECK(supersedes(old_left, next_alive));  // a late record of the same incarnation does not undo a leave
 }
 
-// Exhaustively: whatever the order in which five records of a name come, the same one is held at the end, and
-// the sums that members compare are the same.
-void the_order_of_records_does_not_matter() {
-  const auto all = some_records();
+// Exhaustive over all orders: five records of a name lead to the same digest in whatever order they arrive.
+void digest_is_independent_of_arrival_order() {
+  const auto all = sample_records();
   std::mt19937_64 random(5);
   for (int round = 0; round < 40; ++round) {
     std::vector<Record> five;
@@ -72,7 +72,7 @@
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
     std::optional<std::uint64_t> digest;
     do {
-      // Another member tells of them; it is known, since it has answered a ping.
+      // Another member sends the records; it is verified, since it has answered a ping.
       membership::Settings s;
       s.name = "g0";
       s.advertise = "10.0.0.1:7946";
@@ -93,8 +93,8 @@
       m.step(now, DatagramReceived{d}, effects);
       std::uint64_t token = 0;
       for (const Effect& e : effects) {
-        if (const auto* tell = std::get_if<SendDatagram>(&e)) {
-          if (const auto* ping = std::get_if<Ping>(&tell->datagram.body)) token = ping->token;
+        if (const auto* send = std::get_if<SendDatagram>(&e)) {
+          if (const auto* ping = std::get_if<Ping>(&send->datagram.body)) token = ping->token;
         }
       }
       CHECK(token != 0);
@@ -113,35 +113,35 @@
   }
 }
 
-void a_number_is_taken_once() {
+void replay_window_accepts_each_number_once() {
   std::mt19937_64 random(3);
   for (int round = 0; round < 200; ++round) {
     ReplayWindow window;
-    std::set<std::uint64_t> taken;
+    std::set<std::uint64_t> accepted;
     std::uint64_t newest = 0;
     for (int i = 0; i < 500; ++i) {
       const std::uint64_t at = 1 + newest + random() % 40;
       const std::uint64_t number = random() % 3 == 0 ? at : 1 + random() % at;
-      const bool old = newest >= ReplayWindow::kSize && number <= newest - ReplayWindow::kSize;
-      const auto verdict = window.accept(number);
+      const bool old = newest >= ReplayWindow::kWindowSize && number <= newest - ReplayWindow::kWindowSize;
+      const auto result = window.accept(number);
       if (number > newest) {
-        CHECK(verdict == ReplayWindow::Verdict::fresh);
+        CHECK(result == ReplayWindow::Result::fresh);
       } else if (old) {
-        CHECK(verdict == ReplayWindow::Verdict::too_old);
+        CHECK(result == ReplayWindow::Result::too_old);
       } else {
-        CHECK(verdict ==
-              (taken.contains(number) ? ReplayWindow::Verdict::duplicate : ReplayWindow::Verdict::fresh));
+        CHECK(result ==
+              (accepted.contains(number) ? ReplayWindow::Result::duplicate : ReplayWindow::Result::fresh));
       }
-      taken.insert(number);
+      accepted.insert(number);
       newest = std::max(newest, number);
     }
   }
 }
 
-void suspicions_shrink_with_confirmations() {
+void suspicion_timeout_shrinks_with_confirmations() {
   Suspicion s(Time{0s}, 3s, 6s, true, "a");
   CHECK(s.deadline() == Time{6s});
-  CHECK(!s.confirm("a"));  // the same one once more is no confirmation
+  CHECK(!s.confirm("a"));  // the same member again is not a confirmation
   Time before = s.deadline();
   for (const char* other : {"b", "c", "d"}) {
     CHECK(s.confirm(other));
@@ -150,16 +150,16 @@
   }
   CHECK(s.deadline() == Time{3s});
   CHECK(!s.confirm("e") && s.deadline() == Time{3s});
-  s.discount(2s);
+  s.extend(2s);
   CHECK(s.deadline() == Time{5s});
 }
 
 // ---- the fleet
 
-// All are up and hold the same.
-struct Ready : FleetSim {
-  explicit Ready(std::uint64_t seed, std::size_t size = kSize,
-                 std::function<void(std::size_t, membership::Settings&)> edit = {})
+// A fleet whose members are all running and agree on the membership.
+struct AgreedFleet : FleetSim {
+  explicit AgreedFleet(std::uint64_t seed, std::size_t size = kSize,
+                       std::function<void(std::size_t, membership::Settings&)> edit = {})
       : FleetSim(size, seed, std::move(edit)) {
     start_all();
     if (!until(10s, [&] { return all_agree(); })) {
@@ -170,23 +170,25 @@
   }
 };
 
-std::size_t holding(const FleetSim& sim, std::size_t of, State state) {
+// Number of other members that have member `subject` in that state.
+std::size_t members_reporting(const FleetSim& sim, std::size_t subject, State state) {
   std::size_t count = 0;
   for (std::size_t i = 0; i < sim.size(); ++i)
-    count += i != of && sim.up(i) && sim.state(i, of) == state ? 1 : 0;
+    count += i != subject && sim.up(i) && sim.state(i, subject) == state ? 1 : 0;
   return count;
 }
-std::size_t times(const FleetSim& sim, MemberEventKind what) {
+std::size_t count_events(const FleetSim& sim, MemberEventKind kind) {
   return static_cast<std::size_t>(std::count_if(sim.found().begin(), sim.found().end(),
-                                                [&](const auto& f) { return f.what.kind == what; }));
+                                                [&](const auto& f) { return f.what.kind == kind; }));
 }
-void agrees_within(FleetSim& sim, Duration most) {
-  CHECK(sim.until(most, [&] { return sim.all_agree(); }).has_value());
+void expect_agreement_within(FleetSim& sim, Duration timeout) {
+  CHECK(sim.until(timeout, [&] { return sim.all_agree(); }).has_value());
 }
 
-// Exhaustively: whatever becomes of the first datagrams of a fleet of three (each passes, is lost, comes
-// twice or late), all find each other, nobody is found dead, and a kill after it is known everywhere.
-void every_fate_of_the_first_datagrams(int datagrams) {
+// Exhaustive: each of the first datagrams of a fleet of three is delivered, lost, duplicated or delayed. In
+// every combination all find each other and none is declared dead; a later kill is detected by all (checked
+// for each 16th combination).
+void fleet_forms_under_every_fate_of_first_datagrams(int datagrams) {
   const std::uint64_t all = std::uint64_t{1} << (2 * datagrams);
   for (std::uint64_t choice = 0; choice < all; ++choice) {
     FleetSim sim(3, 5);
@@ -202,76 +204,78 @@
     CHECK_EQ(sim.false_deaths(), 0U);
     if (choice % 16 != 0) continue;
     sim.kill(2);
-    CHECK(sim.until(1500ms, [&] { return holding(sim, 2, State::dead) == 2; }).has_value());
+    CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 2, State::dead) == 2; }).has_value());
   }
 }
 
-void a_killed_process_is_known_dead_everywhere() {
+void killed_process_is_declared_dead_by_all() {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Ready sim(seed);
+    AgreedFleet sim(seed);
     sim.kill(5);
-    CHECK(sim.until(1500ms, [&] { return holding(sim, 5, State::dead) == kSize - 1; }).has_value());
+    CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; }).has_value());
     CHECK(sim.counts().refused > 0);
     CHECK_EQ(sim.false_deaths({5}), 0U);
-    agrees_within(sim, 2s);
+    expect_agreement_within(sim, 2s);
   }
 }
 
-// Nothing comes back from it at all: only time can tell.
-void a_machine_that_vanishes_is_dead_after_its_suspicion() {
-  Ready sim(2);
+// A vanished machine sends no port-unreachable report, so only the suspicion timeout detects it.
+void vanished_machine_is_dead_after_suspicion_timeout() {
+  AgreedFleet sim(2);
   sim.kill(5, true);
   sim.run(2500ms);
-  CHECK_EQ(holding(sim, 5, State::dead), 0U);
-  CHECK(sim.until(6s, [&] { return holding(sim, 5, State::dead) == kSize - 1; }).has_value());
+  CHECK_EQ(members_reporting(sim, 5, State::dead), 0U);
+  CHECK(sim.until(6s, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; }).has_value());
   CHECK(sim.counts().unheard_datagrams > 0);
   CHECK_EQ(sim.false_deaths({5}), 0U);
 }
 
-void who_leaves_is_believed_at_once() {
-  Ready sim(3);
+void leave_is_accepted_at_once() {
+  AgreedFleet sim(3);
   sim.leave(4);
-  CHECK(sim.until(300ms, [&] { return holding(sim, 4, State::left) == kSize - 1; }).has_value());
-  CHECK_EQ(times(sim, MemberEventKind::suspected) + times(sim, MemberEventKind::died), 0U);
+  CHECK(sim.until(300ms, [&] { return members_reporting(sim, 4, State::left) == kSize - 1; }).has_value());
+  CHECK_EQ(count_events(sim, MemberEventKind::suspected) + count_events(sim, MemberEventKind::died), 0U);
   sim.kill(4);
   sim.run(5s);
-  CHECK_EQ(times(sim, MemberEventKind::died), 0U);
-  agrees_within(sim, 1s);
+  CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
+  expect_agreement_within(sim, 1s);
 }
 
-// The next process takes the port a moment later: nobody sees the gatekeeper gone, and nobody sees two.
-void an_upgrade_is_one_member_all_along() {
-  std::uint64_t asked = 0;
+// The next process takes the port a moment later: no member sees the gatekeeper missing or twice.
+void handover_keeps_one_member() {
+  std::uint64_t unreachable_pings = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Ready sim(seed);
+    AgreedFleet sim(seed);
     sim.leave(6, true);
     sim.run(350ms);
     sim.kill(6);
-    const auto count_it = [&] {
+    const auto check_single_member = [&] {
       for (std::size_t i = 0; i < kSize; ++i) {
         if (!sim.up(i) || i == 6) continue;
-        // A ping that crosses the word of it may be refused first: doubted for that moment, but a member.
+        // A ping that reaches the free port before its sender learns of the handover raises a short
+        // suspicion; the suspect is still a member.
         CHECK(sim.state(i, 6) == State::alive || sim.state(i, 6) == State::suspect);
         const auto& names = sim.member(i).view().names;
         CHECK(std::count(names.begin(), names.end(), "g6") == 1);
       }
       return false;
     };
-    sim.until(400ms, count_it);
+    sim.until(400ms, check_single_member);
     sim.start(6);
-    sim.until(2s, count_it);
-    agrees_within(sim, 2s);
+    sim.until(2s, check_single_member);
+    expect_agreement_within(sim, 2s);
     CHECK_EQ(sim.false_deaths(), 0U);
-    asked += sim.counts().refused;
+    unreachable_pings += sim.counts().refused;
   }
-  CHECK(asked > 0);  // while nobody had the port
+  CHECK(unreachable_pings > 0);  // while no process held the port
 }
 
-// A restart from nothing, under its name and address. The wall clock went back an hour, or stands still.
-void a_newer_life_ends_the_older_one() {
+// A restart without stored state, under the same name and address. The wall clock advances, stands still or
+// steps back an hour.
+void newer_incarnation_supersedes_older_one() {
   for (const std::int64_t clock : {+5000, 0, -3'600'000}) {
     Incarnation first = 0;
-    Ready sim(7, kSize, [&](std::size_t i, membership::Settings& s) {
+    AgreedFleet sim(7, kSize, [&](std::size_t i, membership::Settings& s) {
       if (i != 8) return;
       if (first == 0)
         first = s.incarnation += 10'000'000;
@@ -280,33 +284,33 @@
     });
     CHECK_EQ(sim.member(8).self().incarnation, first);
     sim.kill(8);
-    sim.run(50ms);  // nobody has noticed
+    sim.run(50ms);  // too short for a detection
     sim.start(8);
-    agrees_within(sim, 3s);
+    expect_agreement_within(sim, 3s);
     CHECK(sim.member(8).self().incarnation > first);
     for (std::size_t i = 0; i < kSize; ++i) CHECK(sim.state(i, 8) == State::alive);
-    CHECK_EQ(times(sim, MemberEventKind::stood_down), 0U);
+    CHECK_EQ(count_events(sim, MemberEventKind::stood_down), 0U);
   }
 }
 
-void clocks_two_minutes_apart_make_no_difference() {
-  Ready sim(9, kSize,
-            [](std::size_t i, membership::Settings& s) { s.incarnation += i % 2 == 0 ? 0 : 120'000; });
+void clock_differences_do_not_matter() {
+  AgreedFleet sim(9, kSize,
+                  [](std::size_t i, membership::Settings& s) { s.incarnation += i % 2 == 0 ? 0 : 120'000; });
   sim.kill(3);
-  CHECK(sim.until(1500ms, [&] { return holding(sim, 3, State::dead) == kSize - 1; }).has_value());
+  CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
   sim.start(3);
-  agrees_within(sim, 3s);
+  expect_agreement_within(sim, 3s);
 }
 
-void a_cut_one_way_is_no_death() {
-  Ready sim(11);
+void one_way_cut_causes_no_death() {
+  AgreedFleet sim(11);
   Link cut;
   cut.cut = true;
   sim.link(2, 7, cut);
   sim.run(30s);
   CHECK(sim.counts().cut > 0);
-  CHECK_EQ(times(sim, MemberEventKind::died), 0U);
-  // Alive for the fleet, and out of this one's own reach.
+  CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
+  // g7 stays alive for the fleet; only g2 cannot reach it directly.
   for (const MemberView& v : sim.member(2).members()) {
     if (v.record.name == "g7") CHECK(v.record.is_member() && v.reachability == Reachability::through_others);
   }
@@ -320,52 +324,52 @@
   }
 }
 
-void one_that_hears_all_and_is_heard_by_none_judges_nobody() {
-  Ready sim(12);
+void member_that_cannot_send_declares_nobody_dead() {
+  AgreedFleet sim(12);
   Link cut;
   cut.cut = true;
   for (std::size_t i = 0; i < kSize; ++i) sim.link(3, i, cut);
-  CHECK(sim.until(15s, [&] { return holding(sim, 3, State::dead) == kSize - 1; }).has_value());
+  CHECK(sim.until(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
   sim.run(20s);
   CHECK_EQ(sim.false_deaths({3}), 0U);
   for (std::size_t i = 0; i < kSize; ++i) {
     if (i != 3) CHECK(sim.state(3, i) == State::alive);
   }
   sim.heal();
-  agrees_within(sim, 5s);
+  expect_agreement_within(sim, 5s);
 }
 
-// It can't be told anything: the fleet does without it.
-void one_that_sends_but_does_not_receive_is_no_member() {
-  Ready sim(13);
+// A member that receives nothing cannot refute a suspicion, so the fleet continues without it.
+void member_that_cannot_receive_stays_dead() {
+  AgreedFleet sim(13);
   Link cut;
   cut.cut = true;
   for (std::size_t i = 0; i < kSize; ++i) sim.link(i, 3, cut);
-  CHECK(sim.until(15s, [&] { return holding(sim, 3, State::dead) == kSize - 1; }).has_value());
+  CHECK(sim.until(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
   sim.run(30s);
   CHECK_EQ(sim.false_deaths({3}), 0U);
-  CHECK_EQ(holding(sim, 3, State::dead), kSize - 1);  // its own pings do not bring it back
+  CHECK_EQ(members_reporting(sim, 3, State::dead), kSize - 1);  // its own pings do not make it a member again
   sim.heal();
-  agrees_within(sim, 5s);
+  expect_agreement_within(sim, 5s);
 }
 
-void a_third_cut_off_comes_back() {
+void partitioned_third_rejoins() {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Ready sim(seed);
+    AgreedFleet sim(seed);
     sim.cut({0, 1, 2, 3});
     sim.run(20s);
     CHECK(sim.counts().cut > 0);
-    CHECK_EQ(holding(sim, 0, State::dead), 8U);
+    CHECK_EQ(members_reporting(sim, 0, State::dead), 8U);
     CHECK(sim.member(0).view().names.size() == 4 && sim.member(9).view().names.size() == 8);
     sim.heal();
-    agrees_within(sim, 4s);
-    for (std::size_t i = 0; i < kSize; ++i) CHECK_EQ(holding(sim, i, State::alive), kSize - 1);
+    expect_agreement_within(sim, 4s);
+    for (std::size_t i = 0; i < kSize; ++i) CHECK_EQ(members_reporting(sim, i, State::alive), kSize - 1);
   }
 }
 
-// A zone of its own, with one-way trouble on top: what comes out of it is lost, too, on the way back.
-void a_zone_cut_off_and_back_with_loss() {
-  Ready sim(21, 24);
+// Every third member is cut off for 15 s and rejoins while each datagram is lost with a probability of 0.2.
+void partitioned_zone_rejoins_over_lossy_links() {
+  AgreedFleet sim(21, 24);
   std::set<std::size_t> zone;
   for (std::size_t i = 0; i < 24; i += 3) zone.insert(i);
   sim.cut(zone);
@@ -374,13 +378,13 @@
   Link bad;
   bad.loss = 0.2;
   sim.all_links(bad);
-  agrees_within(sim, 10s);
+  expect_agreement_within(sim, 10s);
   CHECK(sim.counts().lost > 0);
 }
 
-void a_minute_of_loss_kills_nobody() {
+void packet_loss_causes_no_death() {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Ready sim(seed);
+    AgreedFleet sim(seed);
     Link bad;
     bad.loss = 0.3;
     bad.doubled = 0.05;
@@ -388,22 +392,22 @@
     sim.all_links(bad);
     sim.run(60s);
     CHECK(sim.counts().lost > 1000);
-    CHECK_EQ(times(sim, MemberEventKind::died), 0U);
+    CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
     sim.all_links({});
-    agrees_within(sim, 5s);
+    expect_agreement_within(sim, 5s);
   }
 }
 
-// Stopped and continued, by one of twelve. Up to two seconds it is no death; after longer ones it comes back,
-// and it accuses nobody for what it did not hear.
-void pauses_of_one() {
+// One of twelve processes is stopped and continued. A pause of up to two seconds causes no death; after a
+// longer one the process rejoins, and it suspects no member whose answers it missed.
+void paused_member_suspects_nobody_after_resuming() {
   for (const Duration span : {Duration(500ms), Duration(2s), Duration(10s), Duration(60s)}) {
     std::uint64_t held = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      Ready sim(seed);
+      AgreedFleet sim(seed);
       sim.pause(4);
       sim.run(span);
-      CHECK_EQ(holding(sim, 4, State::dead), span > 7s ? kSize - 1 : 0U);
+      CHECK_EQ(members_reporting(sim, 4, State::dead), span > 7s ? kSize - 1 : 0U);
       sim.resume(4);
       sim.run(2s);
       CHECK_EQ(sim.false_deaths({4}), 0U);
@@ -411,26 +415,27 @@
         CHECK(f.what.kind != MemberEventKind::suspected || f.what.record.suspecting_member != "g4" ||
               f.what.record.name == "g4");
       CHECK_EQ(sim.member(4).metrics().pauses, 1U);
-      agrees_within(sim, 4s);
-      if (span <= 2s) CHECK_EQ(times(sim, MemberEventKind::died), 0U);
+      expect_agreement_within(sim, 4s);
+      if (span <= 2s) CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
       held += sim.counts().held;
     }
     CHECK(held > 0);
   }
 }
 
-// Stopped with a doubt in hand, and the refutation waiting in its socket. Taken out, the doubt ends in a
-// death as soon as it wakes up.
-void a_doubt_held_through_a_pause_is_no_death() {
-  for (const bool noticed : {true, false}) {
+// A process is stopped while it suspects a member, and the refutation arrives during the pause. Without pause
+// detection the suspicion times out as soon as the process resumes, and it declares the member dead.
+void suspicion_pending_across_pause_causes_no_death() {
+  for (const bool pause_detection : {true, false}) {
     std::size_t deaths = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Ready sim(seed, kSize,
-                [&](std::size_t, membership::Settings& s) { s.refinements.pause_detection = noticed; });
+      AgreedFleet sim(seed, kSize, [&](std::size_t, membership::Settings& s) {
+        s.refinements.pause_detection = pause_detection;
+      });
       Link bad;
       bad.loss = 0.4;
       sim.all_links(bad);
-      // Until it doubts somebody.
+      // Until it suspects a member.
       CHECK(sim.until(60s,
                       [&] {
                         const auto all = sim.member(4).members();
@@ -446,17 +451,17 @@
       sim.run(1s);
       for (const auto& f : sim.found()) deaths += f.what.kind == MemberEventKind::died && f.by == 4 ? 1 : 0;
     }
-    CHECK_EQ(deaths > 0, !noticed);
+    CHECK_EQ(deaths > 0, !pause_detection);
   }
 }
 
-void half_of_them_stopped_at_once() {
+void pause_of_half_the_fleet_causes_no_false_death() {
   for (const Duration span : {Duration(2s), Duration(8s)}) {
-    Ready sim(31);
+    AgreedFleet sim(31);
     for (std::size_t i = 0; i < kSize; i += 2) sim.pause(i);
     sim.run(span);
     for (std::size_t i = 0; i < kSize; i += 2) sim.resume(i);
-    agrees_within(sim, 6s);
+    expect_agreement_within(sim, 6s);
     std::set<std::size_t> stopped;
     for (std::size_t i = 0; i < kSize; i += 2) stopped.insert(i);
     CHECK_EQ(sim.false_deaths(span > 3s ? stopped : std::set<std::size_t>{}), 0U);
@@ -464,8 +469,8 @@
   }
 }
 
-void a_flapping_member_harms_nobody_else() {
-  Ready sim(33);
+void flapping_member_causes_no_other_death() {
+  AgreedFleet sim(33);
   for (int i = 0; i < 10; ++i) {
     sim.kill(9);
     sim.run(400ms);
@@ -473,11 +478,11 @@
     sim.run(700ms);
   }
   CHECK_EQ(sim.false_deaths({9}), 0U);
-  agrees_within(sim, 4s);
+  expect_agreement_within(sim, 4s);
 }
 
-void all_restarted_a_tenth_at_a_time() {
-  Ready sim(35, 40);
+void rolling_restart_causes_no_false_death() {
+  AgreedFleet sim(35, 40);
   for (std::size_t first = 0; first < 40; first += 4) {
     for (std::size_t i = first; i < first + 4; ++i) sim.leave(i);
     sim.run(300ms);
@@ -486,47 +491,47 @@
     for (std::size_t i = first; i < first + 4; ++i) sim.start(i);
     sim.run(1s);
   }
-  agrees_within(sim, 5s);
+  expect_agreement_within(sim, 5s);
   CHECK_EQ(sim.false_deaths(), 0U);
 }
 
-// The three seeds come last.
-void all_killed_and_started_with_no_seed_at_first() {
+// All processes are killed; the three seeds are started last.
+void fleet_forms_when_seeds_start_last() {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Ready sim(seed);
+    AgreedFleet sim(seed);
     for (std::size_t i = 0; i < kSize; ++i) sim.kill(i);
     for (std::size_t i = kSize; i-- > 0;) {
       sim.start(i);
       sim.run(80ms);
     }
-    agrees_within(sim, 5s);
+    expect_agreement_within(sim, 5s);
     CHECK_EQ(sim.member(7).view().names.size(), kSize);
   }
 }
 
-// A second process under a name that is taken, elsewhere. It is told and stays out, the first is told and
-// goes on; when the first is gone the second takes the name.
-void a_name_taken_twice() {
+// A second process starts under a taken name at another address. It stands down and reports the conflict
+// while the first stays a member; when the first is killed, the second takes the name.
+void second_process_of_a_name_stands_down() {
   FleetSim sim(kSize + 1, 41, [](std::size_t i, membership::Settings& s) {
     if (i != kSize) return;
     s.name = FleetSim::name_of(5);
     s.incarnation += 50'000;
   });
   for (std::size_t i = 0; i < kSize; ++i) sim.start(i);
-  agrees_within(sim, 5s);
+  expect_agreement_within(sim, 5s);
   sim.take_found();
   sim.start(kSize);
   sim.run(20s);
   CHECK(!sim.member(kSize).is_member());
   CHECK(sim.member(5).is_member());
-  CHECK_EQ(times(sim, MemberEventKind::stood_down), 1U);
+  CHECK_EQ(count_events(sim, MemberEventKind::stood_down), 1U);
   for (const auto& f : sim.found())
     CHECK(f.by == kSize || (f.what.kind != MemberEventKind::joined && f.what.kind != MemberEventKind::died));
   sim.kill(5);
   CHECK(sim.until(20s, [&] { return sim.member(kSize).is_member() && sim.all_agree(); }).has_value());
 }
 
-void both_of_a_name_are_told() {
+void both_processes_of_a_name_report_the_conflict() {
   FleetSim sim(4, 43, [](std::size_t i, membership::Settings& s) {
     if (i == 3) s.name = FleetSim::name_of(1);
   });
@@ -545,8 +550,9 @@
   CHECK(first && second);
 }
 
-// Both were members, each on its side of a cut: one of them yields, once.
-void a_name_on_both_sides_of_a_cut() {
+// Two processes of one name were members on the two sides of a partition. After it heals, exactly one stands
+// down, once.
+void duplicate_name_across_healed_partition_is_resolved() {
   FleetSim sim(8, 47, [](std::size_t i, membership::Settings& s) {
     if (i == 7) s.name = FleetSim::name_of(3);
     s.seeds = {FleetSim::address_of(0), FleetSim::address_of(4)};
@@ -558,13 +564,13 @@
   sim.heal();
   sim.run(20s);
   CHECK_EQ(sim.member(3).is_member() + sim.member(7).is_member(), 1);
-  CHECK_EQ(times(sim, MemberEventKind::stood_down), 1U);
+  CHECK_EQ(count_events(sim, MemberEventKind::stood_down), 1U);
   CHECK(sim.counts().cut > 0);
 }
 
-// What was recorded is played again a minute later, to all, after the member has gone: it stays gone.
-void stale_datagrams_change_nothing() {
-  Ready sim(51);
+// Datagrams of a member are recorded and replayed to all a minute after it was killed: it stays dead.
+void replayed_datagrams_change_nothing() {
+  AgreedFleet sim(51);
   std::vector<membership::Datagram> recorded;
   sim.tap = [&](std::size_t from, std::size_t, const membership::Datagram& d) {
     if (from == 5 && recorded.size() < 500) recorded.push_back(d);
@@ -574,7 +580,7 @@
   CHECK(recorded.size() > 20);
   sim.kill(5);
   sim.run(60s);
-  CHECK_EQ(holding(sim, 5, State::dead), kSize - 1);
+  CHECK_EQ(members_reporting(sim, 5, State::dead), kSize - 1);
   sim.take_found();
   for (const membership::Datagram& d : recorded) {
     for (std::size_t i = 0; i < kSize; ++i) {
@@ -582,9 +588,9 @@
     }
   }
   sim.run(2s);
-  CHECK_EQ(holding(sim, 5, State::dead), kSize - 1);
-  CHECK_EQ(times(sim, MemberEventKind::joined), 0U);
-  // And of one that is there: each was taken once.
+  CHECK_EQ(members_reporting(sim, 5, State::dead), kSize - 1);
+  CHECK_EQ(count_events(sim, MemberEventKind::joined), 0U);
+  // Replayed datagrams of a running member are dropped, because each was accepted once.
   std::uint64_t dropped = 0;
   recorded.clear();
   sim.tap = [&](std::size_t from, std::size_t to, const membership::Datagram& d) {
@@ -594,14 +600,14 @@
   sim.tap = {};
   sim.run(100ms);
   for (const membership::Datagram& d : recorded) sim.inject(7, d);
-  for (const auto why : {DropReason::duplicate, DropReason::too_old})
-    dropped += sim.member(7).metrics().dropped[static_cast<std::size_t>(why)];
+  for (const auto reason : {DropReason::duplicate, DropReason::too_old})
+    dropped += sim.member(7).metrics().dropped[static_cast<std::size_t>(reason)];
   CHECK(!recorded.empty() && dropped == recorded.size());
 }
 
-// A member that says of every other one that it is dead. They are asked, they answer, and nobody is lost.
-void a_liar_kills_nobody() {
-  Ready sim(53);
+// A member reports others as dead. The receivers ping them, get answers and keep them.
+void false_death_reports_are_disproved() {
+  AgreedFleet sim(53);
   sim.run(1s);
   const Record liar = sim.member(11).self();
   std::uint64_t number = 1'000'000;
@@ -623,14 +629,14 @@
     }
     sim.run(100ms);
   }
-  CHECK_EQ(sim.false_deaths({11}), 0U);  // its own numbers are spoilt by what is told in its name
-  std::uint64_t turned_down = 0;
-  for (std::size_t i = 0; i < kSize; ++i) turned_down += sim.member(i).metrics().deaths_disproved;
-  CHECK(turned_down > 0);
+  CHECK_EQ(sim.false_deaths({11}), 0U);  // the injected datagrams use up its sequence numbers
+  std::uint64_t disproved = 0;
+  for (std::size_t i = 0; i < kSize; ++i) disproved += sim.member(i).metrics().deaths_disproved;
+  CHECK(disproved > 0);
 }
 
-void only_who_is_in_the_roster_joins() {
-  Ready sim(55, kSize, [](std::size_t, membership::Settings& s) {
+void unlisted_name_cannot_join() {
+  AgreedFleet sim(55, kSize, [](std::size_t, membership::Settings& s) {
     for (std::size_t i = 0; i < kSize; ++i) s.allowed_names.insert(FleetSim::name_of(i));
   });
   membership::Datagram d;
@@ -645,9 +651,9 @@
   CHECK_EQ(sim.member(0).members().size(), kSize);
 }
 
-// A thousand strangers' datagrams a second fill no table, and nobody of the fleet is hurt.
-void a_flood_of_strangers() {
-  Ready sim(57);
+// 1,000 datagrams a second from unknown senders: memory stays bounded and no member is affected.
+void flood_of_unknown_senders_is_bounded() {
+  AgreedFleet sim(57);
   std::mt19937_64 random(1);
   for (int i = 0; i < 3000; ++i) {
     membership::Datagram d;
@@ -667,27 +673,28 @@
   }
   CHECK(sim.member(0).members().size() == kSize);
   CHECK(sim.member(0).memory() < 400'000);
-  CHECK_EQ(times(sim, MemberEventKind::died) + times(sim, MemberEventKind::joined), 0U);
+  CHECK_EQ(count_events(sim, MemberEventKind::died) + count_events(sim, MemberEventKind::joined), 0U);
 }
 
-// More records than one exchange holds, all unknown to one who comes: none of them is told by itself or by
-// rumours any more, so only exchanges tell it, each another part, and a few of them all.
-void a_newcomer_is_told_all_of_a_large_fleet() {
+// A new member lacks more records than one sync answer holds, and no broadcasts are left, so it learns them
+// only by sync. Each answer must carry another part: when answers went through the names in order, a new
+// member got the same first 290 names each time and never the rest.
+void new_member_of_large_fleet_syncs_completely() {
   constexpr std::size_t kFleet = 1000;
   const auto settings = [](std::size_t i) {
     membership::Settings s;
     s.name = FleetSim::name_of(i);
     s.advertise = FleetSim::address_of(i);
     s.incarnation = s.start_nonce = s.seed = i + 1;
-    s.probe_interval = 10s;  // probes would teach it others, too
+    s.probe_interval = 10s;  // probes would bring it other records, too
     s.gossip_fanout = 2 * kFleet;
     return s;
   };
   Time now = FleetSim::kStart;
   Effects effects;
-  Membership old(settings(0));
-  old.step(now, Started{}, effects);
-  // One that has answered a ping tells it of the others.
+  Membership existing(settings(0));
+  existing.step(now, Started{}, effects);
+  // A verified member sends the records of the others.
   membership::Datagram d;
   d.from.name = FleetSim::name_of(1);
   d.from.address = FleetSim::address_of(1);
@@ -695,15 +702,15 @@
   d.number = 1;
   d.body = Ping{1, false, false, {}};
   effects.clear();
-  old.step(now, DatagramReceived{d}, effects);
+  existing.step(now, DatagramReceived{d}, effects);
   for (const Effect& e : effects) {
-    const auto* tell = std::get_if<SendDatagram>(&e);
-    const auto* ping = tell == nullptr ? nullptr : std::get_if<Ping>(&tell->datagram.body);
+    const auto* send = std::get_if<SendDatagram>(&e);
+    const auto* ping = send == nullptr ? nullptr : std::get_if<Ping>(&send->datagram.body);
     if (ping != nullptr) d.body = Ack{ping->token, false, {}};
   }
   CHECK(std::holds_alternative<Ack>(d.body));
   ++d.number;
-  old.step(now, DatagramReceived{d}, effects);
+  existing.step(now, DatagramReceived{d}, effects);
   d.body = Gossip{};
   for (std::size_t i = 2; i < kFleet; ++i) {
     Record r;
@@ -712,68 +719,69 @@
     r.incarnation = r.start_nonce = i + 1;
     d.records = {r};
     ++d.number;
-    old.step(now, DatagramReceived{d}, effects);
+    existing.step(now, DatagramReceived{d}, effects);
   }
-  CHECK_EQ(old.members().size(), kFleet);
-  // Until it has no rumours left.
+  CHECK_EQ(existing.members().size(), kFleet);
+  // Until its broadcast queue is empty.
   for (bool quiet = false; !quiet;) {
     effects.clear();
     now += kTick;
-    old.step(now, Tick{}, effects);
+    existing.step(now, Tick{}, effects);
     quiet = now - FleetSim::kStart > 300ms;
     for (const Effect& e : effects) {
-      const auto* tell = std::get_if<SendDatagram>(&e);
-      quiet = quiet && (tell == nullptr || tell->datagram.records.empty());
+      const auto* send = std::get_if<SendDatagram>(&e);
+      quiet = quiet && (send == nullptr || send->datagram.records.empty());
     }
   }
   membership::Settings s = settings(kFleet);
   s.seeds = {FleetSim::address_of(0)};
   Membership fresh(s);
-  const Time ends = now + 8s;
-  std::deque<std::pair<std::string, membership::Datagram>> passing;
+  const Time deadline = now + 8s;
+  std::deque<std::pair<std::string, membership::Datagram>> in_flight;
   const auto step = [&](Membership& m, const membership::Event& event) {
-    Effects said;
-    m.step(now, event, said);
-    for (Effect& e : said) {
-      if (auto* tell = std::get_if<SendDatagram>(&e))
-        passing.emplace_back(tell->address, std::move(tell->datagram));
+    Effects sent;
+    m.step(now, event, sent);
+    for (Effect& e : sent) {
+      if (auto* send = std::get_if<SendDatagram>(&e))
+        in_flight.emplace_back(send->address, std::move(send->datagram));
     }
-    while (!passing.empty()) {
-      const auto [address, datagram] = std::move(passing.front());
-      passing.pop_front();
-      Membership* to = address == old.self().address     ? &old
-                       : address == fresh.self().address ? &fresh
-                                                         : nullptr;
+    while (!in_flight.empty()) {
+      const auto [address, datagram] = std::move(in_flight.front());
+      in_flight.pop_front();
+      Membership* to = address == existing.self().address ? &existing
+                       : address == fresh.self().address  ? &fresh
+                                                          : nullptr;
       if (to == nullptr) continue;
-      Effects more;
-      to->step(now, DatagramReceived{datagram}, more);
-      for (Effect& e : more) {
-        if (auto* tell = std::get_if<SendDatagram>(&e))
-          passing.emplace_back(tell->address, std::move(tell->datagram));
+      Effects replies;
+      to->step(now, DatagramReceived{datagram}, replies);
+      for (Effect& e : replies) {
+        if (auto* send = std::get_if<SendDatagram>(&e))
+          in_flight.emplace_back(send->address, std::move(send->datagram));
       }
     }
   };
   step(fresh, Started{});
-  while (now < ends && fresh.digest() != old.digest()) {
+  while (now < deadline && fresh.digest() != existing.digest()) {
     now += kTick;
-    step(old, Tick{});
+    step(existing, Tick{});
     step(fresh, Tick{});
   }
   CHECK_EQ(fresh.members().size(), kFleet + 1);
-  CHECK_EQ(fresh.digest(), old.digest());
-  CHECK(old.metrics().syncs <= 6);
+  CHECK_EQ(fresh.digest(), existing.digest());
+  CHECK(existing.metrics().syncs <= 6);
 }
 
-// Random faults of all kinds for a while, then none: those who are up agree again, nobody who lived through
-// it stays dead, and nobody who was up and reachable all along was ever found dead by such a one.
-void random_faults(std::uint64_t seed) {
+// Random faults of all kinds for a while, then none: all members agree again and none stays dead. In runs
+// without cut links no member that was up and running all the time was ever declared dead by another such
+// member.
+void fleet_agrees_after_random_faults(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const std::size_t size = 3 + random() % 12;
   FleetSim sim(size, seed);
   sim.start_all();
   std::set<std::size_t> down;
   std::set<std::size_t> stopped;
-  std::set<std::size_t> touched;  // by a fault of its own
+  std::set<std::size_t> touched;  // killed, paused or asked to leave at some time
   bool cut = false;
   for (int step = 0; step < 40; ++step) {
     const std::size_t i = random() % size;
@@ -830,7 +838,7 @@
     std::cerr << "seed " << seed << ": no agreement\n";
     for (std::size_t i = 0; i < size; ++i) {
       std::cerr << i << (sim.member(i).is_member() ? " member " : " none ") << sim.member(i).view().settled
-                << sim.member(i).catching_up() << ' ' << sim.member(i).view().names.size() << " life "
+                << sim.member(i).catching_up() << ' ' << sim.member(i).view().names.size() << " incarnation "
                 << sim.member(i).self().incarnation << " health " << sim.member(i).health() << ':';
       for (std::size_t j = 0; j < size; ++j)
         std::cerr << ' ' << (i == j || !sim.state(i, j) ? "-" : to_string(*sim.state(i, j)));
@@ -844,37 +852,37 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  records_are_in_one_order();
-  the_order_of_records_does_not_matter();
-  a_number_is_taken_once();
-  suspicions_shrink_with_confirmations();
-  every_fate_of_the_first_datagrams(argc > 1 ? 7 : 5);
-  a_killed_process_is_known_dead_everywhere();
-  a_machine_that_vanishes_is_dead_after_its_suspicion();
-  who_leaves_is_believed_at_once();
-  an_upgrade_is_one_member_all_along();
-  a_newer_life_ends_the_older_one();
-  clocks_two_minutes_apart_make_no_difference();
-  a_cut_one_way_is_no_death();
-  one_that_hears_all_and_is_heard_by_none_judges_nobody();
-  one_that_sends_but_does_not_receive_is_no_member();
-  a_third_cut_off_comes_back();
-  a_zone_cut_off_and_back_with_loss();
-  a_minute_of_loss_kills_nobody();
-  pauses_of_one();
-  a_doubt_held_through_a_pause_is_no_death();
-  half_of_them_stopped_at_once();
-  a_flapping_member_harms_nobody_else();
-  all_restarted_a_tenth_at_a_time();
-  all_killed_and_started_with_no_seed_at_first();
-  a_name_taken_twice();
-  both_of_a_name_are_told();
-  a_name_on_both_sides_of_a_cut();
-  stale_datagrams_change_nothing();
-  a_liar_kills_nobody();
-  only_who_is_in_the_roster_joins();
-  a_flood_of_strangers();
-  a_newcomer_is_told_all_of_a_large_fleet();
+  records_are_totally_ordered();
+  digest_is_independent_of_arrival_order();
+  replay_window_accepts_each_number_once();
+  suspicion_timeout_shrinks_with_confirmations();
+  fleet_forms_under_every_fate_of_first_datagrams(argc > 1 ? 7 : 5);
+  killed_process_is_declared_dead_by_all();
+  vanished_machine_is_dead_after_suspicion_timeout();
+  leave_is_accepted_at_once();
+  handover_keeps_one_member();
+  newer_incarnation_supersedes_older_one();
+  clock_differences_do_not_matter();
+  one_way_cut_causes_no_death();
+  member_that_cannot_send_declares_nobody_dead();
+  member_that_cannot_receive_stays_dead();
+  partitioned_third_rejoins();
+  partitioned_zone_rejoins_over_lossy_links();
+  packet_loss_causes_no_death();
+  paused_member_suspects_nobody_after_resuming();
+  suspicion_pending_across_pause_causes_no_death();
+  pause_of_half_the_fleet_causes_no_false_death();
+  flapping_member_causes_no_other_death();
+  rolling_restart_causes_no_false_death();
+  fleet_forms_when_seeds_start_last();
+  second_process_of_a_name_stands_down();
+  both_processes_of_a_name_report_the_conflict();
+  duplicate_name_across_healed_partition_is_resolved();
+  replayed_datagrams_change_nothing();
+  false_death_reports_are_disproved();
+  unlisted_name_cannot_join();
+  flood_of_unknown_senders_is_bounded();
+  new_member_of_large_fleet_syncs_completely();
   const std::uint64_t seeds = argc > 1 ? std::stoull(argv[1]) : 50;
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) random_faults(seed);
+  for (std::uint64_t seed = 1; seed <= seeds; ++seed) fleet_agrees_after_random_faults(seed);
 }
