--- a/src/distribution/distributor.cpp
+++ b/src/distribution/distributor.cpp
@@ -7,22 +7,23 @@
 
 using namespace std::chrono_literals;
 
-// A distributor from nothing asks others what they know when no proposal lives any more that it may have
-// accepted before, so that what they tell has what came of each.
+// Delay before a distributor that started without files subscribes to its peers. By then every proposal that
+// it may have accepted before has ended, so the versions that peers notify include the outcome of each.
 constexpr Duration kPeerSubscribeDelay = 2 * kProposalTtl;
 static_assert(kPeerSubscribeDelay < kRecoveryWait);
-constexpr Duration kPeerFetchTimeout = 1s;      // then another one is asked
-constexpr Duration kPeerRetryDelay = 500ms;     // one that did not have it
-constexpr Duration kRecoveryDelay = 300ms;      // news of peers mostly come sooner than a gatekeeper's
-constexpr Duration kReturnTimeout = 1s;         // then another one is asked
-constexpr Duration kVoterSettleTimeout = 2s;    // from when it votes
-constexpr Duration kMaxPublishBackoff = 100ms;  // times the try
-constexpr Duration kVersionTakenDelay = 200ms;  // a proposal whose number one of the others has taken
-constexpr Duration kPauseThreshold = 1s;        // a tick so late is a stop of this process
-constexpr std::size_t kMaxNamesInStatus = 100;  // in a status
+constexpr Duration kPeerFetchTimeout = 1s;      // then the next peer
+constexpr Duration kPeerRetryDelay = 500ms;     // after a peer did not have it
+constexpr Duration kRecoveryDelay = 300ms;      // before a client is asked; peers usually notify sooner
+constexpr Duration kReturnTimeout = 1s;         // then the next client
+constexpr Duration kInitialSyncTimeout = 2s;    // from the begin of voting
+constexpr Duration kMaxPublishBackoff = 100ms;  // multiplied by the attempts so far
+constexpr Duration kVersionTakenDelay = 200ms;  // for a majority, once a peer has seen the version
+constexpr Duration kPauseThreshold = 1s;        // a tick later than this means a pause of the process
+constexpr std::size_t kMaxNamesInStatus = 100;  // of each list in a Status
 constexpr std::size_t kMaxNameLength = 256;     // bytes
 constexpr std::size_t kMaxReasonLength = 1024;
-// A number above is none that was ever guessed: what a client says alone does not draw numbers up to it.
+// No version drawn from a clock comes near this (as Unix milliseconds, the year 37648). A version that only a
+// client reports raises the next proposed version only if it is below.
 constexpr Version kMaxPlausibleVersion = Version{1} << 50;
 
 Version milliseconds(Time now) {
@@ -48,8 +49,8 @@
 }
 
 ServiceRecord& Distributor::record_of(const std::string& service) {
-  const auto [it, fresh] = records_.try_emplace(service);
-  if (fresh) buckets_[bucket_of(service)].insert(service);
+  const auto [it, inserted] = records_.try_emplace(service);
+  if (inserted) buckets_[bucket_of(service)].insert(service);
   return it->second;
 }
 
@@ -67,9 +68,9 @@
   return records_.size() < kMaxServices || records_.contains(service);
 }
 
-void Distributor::log_event(DistributorLogKind what, const std::string& service, Version version,
+void Distributor::log_event(DistributorLogKind kind, const std::string& service, Version version,
                             std::string reason, DistributorEffects& out) const {
-  out.emplace_back(DistributorLogEvent{what, service, version, std::move(reason)});
+  out.emplace_back(DistributorLogEvent{kind, service, version, std::move(reason)});
 }
 
 void Distributor::step(Time now, const DistributorEvent& event, DistributorEffects& out) {
@@ -78,17 +79,17 @@
     started_at_ = last_tick_at_ = tokens_refilled_at_ = now;
     tokens_ = static_cast<double>(settings_.bytes_per_second) / 10;
   }
-  std::visit([&](const auto& notice) { on(now, notice, out); }, event);
+  std::visit([&](const auto& received) { on(now, received, out); }, event);
 }
 
-// ---- the start
+// ---- start and recovery
 
 void Distributor::on(Time now, const Restored& event, DistributorEffects& out) {
   for (const auto& [service, record] : event.records) {
-    ServiceRecord& kept = record_of(service);
-    kept = record;
-    for (const auto* document : {&record.committed, &record.accepted}) {
-      if (*document) kept.highest_seen = std::max(kept.highest_seen, (*document)->id.version);
+    ServiceRecord& restored = record_of(service);
+    restored = record;
+    for (const auto* config : {&record.committed, &record.accepted}) {
+      if (*config) restored.highest_seen = std::max(restored.highest_seen, (*config)->id.version);
     }
   }
   if (!event.empty) set_voter_state(now, VoterState::voting, out);
@@ -108,14 +109,14 @@
   }
 }
 
-void Distributor::set_voter_state(Time now, VoterState standing, DistributorEffects& out) {
-  if (voter_state_ == standing) return;
-  voter_state_ = standing;
-  if (standing == VoterState::voting) voting_since_ = now;
+void Distributor::set_voter_state(Time now, VoterState state, DistributorEffects& out) {
+  if (voter_state_ == state) return;
+  voter_state_ = state;
+  if (state == VoterState::voting) voting_since_ = now;
   log_event(DistributorLogKind::voter_state, {}, 0,
-            standing == VoterState::voting       ? "voting"
-            : standing == VoterState::recovering ? "recovering"
-                                                 : "new",
+            state == VoterState::voting       ? "voting"
+            : state == VoterState::recovering ? "recovering"
+                                              : "new",
             out);
   for (const ClientId id : distributors_) {
     Client& client = clients_.at(id);
@@ -124,63 +125,65 @@
   }
 }
 
-// What this one may have accepted before it lost its files is known where a majority of the others, who have
-// a vote, told it all, or all others did, whatever they are: each majority that it was part of has one of
-// them.
+// Ends the recovery. Every version that this distributor may have accepted before it lost its files is
+// known once a majority of the peers have notified all their versions while voting, or all peers have, in
+// any voter state: each majority that it was part of includes one of them.
 void Distributor::update_recovery(Time now, DistributorEffects& out) {
   if (voter_state_ != VoterState::voting && now - started_at_ >= kRecoveryWait) {
     const auto all = [](const Peer& peer) { return peer.synchronized; };
     const auto voting = [](const Peer& peer) { return peer.synchronized_by_voter; };
-    const auto told = static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), voting));
-    if (std::all_of(peers_.begin(), peers_.end(), all) || told >= peers_.size() / 2 + 1)
+    const auto synchronized_voters =
+        static_cast<std::size_t>(std::count_if(peers_.begin(), peers_.end(), voting));
+    if (std::all_of(peers_.begin(), peers_.end(), all) || synchronized_voters >= peers_.size() / 2 + 1)
       set_voter_state(now, VoterState::voting, out);
   }
-  if (settled_ || voter_state_ != VoterState::voting) return;
-  if (!pending_fetches_.empty() && now - voting_since_ < kVoterSettleTimeout) return;
-  settled_ = true;
+  if (initial_sync_done_ || voter_state_ != VoterState::voting) return;
+  if (!pending_fetches_.empty() && now - voting_since_ < kInitialSyncTimeout) return;
+  initial_sync_done_ = true;
   for (auto& [id, client] : clients_) notify_client(now, id, client, out);
 }
 
-// ---- what is committed
+// ---- commits
 
 bool Distributor::commit(Time now, const ServiceConfig& config, DistributorEffects& out) {
-  const VersionId known = committed(config.service);
-  if (known.version >= config.id.version) {
-    if (known.version == config.id.version && known != config.id)
+  const VersionId current = committed(config.service);
+  if (current.version >= config.id.version) {
+    if (current.version == config.id.version && current != config.id)
       log_event(DistributorLogKind::conflict, config.service, config.id.version,
-                "another content is committed", out);
+                "committed with another digest", out);
     return false;
   }
   if (!has_capacity_for(config.service)) {
-    log_event(DistributorLogKind::full, config.service, config.id.version, "services", out);
+    log_event(DistributorLogKind::full, config.service, config.id.version, "service limit", out);
     return false;
   }
   ServiceRecord& record = record_of(config.service);
-  const ServiceConfig document = config;  // it may be the accepted one
-  record.committed = document;
-  record.highest_seen = std::max(record.highest_seen, document.id.version);
-  if (record.accepted && record.accepted->id.version <= document.id.version) record.accepted.reset();
-  out.emplace_back(SaveBucket{bucket_of(document.service)});
-  log_event(DistributorLogKind::committed, document.service, document.id.version, {}, out);
-  if (const auto want = pending_fetches_.find(document.service); want != pending_fetches_.end()) {
-    std::erase_if(want->second.offers,
-                  [&](const auto& has) { return has.second.version <= document.id.version; });
-    if (want->second.offers.empty()) {
-      fetches_in_flight_ -= want->second.asked_peer ? 1 : 0;
-      pending_fetches_.erase(want);
+  // `config` may refer to record.accepted, which is reset below.
+  const ServiceConfig copy = config;
+  record.committed = copy;
+  record.highest_seen = std::max(record.highest_seen, copy.id.version);
+  if (record.accepted && record.accepted->id.version <= copy.id.version) record.accepted.reset();
+  out.emplace_back(SaveBucket{bucket_of(copy.service)});
+  log_event(DistributorLogKind::committed, copy.service, copy.id.version, {}, out);
+  if (const auto fetch = pending_fetches_.find(copy.service); fetch != pending_fetches_.end()) {
+    std::erase_if(fetch->second.offers,
+                  [&](const auto& offer) { return offer.second.version <= copy.id.version; });
+    if (fetch->second.offers.empty()) {
+      fetches_in_flight_ -= fetch->second.asked_peer ? 1 : 0;
+      pending_fetches_.erase(fetch);
     }
   }
-  if (const auto asking = pending_recoveries_.find(document.service);
-      asking != pending_recoveries_.end() && asking->second.version <= document.id.version)
-    pending_recoveries_.erase(asking);
-  const auto owe = [&](ClientId id) {
+  if (const auto recovery = pending_recoveries_.find(copy.service);
+      recovery != pending_recoveries_.end() && recovery->second.version <= copy.id.version)
+    pending_recoveries_.erase(recovery);
+  const auto notify = [&](ClientId id) {
     Client& client = clients_.at(id);
-    client.pending_services.insert(document.service);
+    client.pending_services.insert(copy.service);
     notify_client(now, id, client, out);
   };
-  for (const ClientId id : distributors_) owe(id);
-  if (const auto it = by_service_.find(document.service); it != by_service_.end()) {
-    for (const ClientId id : it->second) owe(id);
+  for (const ClientId id : distributors_) notify(id);
+  if (const auto it = by_service_.find(copy.service); it != by_service_.end()) {
+    for (const ClientId id : it->second) notify(id);
   }
   return true;
 }
@@ -188,16 +191,16 @@
 // ---- publishing
 
 void Distributor::on(Time now, const PublishRequested& event, DistributorEffects& out) {
-  const auto refuse = [&](std::string why) {
-    out.emplace_back(PublishFinished{event.request, false, {}, std::move(why)});
+  const auto reject = [&](std::string reason) {
+    out.emplace_back(PublishFinished{event.request, false, {}, std::move(reason)});
   };
-  if (!is_service_name(event.service)) return refuse("not a service's name");
-  if (event.content.size() > kMaxConfigBytes) return refuse("too large");
-  if (voter_state_ != VoterState::voting) return refuse("not voting yet");
-  if (!has_capacity_for(event.service)) return refuse("too many services");
-  if (publications_.size() >= kMaxProposals) return refuse("too many at once");
+  if (!is_service_name(event.service)) return reject("not a service's name");
+  if (event.content.size() > kMaxConfigBytes) return reject("too large");
+  if (voter_state_ != VoterState::voting) return reject("not voting yet");
+  if (!has_capacity_for(event.service)) return reject("too many services");
+  if (publications_.size() >= kMaxProposals) return reject("too many at once");
   for (const auto& [id, publication] : publications_) {
-    if (publication.config.service == event.service) return refuse("it is being published here");
+    if (publication.config.service == event.service) return reject("it is being published here");
   }
   Publication publication;
   publication.request = event.request;
@@ -209,12 +212,12 @@
 
 void Distributor::propose(Time now, std::uint64_t id, Publication publication, DistributorEffects& out) {
   ServiceConfig& config = publication.config;
-  const Version known = std::max(highest_seen(config.service), committed(config.service).version);
-  Version number = std::max(publication.version_hint, known + 1);
-  if (const auto asking = pending_recoveries_.find(config.service);
-      asking != pending_recoveries_.end() && asking->second.version < kMaxPlausibleVersion)
-    number = std::max(number, asking->second.version + 1);
-  config.id = {number, digest_of(settings_.key, config.service, number, config.content)};
+  const Version highest = std::max(highest_seen(config.service), committed(config.service).version);
+  Version version = std::max(publication.version_hint, highest + 1);
+  if (const auto recovery = pending_recoveries_.find(config.service);
+      recovery != pending_recoveries_.end() && recovery->second.version < kMaxPlausibleVersion)
+    version = std::max(version, recovery->second.version + 1);
+  config.id = {version, digest_of(settings_.key, config.service, version, config.content)};
   ++publication.attempts;
   publication.proposed = true;
   publication.due_at = now + kProposalTtl;
@@ -223,7 +226,7 @@
   publication.version_taken = false;
   ServiceRecord& record = record_of(config.service);
   record.accepted = config;
-  record.highest_seen = number;
+  record.highest_seen = version;
   out.emplace_back(SaveBucket{bucket_of(config.service)});
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
     if (peers_[i].connected) out.emplace_back(SendProposal{i, id, config});
@@ -236,7 +239,7 @@
   Publication& publication = publications_.at(id);
   if (publication.accepted_by.size() + 1 >= majority()) {
     if (committed(publication.config.service).version >= publication.config.id.version) {
-      // Another one's was committed above it meanwhile.
+      // A newer version has been committed since the proposal.
       retry_publication(now, id, "others publish it", out);
       return;
     }
@@ -251,15 +254,16 @@
   retry_publication(now, id, "others publish it", out);
 }
 
-// Under a new number, which must have a new id: answers to the old one are for nothing.
-void Distributor::retry_publication(Time now, std::uint64_t id, const std::string& why,
+// Schedules the next attempt, under a new version and a new proposal id, so that late answers to the old
+// proposal are ignored.
+void Distributor::retry_publication(Time now, std::uint64_t id, const std::string& reason,
                                     DistributorEffects& out) {
   auto node = publications_.extract(id);
   Publication& publication = node.mapped();
-  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, why,
+  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, reason,
             out);
   if (publication.attempts >= kMaxPublishAttempts) {
-    out.emplace_back(PublishFinished{publication.request, false, {}, why});
+    out.emplace_back(PublishFinished{publication.request, false, {}, reason});
     return;
   }
   std::uniform_int_distribution<Duration::rep> draw(0, (kMaxPublishBackoff * publication.attempts).count());
@@ -269,18 +273,18 @@
   publications_.insert(std::move(node));
 }
 
-// Its time is over.
+// Ends a proposal that has reached `due_at` without a majority.
 void Distributor::end_proposal(Time now, std::uint64_t id, DistributorEffects& out) {
   if (publications_.at(id).version_taken) return retry_publication(now, id, "others publish it", out);
   abandon_publication(id, "no majority", out);
 }
 
-void Distributor::abandon_publication(std::uint64_t id, const std::string& why, DistributorEffects& out) {
+void Distributor::abandon_publication(std::uint64_t id, const std::string& reason, DistributorEffects& out) {
   const auto it = publications_.find(id);
   const Publication& publication = it->second;
-  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, why,
+  log_event(DistributorLogKind::abandoned, publication.config.service, publication.config.id.version, reason,
             out);
-  out.emplace_back(PublishFinished{publication.request, false, {}, why});
+  out.emplace_back(PublishFinished{publication.request, false, {}, reason});
   publications_.erase(it);
 }
 
@@ -297,7 +301,7 @@
     if (publication.accepted_by.contains(event.peer)) return;
     publication.rejected_by.insert(event.peer);
     if (event.highest_seen >= publication.config.id.version) {
-      // Others may still make a majority, but it is not waited for long.
+      // The other peers may still make a majority; the proposal waits kVersionTakenDelay for them.
       publication.version_taken = true;
       publication.version_hint = std::max(publication.version_hint, event.highest_seen + 1);
       publication.due_at = std::min(publication.due_at, now + kVersionTakenDelay);
@@ -309,27 +313,27 @@
 void Distributor::on(Time, const ProposalReceived& event, DistributorEffects& out) {
   const ServiceConfig& config = event.config;
   if (!is_sound(settings_.key, config)) {
-    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a proposal", out);
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "in a proposal", out);
     out.emplace_back(AnswerProposal{event.client, event.proposal, false, 0});
     return;
   }
-  const auto refuse = [&] {
+  const auto reject = [&] {
     out.emplace_back(AnswerProposal{event.client, event.proposal, false, highest_seen(config.service)});
   };
-  if (voter_state_ != VoterState::voting) return refuse();
+  if (voter_state_ != VoterState::voting) return reject();
   if (!has_capacity_for(config.service)) {
-    log_event(DistributorLogKind::full, config.service, config.id.version, "services", out);
-    return refuse();
+    log_event(DistributorLogKind::full, config.service, config.id.version, "service limit", out);
+    return reject();
   }
   ServiceRecord& record = record_of(config.service);
-  // The same one for a second time, after its answer was lost, has the same answer.
-  const bool again = record.accepted == config;
-  if (!again && config.id.version <= record.highest_seen) {
+  // A repeated proposal, sent because its answer was lost, gets the same answer.
+  const bool repeated = record.accepted == config;
+  if (!repeated && config.id.version <= record.highest_seen) {
     log_event(DistributorLogKind::rejected, config.service, config.id.version,
               std::to_string(record.highest_seen), out);
-    return refuse();
+    return reject();
   }
-  if (!again) {
+  if (!repeated) {
     record.accepted = config;
     record.highest_seen = config.id.version;
     out.emplace_back(SaveBucket{bucket_of(config.service)});
@@ -345,8 +349,9 @@
   peers_[event.peer].connected = true;
   peers_[event.peer].subscribed = false;
   subscribe_to_peers(now, out);
-  for (const auto& [id, p] : publications_) {
-    if (p.proposed && now < p.due_at) out.emplace_back(SendProposal{event.peer, id, p.config});
+  for (const auto& [id, publication] : publications_) {
+    if (publication.proposed && now < publication.due_at)
+      out.emplace_back(SendProposal{event.peer, id, publication.config});
   }
 }
 
@@ -355,15 +360,15 @@
   peers_[event.peer].connected = false;
   peers_[event.peer].subscribed = false;
   for (auto it = pending_fetches_.begin(); it != pending_fetches_.end();) {
-    PendingFetch& want = it->second;
-    want.offers.erase(event.peer);
-    want.not_before.erase(event.peer);
-    if (want.asked_peer == event.peer) {
-      want.asked_peer.reset();
+    PendingFetch& fetch = it->second;
+    fetch.offers.erase(event.peer);
+    fetch.not_before.erase(event.peer);
+    if (fetch.asked_peer == event.peer) {
+      fetch.asked_peer.reset();
       --fetches_in_flight_;
     }
-    if (want.offers.empty()) {
-      fetches_in_flight_ -= want.asked_peer ? 1 : 0;
+    if (fetch.offers.empty()) {
+      fetches_in_flight_ -= fetch.asked_peer ? 1 : 0;
       it = pending_fetches_.erase(it);
     } else {
       ++it;
@@ -379,11 +384,11 @@
   for (const PeerVersionsNotified::Entry& entry : event.entries) {
     if (!is_service_name(entry.service) || !has_capacity_for(entry.service)) {
       log_event(is_service_name(entry.service) ? DistributorLogKind::full : DistributorLogKind::unsound,
-                entry.service, entry.id.version, "a peer's notice", out);
+                entry.service, entry.id.version, "in a peer's notification", out);
       continue;
     }
-    // Who votes knows what it accepted; a number that is just proposed to it is not to be rejected because
-    // others were faster.
+    // Only before voting: a voter knows what it accepted. If it took over its peers' highest versions, it
+    // would reject a proposal that reaches it after them.
     const Version highest = std::max(entry.highest_seen, entry.id.version);
     if (voter_state_ != VoterState::voting && highest > highest_seen(entry.service)) {
       record_of(entry.service).highest_seen = highest;
@@ -402,18 +407,19 @@
   start_peer_fetches(now, out);
 }
 
-// A newer one is to be fetched, unless it was accepted here.
+// Compares a version that a peer notified with the committed one. A newer one is committed at once if it is
+// the accepted one, and fetched otherwise.
 void Distributor::compare_peer_version(Time now, std::uint32_t peer, const PeerVersionsNotified::Entry& entry,
                                        DistributorEffects& out) {
-  const VersionId known = committed(entry.service);
-  if (entry.id.version < known.version) {
+  const VersionId current = committed(entry.service);
+  if (entry.id.version < current.version) {
     if (!entry.id.none())
-      log_event(DistributorLogKind::stale, entry.service, entry.id.version, "a peer's", out);
+      log_event(DistributorLogKind::stale, entry.service, entry.id.version, "from a peer", out);
     return;
   }
-  if (entry.id.version == known.version) {
-    if (entry.id != known)
-      log_event(DistributorLogKind::conflict, entry.service, known.version, "a peer's", out);
+  if (entry.id.version == current.version) {
+    if (entry.id != current)
+      log_event(DistributorLogKind::conflict, entry.service, current.version, "from a peer", out);
     return;
   }
   pending_fetches_[entry.service].offers[peer] = entry.id;
@@ -430,7 +436,7 @@
     --fetches_in_flight_;
   }
   if (!is_sound(settings_.key, config)) {
-    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a peer's", out);
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "from a peer", out);
     if (it != pending_fetches_.end()) it->second.not_before[event.peer] = now + kPeerRetryDelay;
   } else {
     commit(now, config, out);
@@ -450,29 +456,29 @@
   start_peer_fetches(now, out);
 }
 
-// Cost: linear in what is wanted of peers, so it is looked at when half of the answers have come, or at a
-// tick.
+// Asks peers for the newest pending configurations, up to kMaxPeerFetches at a time. The cost is linear in
+// the pending fetches, so it runs at a tick or when at most half of the fetches are in flight.
 void Distributor::start_peer_fetches(Time now, DistributorEffects& out, bool at_tick) {
   if (pending_fetches_.empty() || (!at_tick && fetches_in_flight_ > kMaxPeerFetches / 2)) return;
   struct Candidate {
     Version version;
     const std::string* service;
-    PendingFetch* want;
+    PendingFetch* fetch;
     std::uint32_t peer;
   };
   std::vector<Candidate> candidates;
-  for (auto& [service, want] : pending_fetches_) {
-    if (want.asked_peer && now < want.deadline) continue;
-    if (want.asked_peer) {
-      want.not_before[*want.asked_peer] = now + kPeerRetryDelay;
-      want.asked_peer.reset();
+  for (auto& [service, fetch] : pending_fetches_) {
+    if (fetch.asked_peer && now < fetch.deadline) continue;
+    if (fetch.asked_peer) {
+      fetch.not_before[*fetch.asked_peer] = now + kPeerRetryDelay;
+      fetch.asked_peer.reset();
       --fetches_in_flight_;
     }
     std::optional<Candidate> best;
-    for (const auto& [peer, stamp] : want.offers) {
-      const auto later = want.not_before.find(peer);
-      if (later != want.not_before.end() && now < later->second) continue;
-      if (!best || stamp.version > best->version) best = Candidate{stamp.version, &service, &want, peer};
+    for (const auto& [peer, offer] : fetch.offers) {
+      const auto not_before = fetch.not_before.find(peer);
+      if (not_before != fetch.not_before.end() && now < not_before->second) continue;
+      if (!best || offer.version > best->version) best = Candidate{offer.version, &service, &fetch, peer};
     }
     if (best) candidates.push_back(*best);
   }
@@ -482,8 +488,8 @@
   for (const Candidate& candidate : candidates) {
     if (fetches_in_flight_ >= kMaxPeerFetches) break;
     ++fetches_in_flight_;
-    candidate.want->asked_peer = candidate.peer;
-    candidate.want->deadline = now + kPeerFetchTimeout;
+    candidate.fetch->asked_peer = candidate.peer;
+    candidate.fetch->deadline = now + kPeerFetchTimeout;
     out.emplace_back(FetchFromPeer{candidate.peer, *candidate.service, candidate.version});
   }
 }
@@ -492,7 +498,7 @@
 
 void Distributor::on(Time now, const ClientConnected& event, DistributorEffects& out) {
   if (clients_.size() >= kMaxClients) {
-    log_event(DistributorLogKind::full, {}, 0, "clients", out);
+    log_event(DistributorLogKind::full, {}, 0, "client limit", out);
     out.emplace_back(CloseClient{event.client, "too many clients"});
     return;
   }
@@ -501,7 +507,7 @@
   heartbeats_.emplace(now + kHeartbeatInterval, event.client);
 }
 
-void Distributor::remember_lost(Time now, const std::string& name) {
+void Distributor::record_lost_gatekeeper(Time now, const std::string& name) {
   if (lost_gatekeepers_.size() >= kMaxLostGatekeepers && !lost_gatekeepers_.contains(name)) {
     lost_gatekeepers_.erase(
         std::min_element(lost_gatekeepers_.begin(), lost_gatekeepers_.end(),
@@ -514,16 +520,16 @@
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  const auto leave = [&](auto& index, const std::string& key) {
-    const auto at = index.find(key);
-    if (at == index.end()) return;
-    at->second.erase(id);
-    if (at->second.empty()) index.erase(at);
+  const auto remove_from = [&](auto& index, const std::string& key) {
+    const auto entry = index.find(key);
+    if (entry == index.end()) return;
+    entry->second.erase(id);
+    if (entry->second.empty()) index.erase(entry);
   };
-  for (const auto& [service, subscription] : client.services) leave(by_service_, service);
+  for (const auto& [service, subscription] : client.services) remove_from(by_service_, service);
   if (client.subscribed && !client.is_distributor) {
-    leave(by_name_, client.name);
-    if (client.primary && !by_name_.contains(client.name)) remember_lost(now, client.name);
+    remove_from(by_name_, client.name);
+    if (client.primary && !by_name_.contains(client.name)) record_lost_gatekeeper(now, client.name);
   }
   distributors_.erase(id);
   if (!client.queued_deliveries.empty())
@@ -531,8 +537,8 @@
   clients_.erase(it);
 }
 
-void Distributor::close_client(Time now, ClientId id, const std::string& why, DistributorEffects& out) {
-  out.emplace_back(CloseClient{id, why});
+void Distributor::close_client(Time now, ClientId id, const std::string& reason, DistributorEffects& out) {
+  out.emplace_back(CloseClient{id, reason});
   forget_client(now, id);
 }
 
@@ -544,13 +550,14 @@
   const auto it = clients_.find(event.client);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  if (client.subscribed) return close_client(now, event.client, "it has subscribed before", out);
+  if (client.subscribed) return close_client(now, event.client, "a second subscription", out);
   const bool bad_name = event.name.empty() || event.name.size() > kMaxNameLength;
-  if (bad_name) return close_client(now, event.client, "its name is not one", out);
+  if (bad_name) return close_client(now, event.client, "an empty or too long name", out);
   if (event.held.size() > kMaxSubscribedServices)
     return close_client(now, event.client, "too many services", out);
   for (const VersionsNotified::Entry& held : event.held) {
-    if (!is_service_name(held.service)) return close_client(now, event.client, "not a service's name", out);
+    if (!is_service_name(held.service))
+      return close_client(now, event.client, "an invalid service name", out);
   }
   client.subscribed = true;
   client.name = event.name;
@@ -567,8 +574,8 @@
     for (const VersionsNotified::Entry& held : event.held) {
       client.services[held.service].active = held.id;
       by_service_[held.service].insert(event.client);
-      const VersionId known = committed(held.service);
-      if (known.version > held.id.version) client.pending_services.insert(held.service);
+      const VersionId current = committed(held.service);
+      if (current.version > held.id.version) client.pending_services.insert(held.service);
     }
   }
   notify_client(now, event.client, client, out);
@@ -587,88 +594,91 @@
   notify_client(now, event.client, it->second, out);
 }
 
-bool Distributor::may_complete(const Client& client) const { return client.is_distributor || settled_; }
+bool Distributor::may_complete(const Client& client) const {
+  return client.is_distributor || initial_sync_done_;
+}
 
-// One notice, if it is owed one and none is out: the newest first.
+// Sends one notification, newest versions first, if the client has something pending and no unacknowledged
+// one.
 void Distributor::notify_client(Time now, ClientId id, Client& client, DistributorEffects& out) {
   if (!client.subscribed || client.notification_pending) return;
   std::vector<std::pair<Version, const std::string*>> newest;
   for (auto it = client.pending_services.begin(); it != client.pending_services.end();) {
-    const VersionId stamp = committed(*it);
+    const VersionId current = committed(*it);
     const auto subscription = client.services.find(*it);
-    const bool has_it =
+    const bool up_to_date =
         !client.is_distributor &&
         (subscription == client.services.end() ||
-         std::max(subscription->second.active, subscription->second.notified).version >= stamp.version);
-    if (has_it) {
+         std::max(subscription->second.active, subscription->second.notified).version >= current.version);
+    if (up_to_date) {
       it = client.pending_services.erase(it);
       continue;
     }
-    newest.emplace_back(stamp.version, &*it);
+    newest.emplace_back(current.version, &*it);
     ++it;
   }
-  const std::size_t most = std::min(newest.size(), kMaxNotifiedVersions);
-  const bool complete = most == newest.size() && may_complete(client);
+  const std::size_t entry_count = std::min(newest.size(), kMaxNotifiedVersions);
+  const bool complete = entry_count == newest.size() && may_complete(client);
   if (newest.empty() && !client.voter_state_pending && (client.complete || !complete)) return;
-  std::partial_sort(newest.begin(), newest.begin() + static_cast<std::ptrdiff_t>(most), newest.end(),
+  std::partial_sort(newest.begin(), newest.begin() + static_cast<std::ptrdiff_t>(entry_count), newest.end(),
                     [](const auto& a, const auto& b) { return a.first > b.first; });
-  newest.resize(most);
-  NotifyVersions notice;
-  notice.client = id;
-  notice.complete = complete;
-  notice.with_highest_seen = client.is_distributor;
-  notice.voter_state = voter_state_;
+  newest.resize(entry_count);
+  NotifyVersions notification;
+  notification.client = id;
+  notification.complete = complete;
+  notification.with_highest_seen = client.is_distributor;
+  notification.voter_state = voter_state_;
   for (const auto& [version, service] : newest) {
-    const VersionId stamp = committed(*service);
-    notice.entries.push_back({*service, stamp, client.is_distributor ? highest_seen(*service) : 0});
-    if (!client.is_distributor) client.services.find(*service)->second.notified = stamp;
+    const VersionId current = committed(*service);
+    notification.entries.push_back({*service, current, client.is_distributor ? highest_seen(*service) : 0});
+    if (!client.is_distributor) client.services.find(*service)->second.notified = current;
   }
-  for (const PeerVersionsNotified::Entry& entry : notice.entries)
+  for (const PeerVersionsNotified::Entry& entry : notification.entries)
     client.pending_services.erase(entry.service);
   client.notification_pending = true;
   client.notified_at = now;
   client.last_sent_at = now;
   client.voter_state_pending = false;
   client.complete = client.complete || complete;
-  out.emplace_back(std::move(notice));
+  out.emplace_back(std::move(notification));
 }
 
 void Distributor::on(Time now, const FetchRequested& event, DistributorEffects& out) {
   const auto it = clients_.find(event.client);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  const VersionId known = committed(event.service);
-  if (known.none() || known.version < event.version) {
+  const VersionId current = committed(event.service);
+  if (current.none() || current.version < event.version) {
     out.emplace_back(SendMissing{event.client, event.service});
     return;
   }
   if (client.queued_deliveries.contains(event.service)) return;
   const bool full = deliveries_.size() >= kMaxQueuedDeliveries;
   if (full || client.queued_deliveries.size() >= (client.is_distributor ? kMaxPeerFetches : kMaxFetches)) {
-    log_event(DistributorLogKind::full, event.service, event.version, full ? "queue" : "a client's queue",
-              out);
+    log_event(DistributorLogKind::full, event.service, event.version,
+              full ? "delivery queue" : "a client's fetches", out);
     out.emplace_back(SendMissing{event.client, event.service});
     return;
   }
   client.queued_deliveries.insert(event.service);
-  deliveries_.insert({known.version, ++last_delivery_, event.client, event.service});
+  deliveries_.insert({current.version, ++last_delivery_, event.client, event.service});
   deliver_queued(now, out);
 }
 
 void Distributor::deliver_queued(Time now, DistributorEffects& out) {
   const double rate = static_cast<double>(settings_.bytes_per_second);
-  const double passed_s = std::chrono::duration<double>(now - tokens_refilled_at_).count();
+  const double elapsed_s = std::chrono::duration<double>(now - tokens_refilled_at_).count();
   tokens_refilled_at_ = now;
-  tokens_ = std::min(rate / 10, tokens_ + rate * std::max(0.0, passed_s));
+  tokens_ = std::min(rate / 10, tokens_ + rate * std::max(0.0, elapsed_s));
   while (!deliveries_.empty() && tokens_ > 0) {
     const QueuedDelivery next = *deliveries_.begin();
     deliveries_.erase(deliveries_.begin());
     Client& client = clients_.at(next.client);
     client.queued_deliveries.erase(next.service);
     client.last_sent_at = now;
-    const ServiceConfig& document = *records_.at(next.service).committed;
-    tokens_ -= static_cast<double>(document.content.size() + document.service.size() + 128);
-    out.emplace_back(DeliverConfig{next.client, document});
+    const ServiceConfig& config = *records_.at(next.service).committed;
+    tokens_ -= static_cast<double>(config.content.size() + config.service.size() + 128);
+    out.emplace_back(DeliverConfig{next.client, config});
   }
 }
 
@@ -677,50 +687,51 @@
   if (it == clients_.end()) return;
   const auto subscription = it->second.services.find(event.service);
   if (subscription == it->second.services.end()) return;
-  Subscription& s = subscription->second;
+  Subscription& state = subscription->second;
   if (!event.active) {
-    s.rejected = event.id;
-    s.reason = event.reason.substr(0, kMaxReasonLength);
+    state.rejected = event.id;
+    state.reason = event.reason.substr(0, kMaxReasonLength);
     return;
   }
-  s.active = event.id;
-  if (s.rejected && s.rejected->version <= event.id.version) {
-    s.rejected.reset();
-    s.reason.clear();
+  state.active = event.id;
+  if (state.rejected && state.rejected->version <= event.id.version) {
+    state.rejected.reset();
+    state.reason.clear();
   }
   compare_reported_version(now, event.service, event.id, out);
 }
 
-// ---- what clients have and nobody here knows
+// ---- recovery from clients
 
-void Distributor::compare_reported_version(Time now, const std::string& service, const VersionId& in_force,
+void Distributor::compare_reported_version(Time now, const std::string& service, const VersionId& reported,
                                            DistributorEffects& out) {
-  const VersionId known = committed(service);
-  if (in_force.version == known.version && in_force != known)
-    log_event(DistributorLogKind::conflict, service, known.version, "a gatekeeper's", out);
-  if (in_force.version <= known.version) return;
-  const auto [it, fresh] = pending_recoveries_.try_emplace(service);
-  it->second.version = std::max(it->second.version, in_force.version);
-  if (fresh) it->second.deadline = now + kRecoveryDelay;
+  const VersionId current = committed(service);
+  if (reported.version == current.version && reported != current)
+    log_event(DistributorLogKind::conflict, service, current.version, "reported by a gatekeeper", out);
+  if (reported.version <= current.version) return;
+  const auto [it, inserted] = pending_recoveries_.try_emplace(service);
+  it->second.version = std::max(it->second.version, reported.version);
+  if (inserted) it->second.deadline = now + kRecoveryDelay;
 }
 
-// Cost: linear in what is asked for, and in the clients of what is asked for again.
+// Asks a client for each configuration that is newer than the committed one. Cost: linear in the pending
+// recoveries, and in the clients of those whose deadline has passed.
 void Distributor::request_missing_configs(Time now, DistributorEffects& out) {
   for (auto it = pending_recoveries_.begin(); it != pending_recoveries_.end();) {
-    auto& [service, asking] = *it;
-    if (now < asking.deadline) {
+    auto& [service, recovery] = *it;
+    if (now < recovery.deadline) {
       ++it;
       continue;
     }
-    // The next one, in the order of clients, that has something newer.
+    // The next client, in the order of ids, that has a newer version active.
     std::optional<ClientId> first;
     std::optional<ClientId> next;
-    const Version known = committed(service).version;
+    const Version current = committed(service).version;
     if (const auto clients = by_service_.find(service); clients != by_service_.end()) {
       for (const ClientId id : clients->second) {
-        if (clients_.at(id).services.find(service)->second.active.version <= known) continue;
+        if (clients_.at(id).services.find(service)->second.active.version <= current) continue;
         if (!first) first = id;
-        if (asking.asked_client && id <= *asking.asked_client) continue;
+        if (recovery.asked_client && id <= *recovery.asked_client) continue;
         next = id;
         break;
       }
@@ -730,8 +741,8 @@
       it = pending_recoveries_.erase(it);
       continue;
     }
-    asking.asked_client = next;
-    asking.deadline = now + kReturnTimeout;
+    recovery.asked_client = next;
+    recovery.deadline = now + kReturnTimeout;
     out.emplace_back(RequestConfig{*next, service});
     ++it;
   }
@@ -741,17 +752,18 @@
   const ServiceConfig& config = event.config;
   if (!clients_.contains(event.client)) return;
   if (!is_sound(settings_.key, config)) {
-    log_event(DistributorLogKind::unsound, config.service, config.id.version, "a gatekeeper's", out);
+    log_event(DistributorLogKind::unsound, config.service, config.id.version, "returned by a gatekeeper",
+              out);
     return;
   }
   const auto it = pending_recoveries_.find(config.service);
   if (it == pending_recoveries_.end() || it->second.asked_client != event.client)
-    return;  // known since, or never asked for
+    return;  // committed since, or not requested from this client
   if (commit(now, config, out))
     log_event(DistributorLogKind::recovered, config.service, config.id.version, {}, out);
 }
 
-// ---- time
+// ---- ticks
 
 void Distributor::on(Time now, const Tick&, DistributorEffects& out) {
   if (now - last_tick_at_ > kPauseThreshold) resumed_at_ = now;
@@ -760,8 +772,8 @@
   update_recovery(now, out);
   start_peer_fetches(now, out, true);
   std::vector<std::uint64_t> due;
-  for (const auto& [id, p] : publications_) {
-    if (now >= p.due_at) due.push_back(id);
+  for (const auto& [id, publication] : publications_) {
+    if (now >= publication.due_at) due.push_back(id);
   }
   for (const std::uint64_t id : due) {
     const auto it = publications_.find(id);
@@ -769,9 +781,9 @@
     if (it->second.proposed) {
       end_proposal(now, id, out);
     } else {
-      Publication again = std::move(it->second);
+      Publication publication = std::move(it->second);
       publications_.erase(it);
-      propose(now, id, std::move(again), out);
+      propose(now, id, std::move(publication), out);
     }
   }
   request_missing_configs(now, out);
@@ -784,7 +796,7 @@
     Client& client = it->second;
     if (client.notification_pending &&
         now - std::max(client.notified_at, resumed_at_) >= kNotificationTimeout) {
-      close_client(now, id, "it does not read", out);
+      close_client(now, id, "a notification is not acknowledged", out);
       continue;
     }
     if (now - client.last_sent_at >= kHeartbeatInterval) {
@@ -793,10 +805,11 @@
     }
     heartbeats_.emplace(client.last_sent_at + kHeartbeatInterval, id);
   }
-  std::erase_if(lost_gatekeepers_, [&](const auto& lost) { return now - lost.second >= kLostRetention; });
+  std::erase_if(lost_gatekeepers_,
+                [&](const auto& lost) { return now - lost.second >= kLostGatekeeperRetention; });
 }
 
-// ---- what is known of it
+// ---- status
 
 Distributor::Status Distributor::status(std::string_view service) const {
   Status status;
@@ -825,7 +838,7 @@
 std::vector<Distributor::LostGatekeeper> Distributor::lost_gatekeepers() const {
   std::vector<LostGatekeeper> all;
   all.reserve(lost_gatekeepers_.size());
-  for (const auto& [name, since] : lost_gatekeepers_) all.push_back({name, since});
+  for (const auto& [name, lost_at] : lost_gatekeepers_) all.push_back({name, lost_at});
   return all;
 }
 
--- a/src/distribution/ranking.h
+++ b/src/distribution/ranking.h
@@ -1,5 +1,6 @@
-// Which distributors a gatekeeper holds on to: rendezvous hashing, so that each is chosen by an even share of
-// the fleet, the loss of one spreads its gatekeepers over all others, and nobody assigns anything.
+// The order in which a gatekeeper prefers the distributors: rendezvous hashing. Each distributor is chosen by
+// an even share of the fleet, the gatekeepers of a lost one spread over all others, and no assignment is
+// stored.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +10,9 @@
 
 namespace graniterun::distribution {
 
-// The indices of `distributors` in the order in which `name` prefers them; the same in every process.
-// Cost: n log n.
-std::vector<std::uint32_t> ranked(std::string_view name, const std::vector<std::string>& distributors);
+// Returns the indices of `distributors`, the one that `name` prefers first; the same in every process.
+// Cost: n log n in the distributors.
+std::vector<std::uint32_t> rank_distributors(std::string_view name,
+                                             const std::vector<std::string>& distributors);
 
 }  // namespace graniterun::distribution
--- a/src/distribution/service_config.cpp
+++ b/src/distribution/service_config.cpp
@@ -7,7 +7,7 @@
 namespace graniterun::distribution {
 namespace {
 
-void add_number(crypto_generichash_state& state, std::uint64_t number) {
+void update_with_number(crypto_generichash_state& state, std::uint64_t number) {
   std::array<unsigned char, 8> bytes{};
   for (unsigned char& byte : bytes) {
     byte = static_cast<unsigned char>(number & 0xff);
@@ -16,12 +16,13 @@
   crypto_generichash_update(&state, bytes.data(), bytes.size());
 }
 
-void add_text(crypto_generichash_state& state, std::string_view text) {
-  add_number(state, text.size());
+// The length comes first, so that no text runs on into the next one.
+void update_with_text(crypto_generichash_state& state, std::string_view text) {
+  update_with_number(state, text.size());
   crypto_generichash_update(&state, reinterpret_cast<const unsigned char*>(text.data()), text.size());
 }
 
-int digit_of(char c) {
+int hex_digit_value(char c) {
   if (c >= '0' && c <= '9') return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
   return -1;
@@ -32,18 +33,18 @@
 Digest digest_of(const Key& key, std::string_view service, Version version, std::string_view content) {
   crypto_generichash_state state;
   crypto_generichash_init(&state, key.data(), key.size(), Digest{}.size());
-  add_text(state, service);
-  add_number(state, version);
-  add_text(state, content);
+  update_with_text(state, service);
+  update_with_number(state, version);
+  update_with_text(state, content);
   Digest digest{};
   crypto_generichash_final(&state, digest.data(), digest.size());
   return digest;
 }
 
-bool is_sound(const Key& key, const ServiceConfig& document) {
-  if (document.id.none() || !is_service_name(document.service)) return false;
-  if (document.content.size() > kMaxConfigBytes) return false;
-  return digest_of(key, document.service, document.id.version, document.content) == document.id.digest;
+bool is_sound(const Key& key, const ServiceConfig& config) {
+  if (config.id.none() || !is_service_name(config.service)) return false;
+  if (config.content.size() > kMaxConfigBytes) return false;
+  return digest_of(key, config.service, config.id.version, config.content) == config.id.digest;
 }
 
 bool is_service_name(std::string_view name) {
@@ -69,8 +70,8 @@
   if (hex.size() != out.size() * 2) return false;
   Digest digest{};
   for (std::size_t i = 0; i < digest.size(); ++i) {
-    const int high = digit_of(hex[2 * i]);
-    const int low = digit_of(hex[2 * i + 1]);
+    const int high = hex_digit_value(hex[2 * i]);
+    const int low = hex_digit_value(hex[2 * i + 1]);
     if (high < 0 || low < 0) return false;
     digest[i] = static_cast<unsigned char>(high * 16 + low);
   }
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -11,35 +11,36 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kOpenTimeout = 5s;
-// A source that was up for so long is tried at once when it is lost, and not after the doubled pause.
-constexpr Duration kSteadyConnection = 10s;
-// A source that did not have what it told of, or told something unsound, is asked again after so long.
+// A connection that lasted this long resets the backoff of its source.
+constexpr Duration kStableConnectionTime = 10s;
+// Delay before a source that did not answer, did not have a notified version or delivered an invalid one is
+// asked for it again.
 constexpr Duration kOfferRetryDelay = 500ms;
-// A tick so late is a stop of this process: what sources said meanwhile has not been read yet.
+// A tick later than this means that the process was paused: input of that time has not been read yet.
 constexpr Duration kPauseThreshold = 1s;
 
 }  // namespace
 
-Version Subscriber::Service::floor() const {
+Version Subscriber::Service::newest_version() const {
   return std::max(active ? active->id.version : 0, candidate ? candidate->id.version : 0);
 }
 
 Subscriber::Subscriber(SubscriberSettings settings)
     : settings_(std::move(settings)),
-      ranking_(ranked(settings_.name, settings_.distributors)),
+      ranking_(rank_distributors(settings_.name, settings_.distributors)),
       sources_(settings_.distributors.size()),
       random_(settings_.seed) {
   for (const std::string& name : settings_.services) {
     if (services_.size() >= kMaxSubscribedServices) break;
-    if (!places_.emplace(name, services_.size()).second) continue;
+    if (!service_index_.emplace(name, services_.size()).second) continue;
     services_.push_back({});
     services_.back().name = name;
   }
 }
 
-Subscriber::Service* Subscriber::find(std::string_view name) {
-  const auto it = places_.find(name);
-  return it == places_.end() ? nullptr : &services_[it->second];
+Subscriber::Service* Subscriber::find_service(std::string_view name) {
+  const auto it = service_index_.find(name);
+  return it == service_index_.end() ? nullptr : &services_[it->second];
 }
 
 void Subscriber::start(Time now, SubscriberEffects& out) {
@@ -50,7 +51,7 @@
 }
 
 void Subscriber::step(Time now, const SubscriberEvent& event, SubscriberEffects& out) {
-  std::visit([&](const auto& notice) { on(now, notice, out); }, event);
+  std::visit([&](const auto& received) { on(now, received, out); }, event);
   start_fetches(now, out);
   start_apply(now, out);
   maintain_sources(now, out);
@@ -82,7 +83,7 @@
   }
 }
 
-// What it told is no more to be had from it.
+// Drops the offers of a source and the fetches from it.
 void Subscriber::forget_source(std::uint32_t source) {
   for (Service& service : services_) {
     service.offers.erase(source);
@@ -92,8 +93,9 @@
 
 void Subscriber::handle_source_lost(Time now, std::uint32_t index, SubscriberEffects& out) {
   Source& source = sources_[index];
-  const bool was_up = source.state == Source::State::connected;
-  if (was_up && now - source.state_since >= kSteadyConnection) source.backoff = kMinReconnectBackoff;
+  const bool was_connected = source.state == Source::State::connected;
+  if (was_connected && now - source.state_since >= kStableConnectionTime)
+    source.backoff = kMinReconnectBackoff;
   std::uniform_int_distribution<Duration::rep> draw(source.backoff.count() / 2, source.backoff.count());
   source.reopen_at = now + Duration(draw(random_));
   source.backoff = std::min<Duration>(source.backoff * 2, kMaxReconnectBackoff);
@@ -101,7 +103,7 @@
   source.complete = false;
   source.state_since = now;
   forget_source(index);
-  if (!was_up) return;
+  if (!was_connected) return;
   out.emplace_back(
       SubscriberLogEvent{SubscriberLogKind::source_disconnected, {}, 0, settings_.distributors[index]});
   choose_primary(std::nullopt, out);
@@ -112,9 +114,10 @@
   handle_source_lost(now, event.source, out);
 }
 
-// The best ranked one of those that are up and have told all, or of those that are up: one that was stopped
-// may still be connected to. `fresh`: it has come up just now, and is told with its Subscribe.
-void Subscriber::choose_primary(std::optional<std::uint32_t> fresh, SubscriberEffects& out) {
+// The primary is the best ranked complete source, or without one the best ranked connected source: a
+// distributor whose process is paused may still be connected. `connecting`: the source that has just
+// connected; its Subscribe says whether it is the primary.
+void Subscriber::choose_primary(std::optional<std::uint32_t> connecting, SubscriberEffects& out) {
   std::optional<std::uint32_t> best;
   for (const std::uint32_t index : ranking_) {
     if (!is_connected(index) || (best && !sources_[index].complete)) continue;
@@ -124,21 +127,21 @@
   if (best == primary_) return;
   if (primary_ && is_connected(*primary_)) out.emplace_back(SendPrimary{*primary_, false});
   primary_ = best;
-  if (best && best != fresh) out.emplace_back(SendPrimary{*best, true});
+  if (best && best != connecting) out.emplace_back(SendPrimary{*best, true});
 }
 
 void Subscriber::maintain_sources(Time now, SubscriberEffects& out) {
-  // Where better ranked ones have told all, the others are let go.
-  std::vector<std::uint32_t> up;
+  // Once the best ranked kSources connections are complete, the others are closed.
+  std::vector<std::uint32_t> connected;
   std::size_t opening = 0;
   for (const std::uint32_t index : ranking_) {
-    if (is_connected(index)) up.push_back(index);
+    if (is_connected(index)) connected.push_back(index);
     opening += sources_[index].state == Source::State::opening ? 1 : 0;
   }
-  while (up.size() > kSources && std::all_of(up.begin(), up.begin() + kSources,
-                                             [&](std::uint32_t i) { return sources_[i].complete; })) {
-    const std::uint32_t worst = up.back();
-    up.pop_back();
+  while (connected.size() > kSources && std::all_of(connected.begin(), connected.begin() + kSources,
+                                                    [&](std::uint32_t i) { return sources_[i].complete; })) {
+    const std::uint32_t worst = connected.back();
+    connected.pop_back();
     out.emplace_back(CloseSource{worst});
     out.emplace_back(
         SubscriberLogEvent{SubscriberLogKind::source_disconnected, {}, 0, settings_.distributors[worst]});
@@ -146,11 +149,11 @@
     sources_[worst].complete = false;
     forget_source(worst);
   }
-  bool tries_better = up.size() > kSources || opening > 0;
+  bool tries_better = connected.size() > kSources || opening > 0;
   for (const std::uint32_t index : ranking_) {
     Source& source = sources_[index];
-    const bool wanted = up.size() + opening < kSources;
-    if (!wanted && (tries_better || index == up.back())) break;
+    const bool wanted = connected.size() + opening < kSources;
+    if (!wanted && (tries_better || index == connected.back())) break;
     if (source.state != Source::State::closed || source.reopen_at > now) continue;
     tries_better = true;
     source.state = Source::State::opening;
@@ -176,8 +179,9 @@
     const Source& source = sources_[i];
     const bool silent =
         source.state == Source::State::connected && now - source.last_received_at >= kSilentSource;
-    const bool never_up = source.state == Source::State::opening && now - source.state_since >= kOpenTimeout;
-    if (!silent && !never_up) continue;
+    const bool open_timed_out =
+        source.state == Source::State::opening && now - source.state_since >= kOpenTimeout;
+    if (!silent && !open_timed_out) continue;
     out.emplace_back(CloseSource{i});
     handle_source_lost(now, i, out);
   }
@@ -188,18 +192,18 @@
                                         settings_.distributors[source]});
     if (const auto offer = service.offers.find(source); offer != service.offers.end())
       offer->second.not_before = now + kOfferRetryDelay;
-    // Who was asked stays known: the document may still come from there.
+    // asked_sources keeps this source: its answer may still come.
     service.fetch->deadline = Time::max();
   }
 }
 
-// ---- what is told
+// ---- notified versions and fetches
 
 void Subscriber::on(Time now, const VersionsNotified& event, SubscriberEffects& out) {
   if (event.source >= sources_.size() || !is_connected(event.source)) return;
   record_source_input(now, event.source);
   for (const VersionsNotified::Entry& entry : event.entries) {
-    Service* service = find(entry.service);
+    Service* service = find_service(entry.service);
     if (service == nullptr) {
       out.emplace_back(
           SubscriberLogEvent{SubscriberLogKind::unrequested, entry.service, entry.id.version, {}});
@@ -223,7 +227,7 @@
 
 void Subscriber::on(Time now, const ConfigMissing& event, SubscriberEffects&) {
   record_source_input(now, event.source);
-  Service* service = find(event.service);
+  Service* service = find_service(event.service);
   if (service == nullptr) return;
   if (const auto offer = service->offers.find(event.source); offer != service->offers.end())
     offer->second.not_before = now + kOfferRetryDelay;
@@ -232,7 +236,7 @@
 
 void Subscriber::on(Time now, const ConfigRequested& event, SubscriberEffects& out) {
   record_source_input(now, event.source);
-  const Service* service = find(event.service);
+  const Service* service = find_service(event.service);
   if (service != nullptr && service->active && event.source < sources_.size() && is_connected(event.source))
     out.emplace_back(ReturnConfig{event.source, *service->active});
 }
@@ -240,11 +244,11 @@
 void Subscriber::on(Time now, const ConfigDelivered& event, SubscriberEffects& out) {
   record_source_input(now, event.source);
   const ServiceConfig& config = event.config;
-  Service* service = find(config.service);
-  const auto tell = [&](SubscriberLogKind what) {
-    out.emplace_back(SubscriberLogEvent{what, config.service, config.id.version, {}});
+  Service* service = find_service(config.service);
+  const auto log = [&](SubscriberLogKind kind) {
+    out.emplace_back(SubscriberLogEvent{kind, config.service, config.id.version, {}});
   };
-  if (service == nullptr) return tell(SubscriberLogKind::unrequested);
+  if (service == nullptr) return log(SubscriberLogKind::unrequested);
   const auto was_asked = [&] {
     return service->fetch &&
            std::find(service->fetch->asked_sources.begin(), service->fetch->asked_sources.end(),
@@ -252,22 +256,22 @@
   };
   for (const auto* held : {&service->active, &service->candidate}) {
     if (!*held || (*held)->id.version != config.id.version) continue;
-    // The same one for a second time is no news.
-    if ((*held)->id != config.id) tell(SubscriberLogKind::conflict);
+    // A repeated delivery is ignored.
+    if ((*held)->id != config.id) log(SubscriberLogKind::conflict);
     return;
   }
   if (service->active && config.id.version < service->active->id.version)
-    return tell(SubscriberLogKind::stale);
-  if (!was_asked()) return tell(SubscriberLogKind::unrequested);
-  if (config.id.version < service->floor()) return tell(SubscriberLogKind::stale);
+    return log(SubscriberLogKind::stale);
+  if (!was_asked()) return log(SubscriberLogKind::unrequested);
+  if (config.id.version < service->newest_version()) return log(SubscriberLogKind::stale);
   const auto offer = service->offers.find(event.source);
-  const bool other = offer != service->offers.end() && offer->second.id.version == config.id.version &&
-                     offer->second.id != config.id;
-  if (!is_sound(settings_.key, config) || other) {
+  const bool differs = offer != service->offers.end() && offer->second.id.version == config.id.version &&
+                       offer->second.id != config.id;
+  if (!is_sound(settings_.key, config) || differs) {
     if (offer != service->offers.end()) offer->second.not_before = now + kOfferRetryDelay;
     if (service->fetch->source == event.source) service->fetch->deadline = Time::max();
-    return tell(other && is_sound(settings_.key, config) ? SubscriberLogKind::conflict
-                                                         : SubscriberLogKind::unsound);
+    return log(differs && is_sound(settings_.key, config) ? SubscriberLogKind::conflict
+                                                          : SubscriberLogKind::unsound);
   }
   service->fetch.reset();
   service->candidate = config;
@@ -278,7 +282,7 @@
 bool Subscriber::has_to_fetch() const {
   return std::any_of(services_.begin(), services_.end(), [](const Service& service) {
     return std::any_of(service.offers.begin(), service.offers.end(),
-                       [&](const auto& offer) { return offer.second.id.version > service.floor(); });
+                       [&](const auto& offer) { return offer.second.id.version > service.newest_version(); });
   });
 }
 
@@ -289,10 +293,10 @@
     Version version;
   };
   std::vector<Candidate> candidates;
-  std::size_t out_now = 0;
+  std::size_t fetches_in_flight = 0;
   for (Service& state : services_) {
     if (state.fetch && state.fetch->deadline != Time::max()) {
-      ++out_now;
+      ++fetches_in_flight;
       continue;
     }
     std::optional<Candidate> best;
@@ -300,7 +304,7 @@
       const auto offer = state.offers.find(source);
       if (offer == state.offers.end() || offer->second.not_before > now || !is_connected(source)) continue;
       const Version version = offer->second.id.version;
-      if (version <= state.floor() || (best && version <= best->version)) continue;
+      if (version <= state.newest_version() || (best && version <= best->version)) continue;
       best = Candidate{&state, source, version};
     }
     if (best) candidates.push_back(*best);
@@ -309,8 +313,8 @@
     return left.version > right.version;
   });
   for (const Candidate& candidate : candidates) {
-    if (out_now >= kMaxFetches) break;
-    ++out_now;
+    if (fetches_in_flight >= kMaxFetches) break;
+    ++fetches_in_flight;
     if (!candidate.service->fetch) candidate.service->fetch = PendingFetch{};
     PendingFetch& fetch = *candidate.service->fetch;
     fetch.source = candidate.source;
@@ -322,7 +326,7 @@
   }
 }
 
-// ---- what is in force
+// ---- applying
 
 bool Subscriber::has_to_apply() const {
   return is_applying_ || !to_apply_alone_.empty() ||
@@ -333,16 +337,17 @@
 void Subscriber::start_apply(Time now, SubscriberEffects& out) {
   if (is_applying_) return;
   if (to_apply_alone_.empty() && activated_alone_ && !rejected_alone_.empty()) {
-    // Those that were refused before another one of this round came into force.
+    // A configuration that became active may make those acceptable that were rejected before it in this
+    // round.
     to_apply_alone_.assign(rejected_alone_.rbegin(), rejected_alone_.rend());
     rejected_alone_.clear();
     activated_alone_ = false;
   }
   while (!to_apply_alone_.empty()) {
-    const std::size_t place = to_apply_alone_.back();
+    const std::size_t index = to_apply_alone_.back();
     to_apply_alone_.pop_back();
-    if (!services_[place].candidate) continue;
-    apply({place}, out);
+    if (!services_[index].candidate) continue;
+    apply({index}, out);
     return;
   }
   rejected_alone_.clear();
@@ -351,13 +356,13 @@
     gathering_since_.reset();
     return;
   }
-  if (gathering_since_ && has_to_fetch() && now - *gathering_since_ < kGather) return;
+  if (gathering_since_ && has_to_fetch() && now - *gathering_since_ < kApplyBatchDelay) return;
   gathering_since_.reset();
-  std::vector<std::size_t> newer;
+  std::vector<std::size_t> candidates;
   for (std::size_t i = 0; i < services_.size(); ++i) {
-    if (services_[i].candidate) newer.push_back(i);
+    if (services_[i].candidate) candidates.push_back(i);
   }
-  apply(std::move(newer), out);
+  apply(std::move(candidates), out);
 }
 
 void Subscriber::apply(std::vector<std::size_t> candidates, SubscriberEffects& out) {
@@ -381,16 +386,16 @@
 void Subscriber::on(Time, const ApplyFinished& event, SubscriberEffects& out) {
   if (!is_applying_) return;
   is_applying_ = false;
-  const std::vector<std::size_t> places = std::exchange(applying_, {});
-  const std::vector<ServiceConfig> documents = std::exchange(configs_applying_, {});
+  const std::vector<std::size_t> indices = std::exchange(applying_, {});
+  const std::vector<ServiceConfig> configs = std::exchange(configs_applying_, {});
   if (event.succeeded) {
     activated_alone_ = true;
-    for (std::size_t i = 0; i < places.size(); ++i) activate(services_[places[i]], documents[i], out);
-  } else if (places.size() == 1) {
-    reject(services_[places[0]], documents[0], event.reason, out);
-    rejected_alone_.push_back(places[0]);
+    for (std::size_t i = 0; i < indices.size(); ++i) activate(services_[indices[i]], configs[i], out);
+  } else if (indices.size() == 1) {
+    reject(services_[indices[0]], configs[0], event.reason, out);
+    rejected_alone_.push_back(indices[0]);
   } else {
-    to_apply_alone_.assign(places.rbegin(), places.rend());
+    to_apply_alone_.assign(indices.rbegin(), indices.rend());
     rejected_alone_.clear();
     activated_alone_ = false;
   }
@@ -398,25 +403,24 @@
   for (Service& service : services_) service.candidate_rejected = false;
 }
 
-void Subscriber::activate(Service& service, ServiceConfig document, SubscriberEffects& out) {
-  if (service.candidate && service.candidate->id == document.id) service.candidate.reset();
-  if (service.rejected && service.rejected->version <= document.id.version) {
+void Subscriber::activate(Service& service, ServiceConfig config, SubscriberEffects& out) {
+  if (service.candidate && service.candidate->id == config.id) service.candidate.reset();
+  if (service.rejected && service.rejected->version <= config.id.version) {
     service.rejected.reset();
     service.reason.clear();
   }
-  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::activated, service.name, document.id.version, {}});
-  service.active = std::move(document);
+  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::activated, service.name, config.id.version, {}});
+  service.active = std::move(config);
   report_status(service, std::nullopt, out);
 }
 
-void Subscriber::reject(Service& service, const ServiceConfig& document, const std::string& reason,
+void Subscriber::reject(Service& service, const ServiceConfig& config, const std::string& reason,
                         SubscriberEffects& out) {
-  const bool known = service.rejected == document.id && service.reason == reason;
-  service.rejected = document.id;
+  const bool already_reported = service.rejected == config.id && service.reason == reason;
+  service.rejected = config.id;
   service.reason = reason;
-  if (known) return;
-  out.emplace_back(
-      SubscriberLogEvent{SubscriberLogKind::rejected, service.name, document.id.version, reason});
+  if (already_reported) return;
+  out.emplace_back(SubscriberLogEvent{SubscriberLogKind::rejected, service.name, config.id.version, reason});
   report_status(service, std::nullopt, out);
 }
 
@@ -434,13 +438,13 @@
 
 void Subscriber::on(Time, const BaseChanged&, SubscriberEffects&) {
   if (is_applying_) {
-    base_changed_ = true;  // its answer may be about the old one
+    base_changed_ = true;  // the pending result may be about the old base
     return;
   }
   for (Service& service : services_) service.candidate_rejected = false;
 }
 
-// ---- what is known of it
+// ---- state
 
 void Subscriber::update_readiness(Time now, SubscriberEffects& out) {
   if (ready_) return;
@@ -454,10 +458,10 @@
 }
 
 bool Subscriber::is_current() const {
-  const bool told = std::any_of(sources_.begin(), sources_.end(), [](const Source& source) {
+  const bool synchronized = std::any_of(sources_.begin(), sources_.end(), [](const Source& source) {
     return source.state == Source::State::connected && source.complete;
   });
-  return told && !has_to_fetch() && !has_to_apply();
+  return synchronized && !has_to_fetch() && !has_to_apply();
 }
 
 std::vector<std::pair<std::string, Subscriber::ServiceState>> Subscriber::service_states() const {
--- a/src/distribution/subscriber.h
+++ b/src/distribution/subscriber.h
@@ -1,21 +1,20 @@
-// A gatekeeper's side of the distribution of configuration: which distributors it holds on to, which
-// documents it has in force, which it was told of and fetches, which it has refused. Pure: no I/O, no clock,
-// no wire.
+// The gatekeeper's side of the distribution of configuration: the distributors (sources) it is connected to,
+// and per service the active configuration, the versions it was notified of, the one it fetches and the one
+// it rejected. Input: SubscriberEvent; output: SubscriberEffect. Pure: no I/O, no clock, no encoding.
 //
-// Static stability: nothing here has an end by time. What is in force stays in force until a newer document
-// is taken, whoever can or can't be reached.
+// Static stability: no state expires. An active configuration stays active until a newer one is applied,
+// whether or not any distributor can be reached.
 //
 // Invariants.
-//  1. The version in force of a service never goes back, in one process.
-//  2. A document is in force whole or not at all; one whose digest is not its own is never handed on.
-//  3. A document that the gatekeeper refuses leaves what was in force as it was, and is told upward with the
-//  reason.
-//  4. Two documents of one version: the first one in force stays; the other is counted as `conflicts`, and
-//  told.
-//  5. At most kMaxFetches documents are on their way, and none is asked for twice at one time.
+//  1. Within one process the active version of a service never decreases.
+//  2. A configuration is applied as a whole or not at all; one with a wrong digest is never passed on.
+//  3. A rejected configuration leaves the active one unchanged and is reported to the distributors with the
+//     reason.
+//  4. Of two configurations under one version, the first active one stays; the other is logged as `conflict`.
+//  5. At most kMaxFetches fetches are in flight, and a service has at most one of them.
 //
-// Bounds: kMaxSubscribedServices services, two documents of each (in force, fetched); kSources connections,
-// and one more while a better ranked distributor that was lost is tried.
+// Bounds: kMaxSubscribedServices services with two configurations each (active, candidate); kSources
+// connections, and one more while a better ranked distributor that was lost is tried again.
 #pragma once
 
 #include <cstdint>
@@ -30,23 +29,24 @@
 
 namespace graniterun::distribution {
 
-constexpr std::size_t kSources = 2;     // distributors that a gatekeeper holds on to at one time
-constexpr std::size_t kMaxFetches = 4;  // documents on their way to a gatekeeper
-constexpr Duration kFetchTimeout = std::chrono::seconds(1);   // then another source is asked
-constexpr Duration kSilentSource = std::chrono::seconds(15);  // three beats: the connection is given up
-// before a distributor is tried again: drawn
+constexpr std::size_t kSources = 2;     // distributors that a gatekeeper keeps connections to
+constexpr std::size_t kMaxFetches = 4;  // fetches in flight of one gatekeeper
+constexpr Duration kFetchTimeout = std::chrono::seconds(1);  // then the next source
+// A connection without input for three heartbeat intervals is closed.
+constexpr Duration kSilentSource = std::chrono::seconds(15);
+// Bounds of the backoff before a lost distributor is tried again. The delay is drawn between half of the
+// backoff and all of it; the backoff doubles with each failure.
 constexpr Duration kMinReconnectBackoff = std::chrono::milliseconds(100);
-// between half and the whole, doubled up to this
 constexpr Duration kMaxReconnectBackoff = std::chrono::seconds(5);
-// documents that come together are taken together
-constexpr Duration kGather = std::chrono::milliseconds(100);
+// Configurations that arrive within this time are applied together.
+constexpr Duration kApplyBatchDelay = std::chrono::milliseconds(100);
 
 struct SubscriberSettings {
-  std::string name{};                       // of the gatekeeper: its place in the ranking
-  std::vector<std::string> distributors{};  // addresses, 1 to 64; the same list everywhere
-  std::vector<std::string> services{};  // 1 to kMaxSubscribedServices; documents are applied in this order
+  std::string name{};                       // of the gatekeeper; the ranking of distributors depends on it
+  std::vector<std::string> distributors{};  // addresses, 1 to 64; the same list in every process
+  std::vector<std::string> services{};      // 1 to kMaxSubscribedServices; applied in this order
   Key key{};
-  Duration wait{std::chrono::seconds(2)};  // at the start, for what is current
+  Duration wait{std::chrono::seconds(2)};  // maximum time before ready()
   std::uint64_t seed{};
 };
 
@@ -55,11 +55,11 @@
 struct SourceConnected {
   std::uint32_t source{};
 };
-struct SourceDisconnected {  // could not be reached, or is lost
+struct SourceDisconnected {  // the attempt to connect failed, or the connection is lost
   std::uint32_t source{};
 };
-// What a distributor has in force of the services asked for, those only that differ from what it was told is
-// held.
+// The distributor's committed versions of the subscribed services, only those that differ from the versions
+// that Subscribe reported.
 struct VersionsNotified {
   std::uint32_t source{};
   struct Entry {
@@ -67,29 +67,30 @@
     VersionId id{};
   };
   std::vector<Entry> entries{};
-  bool complete = false;  // all that it has to say has been said since the subscription
+  bool complete = false;  // every difference has been sent since the subscription
 };
 struct ConfigDelivered {
   std::uint32_t source{};
   ServiceConfig config{};
 };
-struct ConfigMissing {  // a document that was asked for is not to be had there (any more)
+struct ConfigMissing {  // the source does not have the fetched configuration (any more)
   std::uint32_t source{};
   std::string service{};
 };
-struct ConfigRequested {  // a distributor that holds something older asks for what is in force here
+struct ConfigRequested {  // a distributor with an older version asks for the active configuration
   std::uint32_t source{};
   std::string service{};
 };
-struct HeartbeatReceived {  // any word of a distributor counts as one
+struct HeartbeatReceived {  // each other event of a source counts as one
   std::uint32_t source{};
 };
-// What became of an Apply. Comes in the same moment, or later; until then no other Apply is asked for.
+// Result of ApplyConfigs. It may come in the same step or later; until then no other ApplyConfigs is emitted.
 struct ApplyFinished {
   bool succeeded = false;
-  std::string reason{};  // where it was not
+  std::string reason{};  // set if it failed
 };
-// The configuration under the documents is another one (SIGHUP): what was refused is tried once more.
+// The base settings that the configurations are merged into were reloaded (SIGHUP): rejected configurations
+// are tried once more.
 struct BaseChanged {};
 struct Tick {};  // every 50 ms
 
@@ -105,14 +106,14 @@
 struct CloseSource {
   std::uint32_t source{};
 };
-// First of all on a connection that came up. Held: what is in force here, so that nothing older is told.
+// First message on a new connection. It reports the active versions, so that only newer ones are notified.
 struct Subscribe {
   std::uint32_t source{};
   std::vector<VersionsNotified::Entry>
-      held{};            // of every service in the settings' order; an empty stamp: nothing
-  bool primary = false;  // it is this one that counts the gatekeeper
+      held{};            // every service, in the settings' order; version 0 if none is active
+  bool primary = false;  // this distributor counts the gatekeeper in its status
 };
-struct SendPrimary {  // it has changed since
+struct SendPrimary {  // `primary` has changed since the Subscribe
   std::uint32_t source{};
   bool primary = false;
 };
@@ -121,37 +122,36 @@
   std::string service{};
   Version version{};
 };
-struct ReportStatus {  // to every source that is up, at each change; and at once after a Subscribe, for what
-                       // is
-                       // refused
+// To every connected source at each change; and right after a Subscribe for each rejected configuration.
+struct ReportStatus {
   std::uint32_t source{};
   std::string service{};
   VersionId id{};
-  bool active = false;  // else refused, for the reason
+  bool active = false;  // false: rejected, for `reason`
   std::string reason{};
 };
-struct ReturnConfig {  // the answer to Wanted
+struct ReturnConfig {  // answers ConfigRequested
   std::uint32_t source{};
   ServiceConfig config{};
 };
-// The whole set that is to be in force, in the order of services; taken whole or not at all by whoever
-// carries it out, who answers with Applied.
+// The complete set of configurations to activate, in the order of services. The receiver applies all of them
+// or none and answers with ApplyFinished.
 struct ApplyConfigs {
   std::vector<ServiceConfig> configs{};
 };
 // For the log and the counters.
 enum class SubscriberLogKind : std::uint8_t {
-  activated,        // a document has come into force
-  rejected,         // one was refused, with the reason
-  stale,            // an older version was offered, and passed over
-  conflict,         // another content under the version in force was offered, and passed over
-  unsound,          // a document's digest was not its own, or it was not what was asked for
-  unrequested,      // a document that nobody asked for, or of a service that is none of ours
-  fetch_timed_out,  // a source did not answer a Fetch in time: another one is asked
+  activated,        // a configuration became active
+  rejected,         // a configuration was rejected, with the reason
+  stale,            // an older version was offered and ignored
+  conflict,         // other content under the active or fetched version was offered and ignored
+  unsound,          // a configuration failed its check, or differs from the version that was notified
+  unrequested,      // a configuration that was not fetched, or of a service that is not subscribed
+  fetch_timed_out,  // a source did not answer a FetchConfig within kFetchTimeout
   source_connected,
   source_disconnected,
-  current,       // all that the first complete source told is in force or refused
-  wait_expired,  // the bounded wait at the start is over: it serves on its start configuration
+  current,       // everything that the first complete source notified is active or rejected
+  wait_expired,  // `wait` is over: the gatekeeper serves with its start configuration
 };
 struct SubscriberLogEvent {
   SubscriberLogKind kind{};
@@ -173,14 +173,14 @@
   // Cost: at most n log n in the services of the event; a Tick is linear in the services.
   void step(Time now, const SubscriberEvent& event, SubscriberEffects& out);
 
-  // It has what was current when it started, or has waited long enough for it.
+  // Whether the subscriber was current once since the start, or `wait` has passed.
   bool ready() const { return ready_; }
-  // It has been told all by at least one source that is up, and has nothing to fetch or apply.
+  // Whether at least one connected source has notified all versions, and nothing is left to fetch or apply.
   bool is_current() const;
 
   struct ServiceState {
-    VersionId active{};                   // none: the start configuration's
-    std::optional<VersionId> rejected{};  // newer than that, and turned down here
+    VersionId active{};                   // none: the start configuration applies
+    std::optional<VersionId> rejected{};  // newer than `active` and rejected by this gatekeeper
     std::string reason{};
   };
   // In the settings' order of services.
@@ -191,34 +191,34 @@
   struct Source {
     enum class State : std::uint8_t { closed, opening, connected };
     State state = State::closed;
-    bool complete = false;  // it has told all since it came up
+    bool complete = false;  // has notified all versions since it connected
     Duration backoff = kMinReconnectBackoff;
-    Time reopen_at{};    // not opened before
+    Time reopen_at{};    // earliest time of the next attempt
     Time state_since{};  // of the state
     Time last_received_at{};
   };
   struct Offer {
     VersionId id{};
-    Time not_before{};  // asked for no sooner: the source did not answer, or did not have it
+    Time not_before{};  // earliest next fetch, after a timeout or a ConfigMissing
   };
   struct PendingFetch {
     std::uint32_t source{};
     Time deadline{};
-    std::vector<std::uint32_t> asked_sources{};  // since the last document came
+    std::vector<std::uint32_t> asked_sources{};  // since the last configuration arrived
   };
   struct Service {
     std::string name{};
     std::optional<ServiceConfig> active{};
-    std::optional<ServiceConfig> candidate{};  // fetched: to be applied, or refused
-    bool candidate_rejected = false;           // `newer` has been refused, and nothing has changed since
+    std::optional<ServiceConfig> candidate{};  // fetched: to be applied, or rejected
+    bool candidate_rejected = false;           // rejected (or being applied), and nothing has changed since
     std::optional<VersionId> rejected{};
     std::string reason{};
     std::map<std::uint32_t, Offer> offers{};  // by source
     std::optional<PendingFetch> fetch{};
-    Version floor() const;  // nothing of this version or below is fetched
+    Version newest_version() const;  // active or candidate; only versions above it are fetched
   };
 
-  Service* find(std::string_view name);
+  Service* find_service(std::string_view name);
   bool is_connected(std::uint32_t source) const { return sources_[source].state == Source::State::connected; }
   void on(Time now, const SourceConnected& event, SubscriberEffects& out);
   void on(Time now, const SourceDisconnected& event, SubscriberEffects& out);
@@ -238,8 +238,8 @@
   void start_fetches(Time now, SubscriberEffects& out);
   void start_apply(Time now, SubscriberEffects& out);
   void apply(std::vector<std::size_t> candidates, SubscriberEffects& out);
-  void activate(Service& service, ServiceConfig document, SubscriberEffects& out);
-  void reject(Service& service, const ServiceConfig& document, const std::string& reason,
+  void activate(Service& service, ServiceConfig config, SubscriberEffects& out);
+  void reject(Service& service, const ServiceConfig& config, const std::string& reason,
               SubscriberEffects& out);
   void report_status(const Service& service, std::optional<std::uint32_t> to, SubscriberEffects& out) const;
   void update_readiness(Time now, SubscriberEffects& out);
@@ -250,17 +250,17 @@
   std::vector<std::uint32_t> ranking_;
   std::vector<Source> sources_;
   std::vector<Service> services_;
-  std::map<std::string, std::size_t, std::less<>> places_;  // of services
+  std::map<std::string, std::size_t, std::less<>> service_index_;  // by name, into services_
   std::mt19937_64 random_;
   std::optional<std::uint32_t> primary_;
-  std::optional<Time> gathering_since_;  // since when documents that have come wait for others
-  std::vector<std::size_t> applying_;    // services whose newer documents are in the Apply that is out
-  std::vector<ServiceConfig> configs_applying_;  // these documents, in the same order
+  std::optional<Time> gathering_since_;          // begin of the current kApplyBatchDelay
+  std::vector<std::size_t> applying_;            // services whose candidates are in the pending ApplyConfigs
+  std::vector<ServiceConfig> configs_applying_;  // these candidates, in the same order
   bool is_applying_ = false;
-  bool base_changed_ = false;                // while an Apply was out
-  std::vector<std::size_t> to_apply_alone_;  // to be tried one by one, the last one first
-  std::vector<std::size_t> rejected_alone_;  // in this round of them
-  bool activated_alone_ = false;             // one of this round came into force
+  bool base_changed_ = false;                // while an ApplyConfigs was pending
+  std::vector<std::size_t> to_apply_alone_;  // services to try one by one, the last one first
+  std::vector<std::size_t> rejected_alone_;  // in this round of single attempts
+  bool activated_alone_ = false;             // one of this round became active
   Time started_at_{};
   Time last_tick_at_{};
   bool ready_ = false;
