--- a/src/distribution/distributor.h
+++ b/src/distribution/distributor.h
@@ -71,7 +71,7 @@
 
 // Whether this distributor's answers count in a majority.
 enum class VoterState : std::uint8_t {
-  uninitialized,  // started without files, and has heard of no distributor with any
+  uninitialized,  // started without files; no distributor with files is known yet
   recovering,     // started without files among distributors that have some
   voting,
 };
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,5 +1,5 @@
-// Configuration that is distributed, at a gatekeeper: what it waits for, takes, refuses and tells, beside
-// SIGHUP, upgrades and open calls; and what lays documents over a file.
+// Distributed configuration at a gatekeeper: the startup wait, applying, rejecting and reporting, together
+// with SIGHUP, upgrades and open calls; and the overlay of service configurations on the settings file.
 #include "config/overlay.h"
 #include "control/config_lines.h"
 #include "control/subscription.h"
@@ -15,15 +15,15 @@
 namespace {
 
 constexpr ConnId kCaller{Concern::platform, 1};
-constexpr ConnId kDesk{Concern::control, 1};
+constexpr ConnId kOperator{Concern::control, 1};
 
-Key key_for_tests() {
+Key test_key() {
   Key key{};
   key.fill(7);
   return key;
 }
 
-DeployConfig distributed(Duration wait = 2s) {
+DeployConfig deploy_config_with_distributors(Duration wait = 2s) {
   DeployConfig d;
   d.control.emplace();
   d.control->listen = "127.0.0.1:7400";
@@ -31,23 +31,23 @@
   s.name = "t0";
   s.distributors = {"127.0.0.1:7501", "127.0.0.1:7502", "127.0.0.1:7503"};
   s.services = {"calls", "limits"};
-  s.key = key_for_tests();
+  s.key = test_key();
   s.wait = wait;
   s.seed = 3;
   d.configuration = std::move(s);
   return d;
 }
 
-ServiceConfig document(const std::string& service, Version version, const json& patch) {
+ServiceConfig make_config(const std::string& service, Version version, const json& patch) {
   ServiceConfig d{service, {version, {}}, patch.dump()};
-  d.id.digest = digest_of(key_for_tests(), service, version, d.content);
+  d.id.digest = digest_of(test_key(), service, version, d.content);
   return d;
 }
 
-json journal_at(int port) { return {{"journal", "127.0.0.1:" + std::to_string(port)}}; }
+json journal_patch(int port) { return {{"journal", "127.0.0.1:" + std::to_string(port)}}; }
 
-// The classes of the start configuration and those named, each like the first.
-json classes_with(const std::vector<std::string>& more) {
+// A patch with the classes of the start configuration and the named ones, each a copy of the first.
+json patch_with_classes(const std::vector<std::string>& more) {
   json s = settings();
   json classes = s["classes"];
   json holds = s["familyInfo"]["classHoldNs"];
@@ -62,23 +62,24 @@
            {{"classes", classes}, {"familyInfo", {{"classHoldNs", holds}, {"poolsByClass", pools}}}}}};
 }
 
-PlatformConfig inherited(PlatformConfig config) {
+PlatformConfig with_inherited_descriptor(PlatformConfig config) {
   config.inherited = 7;
   return config;
 }
 
-// A gatekeeper, and what its distributors are made to say. They all hold the same.
-struct Fleet : Lab {
-  explicit Fleet(const DeployConfig& deploy = distributed(),
-                 const PlatformConfig& config = read_platform_config(file_with_two_servers().dump()))
+// A gatekeeper with simulated distributors, which all have the same configurations.
+struct GatekeeperFixture : Lab {
+  explicit GatekeeperFixture(
+      const DeployConfig& deploy = deploy_config_with_distributors(),
+      const PlatformConfig& config = read_platform_config(file_with_two_servers().dump()))
       : Lab(config, deploy) {}
 
-  // All connections that were asked for come up.
-  void reach() {
+  // Completes all pending connects: successfully, except those to distributors while they are unreachable.
+  void open_pending_connections() {
     for (const net::Connect& c : std::exchange(connects, {})) {
-      asked.push_back(c.address);
+      connect_addresses.push_back(c.address);
       if (c.conn.concern == Concern::configuration) {
-        if (cut) {
+        if (unreachable) {
           tell(net::ConnectFailed{c.conn, false});
           continue;
         }
@@ -88,64 +89,64 @@
     }
   }
   bool is_open(ConnId conn) const { return std::find(closed.begin(), closed.end(), conn) == closed.end(); }
-  void say(ConnId conn, const json& line) {
+  void send_line(ConnId conn, const json& line) {
     if (is_open(conn)) receive(conn, line_of(line));
   }
-  json notice(const std::vector<VersionsNotified::Entry>& held) const {
+  json notification_for(const std::vector<VersionsNotified::Entry>& held) const {
     json entries = json::array();
     for (const VersionsNotified::Entry& have : held) {
-      const auto it = documents.find(have.service);
-      if (it == documents.end() || it->second.id == have.id) continue;
+      const auto it = configs.find(have.service);
+      if (it == configs.end() || it->second.id == have.id) continue;
       entries.push_back({{"service", have.service},
                          {"version", it->second.id.version},
                          {"digest", to_hex(it->second.id.digest)}});
     }
     return {{"event", "notices"}, {"entries", entries}, {"complete", true}, {"standing", "voting"}};
   }
-  // Answers what the gatekeeper says, until it says nothing more.
-  void serve() {
+  // Answers the gatekeeper's lines until it sends no more.
+  void answer_lines() {
     for (bool any = true; std::exchange(any, false);) {
       for (const ConnId conn : std::vector<ConnId>(sources)) {
         std::istringstream text(take(conn));
         for (std::string line; std::getline(text, line);) {
           any = true;
-          hear(conn, json::parse(line));
+          handle_line(conn, json::parse(line));
         }
       }
     }
   }
-  void hear(ConnId conn, const json& line) {
-    said.push_back(line);
-    if (line["op"] == "heard") ++heard[conn];
+  void handle_line(ConnId conn, const json& line) {
+    gatekeeper_lines.push_back(line);
+    if (line["op"] == "heard") ++acknowledgements[conn];
     const auto event = parse_client_line(1, line);
-    if (!event || mute) return;
+    if (!event || silent) return;
     if (const auto* s = std::get_if<SubscriptionReceived>(&*event)) {
       subscribed[conn] = s->held;
-      say(conn, notice(s->held));
+      send_line(conn, notification_for(s->held));
     } else if (const auto* f = std::get_if<FetchRequested>(&*event)) {
-      const auto it = documents.find(f->service);
-      if (it == documents.end() || it->second.id.version != f->version)
-        return say(conn, missing_line(f->service));
-      say(conn, config_line(it->second));
+      const auto it = configs.find(f->service);
+      if (it == configs.end() || it->second.id.version != f->version)
+        return send_line(conn, missing_line(f->service));
+      send_line(conn, config_line(it->second));
     } else if (const auto* r = std::get_if<StatusReported>(&*event)) {
       reports.push_back(*r);
     }
   }
   void run(Duration span) {
     for (Duration done{}; done < span; done += 50ms) {
-      reach();
-      serve();
+      open_pending_connections();
+      answer_lines();
       pass(50ms);
     }
-    reach();
-    serve();
+    open_pending_connections();
+    answer_lines();
   }
-  // A new document, of which all distributors tell.
+  // Sets a new configuration and lets all distributors notify it.
   void publish(const ServiceConfig& d) {
-    documents[d.service] = d;
-    for (const ConnId conn : sources) say(conn, notice({{d.service, {}}}));
+    configs[d.service] = d;
+    for (const ConnId conn : sources) send_line(conn, notification_for({{d.service, {}}}));
   }
-  void published(const ServiceConfig& d) {
+  void publish_and_run(const ServiceConfig& d) {
     publish(d);
     run(500ms);
   }
@@ -158,66 +159,69 @@
     const std::string text = figure(name);
     return text.substr(0, text.find('|'));
   }
-  Version in_force(const std::string& service) { return std::stoull(value("config_version." + service)); }
-  json held() {
-    receive(kDesk, R"({"op":"configuration","what":"held"})"
-                   "\n");
-    return json::parse(take(kDesk));
+  Version active_version(const std::string& service) {
+    return std::stoull(value("config_version." + service));
   }
-  void load(const json& f) {
+  json held_report() {
+    receive(kOperator, R"({"op":"configuration","what":"held"})"
+                       "\n");
+    return json::parse(take(kOperator));
+  }
+  void reload(const json& f) {
     tell(net::ReloadRequested{});
     tell(net::FileRead{"", f.dump()});
   }
-  // What a set-up of the class is answered with at once; empty: it was sent on.
-  std::vector<jsonl::Message> call(const std::string& id, const std::string& call_class) {
+  // Sends a setup and returns what it is answered with at once; empty if it was forwarded.
+  std::vector<jsonl::Message> send_setup(const std::string& id, const std::string& call_class) {
     receive(kCaller, set_up_line(id, call_class));
     return lines(kCaller);
   }
-  // Whether the settings in force name the class: a call of it is refused for its class, or not.
-  bool takes(const std::string& call_class) {
+  // Whether the active settings have the class: a setup of an unknown class is rejected for that reason.
+  bool accepts_class(const std::string& call_class) {
     static int calls = 0;
     std::string id = std::to_string(++calls);
-    for (const jsonl::Message& m : call(std::string(16 - id.size(), '0') + id, call_class)) {
+    for (const jsonl::Message& m : send_setup(std::string(16 - id.size(), '0') + id, call_class)) {
       if (m.field("reason") == "the class is not one of the settings") return false;
     }
     return true;
   }
-  bool has_asked(int port) {
-    return std::count(asked.begin(), asked.end(), "127.0.0.1:" + std::to_string(port)) > 0;
+  bool has_connected_to(int port) {
+    return std::count(connect_addresses.begin(), connect_addresses.end(),
+                      "127.0.0.1:" + std::to_string(port)) > 0;
   }
-  // Its last report of a service's version.
-  const StatusReported* reported(const std::string& service, Version version) const {
+  // The gatekeeper's last report of a service's version, or null.
+  const StatusReported* last_report(const std::string& service, Version version) const {
     for (auto it = reports.rbegin(); it != reports.rend(); ++it) {
       if (it->service == service && it->id.version == version) return &*it;
     }
     return nullptr;
   }
 
-  std::map<std::string, ServiceConfig> documents;  // what all distributors hold
-  bool cut = false;                                // no distributor can be reached
-  bool mute = false;                               // they hear, and answer nothing
-  std::vector<ConnId> sources;                     // connections that came up, those that are over too
-  std::vector<std::string> asked;                  // addresses that a connection was asked to
-  std::vector<json> said;                          // by the gatekeeper
-  std::map<ConnId, int> heard;
+  std::map<std::string, ServiceConfig> configs;  // of all distributors
+  bool unreachable = false;                      // no distributor can be reached
+  bool silent = false;                           // distributors read, and answer nothing
+  std::vector<ConnId> sources;                   // established connections, including closed ones
+  std::vector<std::string> connect_addresses;    // addresses that the gatekeeper connected to
+  std::vector<json> gatekeeper_lines;            // sent by the gatekeeper to distributors
+  std::map<ConnId, int> acknowledgements;
   std::map<ConnId, std::vector<VersionsNotified::Entry>> subscribed;
   std::vector<StatusReported> reports;
 };
 
-// One that is up and has what was published before.
-struct Served : Fleet {
-  explicit Served(const std::map<std::string, ServiceConfig>& all = {}) {
-    documents = all;
+// A ready gatekeeper that has applied `all`, with a caller's and an operator's connection.
+struct ReadyGatekeeper : GatekeeperFixture {
+  explicit ReadyGatekeeper(const std::map<std::string, ServiceConfig>& all = {}) {
+    configs = all;
     run(500ms);
     CHECK_EQ(readyz(), "OK ready\n");
     tell(net::Accepted{kCaller});
-    tell(net::Accepted{kDesk});
+    tell(net::Accepted{kOperator});
   }
 };
 
-// ---- off
+// ---- without distribution
 
-void without_the_key_nothing_is_done() {
+void without_the_settings_key_nothing_is_opened() {
   Gatekeeper off(read_platform_config(file_with_two_servers().dump()), {}, {});
   net::Effects effects;
   Time now{1'000'000s};
@@ -246,57 +250,58 @@
   lab.bring_up();
   CHECK_EQ(lab.figure("config_sources_up"), "none");
   CHECK_EQ(lab.figure("config_distribution_connects"), "none");
-  lab.tell(net::Accepted{kDesk});
-  lab.receive(kDesk, R"({"op":"configuration","what":"held"})"
-                     "\n");
-  CHECK_EQ(json::parse(lab.take(kDesk))["ok"], false);
+  lab.tell(net::Accepted{kOperator});
+  lab.receive(kOperator, R"({"op":"configuration","what":"held"})"
+                         "\n");
+  CHECK_EQ(json::parse(lab.take(kOperator))["ok"], false);
 }
 
-// ---- the start
+// ---- startup
 
-void it_is_ready_when_it_has_what_is_in_force() {
-  Fleet lab(distributed(), inherited(read_platform_config(file_with_two_servers().dump())));
-  lab.documents["calls"] = document("calls", 41, journal_at(8600));
+void ready_when_committed_configs_are_active() {
+  GatekeeperFixture lab(deploy_config_with_distributors(),
+                        with_inherited_descriptor(read_platform_config(file_with_two_servers().dump())));
+  lab.configs["calls"] = make_config("calls", 41, journal_patch(8600));
   const auto listens = [&lab] {
     return std::any_of(lab.listens.begin(), lab.listens.end(),
                        [](const net::Listen& l) { return l.concern == Concern::platform; });
   };
-  lab.reach();
+  lab.open_pending_connections();
   CHECK_EQ(lab.readyz(), "ERR the configuration in force is not told yet\n");
   CHECK(!listens());
   lab.run(500ms);
   CHECK_EQ(lab.readyz(), "OK ready\n");
   CHECK(listens());
-  CHECK(lab.has_asked(8600));
-  CHECK_EQ(lab.in_force("calls"), 41U);
-  CHECK_EQ(lab.in_force("limits"), 0U);
+  CHECK(lab.has_connected_to(8600));
+  CHECK_EQ(lab.active_version("calls"), 41U);
+  CHECK_EQ(lab.active_version("limits"), 0U);
   CHECK_EQ(lab.value("config_sources_up"), "2");
   CHECK(lab.log.find("calls, version 41, is in force") != std::string::npos);
   CHECK(lab.log.find("no distributor has told") == std::string::npos);
-  // Each of its two connections subscribed with what it had, and answered each notice.
+  // Each of the two connections subscribed with both services and acknowledged its one notification.
   CHECK_EQ(lab.subscribed.size(), 2U);
   for (const auto& [conn, held] : lab.subscribed) {
     CHECK_EQ(held.size(), 2U);
     CHECK(held[0].service == "calls" && held[1].service == "limits");
-    CHECK_EQ(lab.heard[conn], 1);
+    CHECK_EQ(lab.acknowledgements[conn], 1);
   }
-  CHECK_EQ(
-      std::count_if(lab.said.begin(), lab.said.end(), [](const json& line) { return line["op"] == "fetch"; }),
-      1);
+  CHECK_EQ(std::count_if(lab.gatekeeper_lines.begin(), lab.gatekeeper_lines.end(),
+                         [](const json& line) { return line["op"] == "fetch"; }),
+           1);
 }
 
-void what_is_refused_at_the_start_does_not_hold_it_up() {
-  Fleet lab;
-  lab.documents["calls"] = document("calls", 41, {{"settings", {{"classes", "none"}}}});
+void config_rejected_at_startup_does_not_delay_readiness() {
+  GatekeeperFixture lab;
+  lab.configs["calls"] = make_config("calls", 41, {{"settings", {{"classes", "none"}}}});
   lab.run(500ms);
   CHECK_EQ(lab.readyz(), "OK ready\n");
-  CHECK_EQ(lab.in_force("calls"), 0U);
+  CHECK_EQ(lab.active_version("calls"), 0U);
   CHECK_EQ(lab.value("config_refused"), "1");
 }
 
-void it_waits_only_so_long() {
-  Fleet lab;
-  lab.cut = true;
+void startup_wait_is_bounded() {
+  GatekeeperFixture lab;
+  lab.unreachable = true;
   lab.run(1900ms);
   CHECK_EQ(lab.readyz(), "ERR the configuration in force is not told yet\n");
   lab.run(200ms);
@@ -304,87 +309,87 @@
   CHECK(lab.log.find("no distributor has told all that is in force within 2000 ms: it serves on its start "
                      "configuration") != std::string::npos);
   CHECK_EQ(lab.value("config_distribution_waited_out"), "1");
-  // What is told later is taken all the same.
-  lab.cut = false;
-  lab.documents["calls"] = document("calls", 41, journal_at(8600));
+  // A configuration that is notified later is applied.
+  lab.unreachable = false;
+  lab.configs["calls"] = make_config("calls", 41, journal_patch(8600));
   lab.run(6s);
-  CHECK_EQ(lab.in_force("calls"), 41U);
-  CHECK(lab.has_asked(8600));
+  CHECK_EQ(lab.active_version("calls"), 41U);
+  CHECK(lab.has_connected_to(8600));
 
-  Fleet none(distributed(0ms));
-  none.cut = true;
+  GatekeeperFixture none(deploy_config_with_distributors(0ms));
+  none.unreachable = true;
   none.run(100ms);
   CHECK_EQ(none.readyz(), "OK ready\n");
 }
 
 // ---- changes
 
-void a_change_is_taken_and_told() {
-  Served lab;
-  CHECK(!lab.takes("extra"));
-  lab.published(document("calls", 7, classes_with({"extra"})));
-  CHECK(lab.takes("extra"));
-  const StatusReported* told = lab.reported("calls", 7);
-  CHECK(told != nullptr && told->active && told->reason.empty());
+void change_is_applied_and_reported() {
+  ReadyGatekeeper lab;
+  CHECK(!lab.accepts_class("extra"));
+  lab.publish_and_run(make_config("calls", 7, patch_with_classes({"extra"})));
+  CHECK(lab.accepts_class("extra"));
+  const StatusReported* report = lab.last_report("calls", 7);
+  CHECK(report != nullptr && report->active && report->reason.empty());
   CHECK_EQ(std::count_if(lab.reports.begin(), lab.reports.end(),
                          [](const StatusReported& r) { return r.service == "calls" && r.active; }),
-           2);  // both sources hear of it
-  lab.published(document("limits", 3, {{"journal", "127.0.0.1:8600"}}));
-  CHECK(lab.has_asked(8600));
-  CHECK(lab.takes("extra"));  // the other service's stays
-  lab.published(document("calls", 8, classes_with({"other"})));
-  CHECK(lab.takes("other"));
-  CHECK(!lab.takes("extra"));
-
-  const json held = lab.held();
+           2);  // both sources get the report
+  lab.publish_and_run(make_config("limits", 3, {{"journal", "127.0.0.1:8600"}}));
+  CHECK(lab.has_connected_to(8600));
+  CHECK(lab.accepts_class("extra"));  // the configuration of the other service stays active
+  lab.publish_and_run(make_config("calls", 8, patch_with_classes({"other"})));
+  CHECK(lab.accepts_class("other"));
+  CHECK(!lab.accepts_class("extra"));
+
+  const json held = lab.held_report();
   CHECK_EQ(held["ok"], true);
   CHECK_EQ(held["current"], true);
   CHECK_EQ(held["services"].size(), 2U);
   CHECK_EQ(held["services"][0]["version"], 8);
-  CHECK_EQ(held["services"][0]["digest"], to_hex(lab.documents["calls"].id.digest));
+  CHECK_EQ(held["services"][0]["digest"], to_hex(lab.configs["calls"].id.digest));
   CHECK_EQ(held["services"][1]["service"], "limits");
   CHECK_EQ(held["services"][1]["version"], 3);
-  // Files are counted apart.
+  // Settings files have counters of their own.
   CHECK_EQ(lab.value("config_applied"), "0");
   CHECK_EQ(lab.value("config_rejected"), "0");
   CHECK_EQ(lab.value("config_distribution_in_force"), "3");
-  // An older one is none.
-  lab.published(document("calls", 6, classes_with({"extra"})));
-  CHECK(lab.takes("other"));
-  CHECK_EQ(lab.in_force("calls"), 8U);
+  // An older version is ignored.
+  lab.publish_and_run(make_config("calls", 6, patch_with_classes({"extra"})));
+  CHECK(lab.accepts_class("other"));
+  CHECK_EQ(lab.active_version("calls"), 8U);
 }
 
-void a_refused_change_keeps_the_last_good() {
-  Served lab;
-  lab.published(document("calls", 7, classes_with({"extra"})));
-  json bad = classes_with({"other"});
+void rejected_change_keeps_the_active_config() {
+  ReadyGatekeeper lab;
+  lab.publish_and_run(make_config("calls", 7, patch_with_classes({"extra"})));
+  json bad = patch_with_classes({"other"});
   bad["settings"]["classes"][0]["hardLimitNs"] = 0;
-  lab.publish(document("calls", 8, bad));
-  lab.published(document("limits", 1, journal_at(8600)));  // that one is not held up by it
-  CHECK(lab.takes("extra"));
-  CHECK(!lab.takes("other"));
-  CHECK(lab.has_asked(8600));
-  const StatusReported* told = lab.reported("calls", 8);
-  CHECK(told != nullptr && !told->active);
-  CHECK(told->reason.find("hardLimitNs' is 0, not a number above 0") != std::string::npos);
+  lab.publish(make_config("calls", 8, bad));
+  lab.publish_and_run(make_config("limits", 1, journal_patch(8600)));  // not delayed by the rejection
+  CHECK(lab.accepts_class("extra"));
+  CHECK(!lab.accepts_class("other"));
+  CHECK(lab.has_connected_to(8600));
+  const StatusReported* report = lab.last_report("calls", 8);
+  CHECK(report != nullptr && !report->active);
+  CHECK(report->reason.find("hardLimitNs' is 0, not a number above 0") != std::string::npos);
   CHECK(lab.log.find("calls, version 8, is refused, and what was in force stays: ") != std::string::npos);
-  CHECK_EQ(lab.in_force("calls"), 7U);
-  CHECK_EQ(lab.in_force("limits"), 1U);
+  CHECK_EQ(lab.active_version("calls"), 7U);
+  CHECK_EQ(lab.active_version("limits"), 1U);
   CHECK_EQ(lab.value("config_refused"), "1");
-  CHECK_EQ(lab.value("config_rejected"), "0");  // files only
-  const json held = lab.held()["services"][0];
+  CHECK_EQ(lab.value("config_rejected"), "0");  // counts files only
+  const json held = lab.held_report()["services"][0];
   CHECK_EQ(held["version"], 7);
   CHECK_EQ(held["refused"]["version"], 8);
-  CHECK_EQ(held["refused"]["reason"], told->reason);
-  // The mend has a number above it.
-  lab.published(document("calls", 9, classes_with({"other"})));
-  CHECK(lab.takes("other"));
+  CHECK_EQ(held["refused"]["reason"], report->reason);
+  // A newer version corrects it.
+  lab.publish_and_run(make_config("calls", 9, patch_with_classes({"other"})));
+  CHECK(lab.accepts_class("other"));
   CHECK_EQ(lab.value("config_refused"), "0");
 }
 
-// A document may not do what a file may not: drop what is set, or set what is not its own.
-void what_no_document_may_do() {
-  Served lab;
+// A configuration must not remove required settings, and may set only 'settings' and 'journal'.
+void config_outside_its_limits_is_rejected() {
+  ReadyGatekeeper lab;
   Version version = 0;
   const std::vector<json> broken = {{{"settings", {{"limits", nullptr}}}},
                                     {{"journal", nullptr}},
@@ -396,179 +401,181 @@
                                     {{"journal", "nowhere"}},
                                     json::array({1})};
   for (const json& patch : broken) {
-    lab.published(document("calls", ++version, patch));
-    CHECK_EQ(lab.in_force("calls"), 0U);
-    const StatusReported* told = lab.reported("calls", version);
-    CHECK(told != nullptr && !told->active && !told->reason.empty());
-  }
-  // What a document has added goes with it.
-  lab.published(document("calls", ++version, {{"settings", {{"more", {{"still", 1}}}}}}));
-  CHECK_EQ(lab.in_force("calls"), version);
-  lab.published(document("calls", ++version, journal_at(8600)));
-  CHECK_EQ(lab.in_force("calls"), version);
-  // A content that is not its digest's is passed over.
-  ServiceConfig forged = document("calls", ++version, journal_at(8700));
-  forged.content = journal_at(8701).dump();
-  lab.published(forged);
-  CHECK_EQ(lab.in_force("calls"), version - 1);
+    lab.publish_and_run(make_config("calls", ++version, patch));
+    CHECK_EQ(lab.active_version("calls"), 0U);
+    const StatusReported* report = lab.last_report("calls", version);
+    CHECK(report != nullptr && !report->active && !report->reason.empty());
+  }
+  // Keys that a configuration has added are removed with it.
+  lab.publish_and_run(make_config("calls", ++version, {{"settings", {{"more", {{"still", 1}}}}}}));
+  CHECK_EQ(lab.active_version("calls"), version);
+  lab.publish_and_run(make_config("calls", ++version, journal_patch(8600)));
+  CHECK_EQ(lab.active_version("calls"), version);
+  // Content that does not match its digest is ignored.
+  ServiceConfig forged = make_config("calls", ++version, journal_patch(8700));
+  forged.content = journal_patch(8701).dump();
+  lab.publish_and_run(forged);
+  CHECK_EQ(lab.active_version("calls"), version - 1);
   CHECK(lab.value("config_distribution_unsound") != "0" &&
         lab.value("config_distribution_unsound") != "none");
-  CHECK(!lab.has_asked(8700) && !lab.has_asked(8701));
+  CHECK(!lab.has_connected_to(8700) && !lab.has_connected_to(8701));
 }
 
-// ---- beside SIGHUP
+// ---- together with SIGHUP
 
-void a_file_and_a_document_hold_together() {
-  Served lab;
-  lab.published(document("calls", 1, classes_with({"extra"})));
+void reloaded_file_and_config_are_merged() {
+  ReadyGatekeeper lab;
+  lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
   json other = file_with_two_servers();
   other["journal"] = "127.0.0.1:8700";
-  lab.load(other);
+  lab.reload(other);
   lab.run(200ms);
   CHECK_EQ(lab.value("config_applied"), "1");
-  CHECK(lab.has_asked(8700));
-  CHECK(lab.takes("extra"));  // the document lies over the new file
-  // The document goes: what the file says holds again, and that is the new file.
-  lab.published(document("calls", 2, json::object()));
-  CHECK(!lab.takes("extra"));
-  CHECK_EQ(lab.in_force("calls"), 2U);
-  // A document over what the file says, and the file changed under it.
-  lab.published(document("limits", 1, journal_at(8600)));
-  CHECK(lab.has_asked(8600));
+  CHECK(lab.has_connected_to(8700));
+  CHECK(lab.accepts_class("extra"));  // the configuration overlays the new file
+  // With an empty configuration the file's values are active again, those of the new file.
+  lab.publish_and_run(make_config("calls", 2, json::object()));
+  CHECK(!lab.accepts_class("extra"));
+  CHECK_EQ(lab.active_version("calls"), 2U);
+  // A configuration overrides a value of the file, and the file changes that value.
+  lab.publish_and_run(make_config("limits", 1, journal_patch(8600)));
+  CHECK(lab.has_connected_to(8600));
   other["journal"] = "127.0.0.1:8800";
-  lab.load(other);
+  lab.reload(other);
   lab.run(200ms);
-  CHECK(!lab.has_asked(8800));
-  lab.published(document("limits", 2, json::object()));
-  CHECK(lab.has_asked(8800));
+  CHECK(!lab.has_connected_to(8800));
+  lab.publish_and_run(make_config("limits", 2, json::object()));
+  CHECK(lab.has_connected_to(8800));
   CHECK_EQ(lab.value("config_applied"), "2");
 }
 
-// The file was asked for before the document came, and is read after it.
-void a_change_crosses_a_reload_on_its_way() {
-  Served lab;
+// The reload begins before the configuration arrives, and the file is read after it.
+void change_racing_a_reload_is_applied_with_it() {
+  ReadyGatekeeper lab;
   json other = file_with_two_servers();
   other["journal"] = "127.0.0.1:8700";
   lab.tell(net::ReloadRequested{});
-  lab.published(document("calls", 1, classes_with({"extra"})));
-  CHECK(lab.takes("extra"));
+  lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
+  CHECK(lab.accepts_class("extra"));
   lab.tell(net::FileRead{"", other.dump()});
   lab.run(100ms);
-  CHECK(lab.has_asked(8700));
-  CHECK(lab.takes("extra"));
-  // A notice is told, the file is taken, then the document comes.
-  lab.mute = true;
-  lab.publish(document("calls", 2, classes_with({"other"})));
-  lab.serve();
+  CHECK(lab.has_connected_to(8700));
+  CHECK(lab.accepts_class("extra"));
+  // The notification arrives, the file is applied, then the configuration is delivered.
+  lab.silent = true;
+  lab.publish(make_config("calls", 2, patch_with_classes({"other"})));
+  lab.answer_lines();
   other["journal"] = "127.0.0.1:8800";
-  lab.load(other);
-  lab.mute = false;
+  lab.reload(other);
+  lab.silent = false;
   lab.run(3s);
-  CHECK(lab.has_asked(8800));
-  CHECK(lab.takes("other"));
-  CHECK_EQ(lab.in_force("calls"), 2U);
+  CHECK(lab.has_connected_to(8800));
+  CHECK(lab.accepts_class("other"));
+  CHECK_EQ(lab.active_version("calls"), 2U);
 }
 
-void what_was_refused_is_tried_on_the_next_file() {
-  Served lab;
-  // Without its pools the third class is none; the file that comes has them.
-  json patch = classes_with({"extra"});
+void rejected_config_is_retried_on_the_next_file() {
+  ReadyGatekeeper lab;
+  // The third class has no pools, so the patch is rejected; the next file has them.
+  json patch = patch_with_classes({"extra"});
   patch["settings"]["familyInfo"].erase("poolsByClass");
-  lab.published(document("calls", 1, patch));
-  CHECK_EQ(lab.in_force("calls"), 0U);
-  CHECK(!lab.reported("calls", 1)->active);
+  lab.publish_and_run(make_config("calls", 1, patch));
+  CHECK_EQ(lab.active_version("calls"), 0U);
+  CHECK(!lab.last_report("calls", 1)->active);
   json other = file_with_two_servers();
-  other["settings"].merge_patch(classes_with({"third"})["settings"]);
-  lab.load(other);
+  other["settings"].merge_patch(patch_with_classes({"third"})["settings"]);
+  lab.reload(other);
   lab.run(300ms);
   CHECK_EQ(lab.value("config_applied"), "1");
-  CHECK_EQ(lab.in_force("calls"), 1U);
-  CHECK(lab.reported("calls", 1)->active);
-  CHECK(lab.takes("extra"));
-  CHECK(!lab.takes("third"));
+  CHECK_EQ(lab.active_version("calls"), 1U);
+  CHECK(lab.last_report("calls", 1)->active);
+  CHECK(lab.accepts_class("extra"));
+  CHECK(!lab.accepts_class("third"));
   CHECK_EQ(lab.value("config_refused"), "0");
 }
 
-void a_file_that_fails_over_the_documents_changes_nothing() {
-  Served lab;
-  lab.published(document("calls", 1, classes_with({"extra"})));
-  // Good by itself: with classes of its own, whose keys the document's classes lack.
+void file_that_fails_under_the_active_configs_changes_nothing() {
+  ReadyGatekeeper lab;
+  lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
+  // The file is valid by itself: its classes have a key that the classes of the configuration lack.
   json other = file_with_two_servers();
   other["journal"] = "127.0.0.1:8700";
   for (json& one : other["settings"]["classes"]) one["colour"] = "red";
-  lab.load(other);
+  lab.reload(other);
   lab.run(200ms);
   CHECK_EQ(lab.value("config_applied"), "0");
   CHECK_EQ(lab.value("config_rejected"), "1");
   CHECK(lab.log.find("the old configuration is kept: with the documents in force over it: ") !=
         std::string::npos);
-  CHECK(!lab.has_asked(8700));
-  CHECK(lab.takes("extra"));
-  CHECK_EQ(lab.in_force("calls"), 1U);
-  // One that would do over the documents, and not by itself: the next start would have it alone.
+  CHECK(!lab.has_connected_to(8700));
+  CHECK(lab.accepts_class("extra"));
+  CHECK_EQ(lab.active_version("calls"), 1U);
+  // A file that is valid under the configurations but not by itself is rejected: the next start may have it
+  // alone.
   json half = file_with_two_servers();
   half["journal"] = "127.0.0.1:8701";
   half["settings"]["classes"] = json::array();
-  lab.load(half);
+  lab.reload(half);
   lab.run(200ms);
   CHECK_EQ(lab.value("config_rejected"), "2");
-  CHECK(!lab.has_asked(8701));
-  // The old file is still what documents are laid over.
-  lab.published(document("calls", 2, json::object()));
-  CHECK(!lab.takes("extra"));
-  CHECK(lab.takes("voice"));
-  lab.load(other);  // and now it goes
+  CHECK(!lab.has_connected_to(8701));
+  // The old file is still the base of the overlay.
+  lab.publish_and_run(make_config("calls", 2, json::object()));
+  CHECK(!lab.accepts_class("extra"));
+  CHECK(lab.accepts_class("voice"));
+  lab.reload(other);  // valid, now that the overlay is empty
   lab.run(200ms);
   CHECK_EQ(lab.value("config_applied"), "1");
-  CHECK(lab.has_asked(8700));
+  CHECK(lab.has_connected_to(8700));
 }
 
 // ---- upgrades
 
-void a_change_during_an_upgrade_comes_to_both() {
-  const PlatformConfig config = inherited(read_platform_config(file_with_two_servers().dump()));
-  Fleet old(distributed(), config);
-  old.documents["calls"] = document("calls", 1, classes_with({"extra"}));
+void change_during_an_upgrade_reaches_both_processes() {
+  const PlatformConfig config =
+      with_inherited_descriptor(read_platform_config(file_with_two_servers().dump()));
+  GatekeeperFixture old(deploy_config_with_distributors(), config);
+  old.configs["calls"] = make_config("calls", 1, patch_with_classes({"extra"}));
   old.run(500ms);
   old.tell(net::Accepted{kCaller});
-  CHECK(old.call("00000000000000aa", "extra").empty());
-  Fleet fresh(distributed(), config);
-  fresh.documents = old.documents;
+  CHECK(old.send_setup("00000000000000aa", "extra").empty());
+  GatekeeperFixture fresh(deploy_config_with_distributors(), config);
+  fresh.configs = old.configs;
   fresh.run(500ms);
   CHECK_EQ(fresh.readyz(), "OK ready\n");
   old.tell(net::StopRequested{});
-  const ServiceConfig change = document("calls", 2, classes_with({"other"}));
-  old.published(change);
-  fresh.published(change);
-  CHECK_EQ(old.in_force("calls"), 2U);
-  CHECK_EQ(fresh.in_force("calls"), 2U);
-  CHECK(old.reported("calls", 2)->active && fresh.reported("calls", 2)->active);
-  CHECK(!old.exit_status);  // its call stands: of a class that is gone
+  const ServiceConfig change = make_config("calls", 2, patch_with_classes({"other"}));
+  old.publish_and_run(change);
+  fresh.publish_and_run(change);
+  CHECK_EQ(old.active_version("calls"), 2U);
+  CHECK_EQ(fresh.active_version("calls"), 2U);
+  CHECK(old.last_report("calls", 2)->active && fresh.last_report("calls", 2)->active);
+  CHECK(!old.exit_status);  // its call of a removed class is still open
   fresh.tell(net::Accepted{kCaller});
-  CHECK(fresh.takes("other"));
-  CHECK(!fresh.takes("extra"));
+  CHECK(fresh.accepts_class("other"));
+  CHECK(!fresh.accepts_class("extra"));
 }
 
-// A new process has the file alone, whatever the old one had, if no distributor can be reached.
-void a_change_lasts_no_longer_than_its_process_but_by_distributors() {
-  Served first;
-  first.published(document("calls", 1, classes_with({"extra"})));
-  CHECK(first.takes("extra"));
-  Fleet second;
-  second.cut = true;
+// Applied configurations are not stored locally: a new process that reaches no distributor has only its file.
+void new_process_without_distributors_starts_from_its_file() {
+  ReadyGatekeeper first;
+  first.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
+  CHECK(first.accepts_class("extra"));
+  GatekeeperFixture second;
+  second.unreachable = true;
   second.run(3s);
   second.tell(net::Accepted{kCaller});
   CHECK_EQ(second.readyz(), "OK ready\n");
-  CHECK(!second.takes("extra"));
+  CHECK(!second.accepts_class("extra"));
 }
 
 // ---- open calls
 
 void open_calls_keep_their_class() {
-  Served lab;
-  CHECK(lab.call("00000000000000aa", "voice").empty());
+  ReadyGatekeeper lab;
+  CHECK(lab.send_setup("00000000000000aa", "voice").empty());
   ConnId server{};
-  const auto sent_on = [&lab, &server] {
+  const auto find_invite = [&lab, &server] {
     std::optional<sip::Message> found;
     for (std::uint32_t n = 1; n <= 2; ++n) {
       for (const sip::Message& m : lab.messages({Concern::server, n})) {
@@ -580,8 +587,9 @@
     CHECK(found.has_value());
     return *found;
   };
-  const sip::Message invite = sent_on();
-  // 'voice' goes, 'safety' is the first with other terms, and a call may be tried once only.
+  const sip::Message invite = find_invite();
+  // The patch removes 'voice', changes 'safety', which becomes the first class, and allows one attempt per
+  // call.
   json s = settings();
   s["classes"].erase(0);
   s["classes"][0]["promiseNs"] = 700000000;
@@ -589,33 +597,33 @@
                        {{"classes", s["classes"]},
                         {"familyInfo", {{"classHoldNs", {6000000000}}, {"poolsByClass", {{0}}}}},
                         {"limits", {{"maxAttempts", 1}}}}}};
-  lab.publish(document("calls", 1, patch));
+  lab.publish(make_config("calls", 1, patch));
   lab.run(200ms);
-  CHECK_EQ(lab.in_force("calls"), 1U);
-  CHECK_EQ(lab.call("00000000000000ab", "voice").size(), 1U);  // gone for new calls
-  CHECK(lab.call("00000000000000ac", "safety").empty());
-  const sip::Message safety = sent_on();
+  CHECK_EQ(lab.active_version("calls"), 1U);
+  CHECK_EQ(lab.send_setup("00000000000000ab", "voice").size(), 1U);  // removed for new calls
+  CHECK(lab.send_setup("00000000000000ac", "safety").empty());
+  const sip::Message safety = find_invite();
   const ConnId safety_server = server;
   for (std::uint32_t n = 1; n <= 2; ++n)
     lab.receive({Concern::server, n}, server_answer(invite, 503, {}, "Warning-Word: cpu_full\r\n"));
-  const sip::Message again = sent_on();
+  const sip::Message again = find_invite();
   CHECK_EQ(std::string(again.header("Call-ID")), "00000000000000aa");
   CHECK_EQ(std::string(again.header("Priority-Class")), "voice");
   lab.receive(server, server_answer(again, 200, "answer"));
   CHECK_EQ(lab.value("ok.voice"), "1");
   lab.receive(safety_server, server_answer(safety, 200, "answer"));
   CHECK_EQ(lab.value("ok.safety"), "1");
-  // It comes back, and goes again, while the first call stands.
+  // The class is restored and removed again while the first call is established.
   for (Version v = 2; v < 12; ++v) {
-    lab.published(document("calls", v, v % 2 == 0 ? json::object() : patch));
-    CHECK_EQ(lab.in_force("calls"), v);
-    CHECK_EQ(lab.takes("voice"), v % 2 == 0);
+    lab.publish_and_run(make_config("calls", v, v % 2 == 0 ? json::object() : patch));
+    CHECK_EQ(lab.active_version("calls"), v);
+    CHECK_EQ(lab.accepts_class("voice"), v % 2 == 0);
   }
 }
 
-// ---- distributors that are no use
+// ---- faulty distributors
 
-void garbage_closes_its_source_and_is_counted() {
+void malformed_input_closes_its_source_and_is_counted() {
   for (const std::string& bytes :
        {std::string("what?\n"), std::string("{}\n"), std::string("[1]\n"),
         std::string(R"({"event":"document","service":"calls","version":1,"digest":"12","content":"{}"})"
@@ -624,8 +632,8 @@
                     "\n"),
         std::string("\xff\xfe\n"), std::string(R"({"event":"beat"})") + std::string(40 * 1024, ' '),
         std::string(33 * 1024, 'x') + "\n"}) {
-    Served lab;
-    lab.published(document("calls", 1, classes_with({"extra"})));
+    ReadyGatekeeper lab;
+    lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
     const ConnId bad = lab.sources.at(0);
     lab.receive(bad, bytes);
     CHECK(!lab.is_open(bad));
@@ -633,48 +641,50 @@
     CHECK(lab.log.find("says what can't be read, and is given up") != std::string::npos);
     CHECK_EQ(lab.value("config_sources_up"), "1");
     CHECK(lab.is_open(lab.sources.at(1)));
-    lab.receive(bad, "{}\n");  // what still comes of it is nobody's
+    lab.receive(bad, "{}\n");  // later input of the closed connection is ignored
     CHECK_EQ(lab.value("config_distribution_malformed"), "1");
     lab.run(10s);
     CHECK_EQ(lab.value("config_sources_up"), "2");
-    CHECK(lab.takes("extra"));
-    lab.published(document("calls", 2, classes_with({"other"})));
-    CHECK(lab.takes("other"));
+    CHECK(lab.accepts_class("extra"));
+    lab.publish_and_run(make_config("calls", 2, patch_with_classes({"other"})));
+    CHECK(lab.accepts_class("other"));
   }
 }
 
-// What comes after a bad line in the same piece is not heard, what came before it is.
-void a_line_before_garbage_is_heard() {
-  Served lab;
+// Lines before a malformed one in the same read are handled, lines after it are not.
+void line_before_malformed_input_is_handled() {
+  ReadyGatekeeper lab;
   const ConnId bad = lab.sources.at(0);
-  const ServiceConfig change = document("calls", 1, classes_with({"extra"}));
-  lab.documents["calls"] = change;
-  lab.receive(bad, line_of(lab.notice({{"calls", {}}})) + "what?\nwhat?\n" + line_of(heartbeat_line()));
+  const ServiceConfig change = make_config("calls", 1, patch_with_classes({"extra"}));
+  lab.configs["calls"] = change;
+  lab.receive(bad,
+              line_of(lab.notification_for({{"calls", {}}})) + "what?\nwhat?\n" + line_of(heartbeat_line()));
   CHECK_EQ(lab.value("config_distribution_malformed"), "1");
-  CHECK_EQ(lab.value("config_distribution_lines_in"), "3");  // a notice of each at the start, and this one
+  CHECK_EQ(lab.value("config_distribution_lines_in"),
+           "3");  // one notification of each source at startup, and this one
   lab.run(10s);
-  CHECK_EQ(lab.in_force("calls"), 1U);
+  CHECK_EQ(lab.active_version("calls"), 1U);
 }
 
-void half_a_line_is_waited_for_and_not_for_ever() {
-  Served lab;
-  const ServiceConfig change = document("calls", 1, classes_with({"extra"}));
-  lab.documents["calls"] = change;
-  const std::string line = line_of(lab.notice({{"calls", {}}}));
+void partial_line_is_completed_or_times_out() {
+  ReadyGatekeeper lab;
+  const ServiceConfig change = make_config("calls", 1, patch_with_classes({"extra"}));
+  lab.configs["calls"] = change;
+  const std::string line = line_of(lab.notification_for({{"calls", {}}}));
   const ConnId slow = lab.sources.at(0);
   lab.receive(slow, line.substr(0, 30));
   lab.run(1s);
-  CHECK_EQ(lab.in_force("calls"), 0U);
+  CHECK_EQ(lab.active_version("calls"), 0U);
   lab.receive(slow, line.substr(30));
   lab.run(500ms);
-  CHECK_EQ(lab.in_force("calls"), 1U);
+  CHECK_EQ(lab.active_version("calls"), 1U);
   CHECK(lab.unread[slow].empty());
-  // One that never ends what it began says nothing: byte by byte it is given up as silent.
+  // An unfinished line is no input: a source that sends it byte by byte is closed as silent.
   const ConnId other = lab.sources.at(1);
   lab.receive(other, R"({"event":")");
   for (int i = 0; i < 200 && lab.is_open(other); ++i) {
     lab.receive(other, "x");
-    lab.say(slow, heartbeat_line());
+    lab.send_line(slow, heartbeat_line());
     lab.run(100ms);
   }
   CHECK(!lab.is_open(other));
@@ -682,34 +692,34 @@
   CHECK(lab.value("config_distribution_shut") != "none");
 }
 
-void beats_are_answered_and_a_stopped_source_is_left() {
-  Served lab;
+void heartbeats_are_answered_and_a_silent_source_is_closed() {
+  ReadyGatekeeper lab;
   const ConnId alive = lab.sources.at(0);
   const ConnId stopped = lab.sources.at(1);
-  lab.said.clear();
+  lab.gatekeeper_lines.clear();
   for (int i = 0; i < 4; ++i) {
-    lab.say(alive, heartbeat_line());
+    lab.send_line(alive, heartbeat_line());
     lab.run(5s);
   }
   CHECK(lab.is_open(alive));
   CHECK(!lab.is_open(stopped));
-  CHECK(std::count_if(lab.said.begin(), lab.said.end(),
+  CHECK(std::count_if(lab.gatekeeper_lines.begin(), lab.gatekeeper_lines.end(),
                       [](const json& line) { return line["op"] == "beat"; }) >= 4);
   CHECK(lab.sources.size() >= 3);
   CHECK_EQ(lab.value("config_sources_up"), "2");
 }
 
-// Nothing comes to an end by time.
-void cut_off_for_hours_it_serves_on() {
-  Served lab;
-  lab.published(document("calls", 1, classes_with({"extra"})));
-  lab.cut = true;
+// No state expires while all distributors are unreachable.
+void disconnected_gatekeeper_serves_for_hours() {
+  ReadyGatekeeper lab;
+  lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
+  lab.unreachable = true;
   for (const ConnId conn : lab.sources) lab.tell(net::Closed{conn, true});
   CHECK_EQ(lab.value("config_sources_up"), "0");
-  const std::size_t lines = lab.said.size();
+  const std::size_t lines = lab.gatekeeper_lines.size();
   for (int quarter = 0; quarter < 16; ++quarter) {
     for (Duration done{}; done < 15min; done += 1s) {
-      lab.reach();
+      lab.open_pending_connections();
       for (std::uint32_t n = 1; n <= 2; ++n) {
         const ConnId server{Concern::server, n};
         for (const sip::Message& m : lab.messages(server)) {
@@ -719,22 +729,22 @@
       lab.pass(1s);
     }
     CHECK_EQ(lab.readyz(), "OK ready\n");
-    CHECK_EQ(lab.in_force("calls"), 1U);
-  }
-  CHECK(lab.takes("extra"));
-  CHECK_EQ(lab.said.size(), lines);
-  // Some two a distributor and 5 s at most, once the pauses are long.
-  const auto tries = std::stoull(lab.value("config_distribution_connects"));
-  CHECK(tries > 1000 && tries < 20000);
-  lab.cut = false;
-  lab.documents["calls"] = document("calls", 9, classes_with({"other"}));
+    CHECK_EQ(lab.active_version("calls"), 1U);
+  }
+  CHECK(lab.accepts_class("extra"));
+  CHECK_EQ(lab.gatekeeper_lines.size(), lines);
+  // About two attempts per distributor in 5 s at most, once the backoff has reached its maximum.
+  const auto attempts = std::stoull(lab.value("config_distribution_connects"));
+  CHECK(attempts > 1000 && attempts < 20000);
+  lab.unreachable = false;
+  lab.configs["calls"] = make_config("calls", 9, patch_with_classes({"other"}));
   lab.run(8s);
-  CHECK_EQ(lab.in_force("calls"), 9U);
-  CHECK(lab.takes("other"));
+  CHECK_EQ(lab.active_version("calls"), 9U);
+  CHECK(lab.accepts_class("other"));
 }
 
-void a_flood_of_changes_is_no_flood_of_lines() {
-  Served lab;
+void many_changes_are_logged_at_a_limited_rate() {
+  ReadyGatekeeper lab;
   const auto lines = [&lab](const std::string& text) {
     int found = 0;
     for (std::size_t at = 0; (at = lab.log.find(text, at)) != std::string::npos; ++at) ++found;
@@ -742,7 +752,7 @@
   };
   CHECK_EQ(lines("a distributor is reached: 127.0.0.1:75"), 2);
   for (Version v = 1; v <= 40; ++v) {
-    lab.publish(document("calls", v, classes_with({"c" + std::to_string(v)})));
+    lab.publish(make_config("calls", v, patch_with_classes({"c" + std::to_string(v)})));
     lab.run(50ms);
   }
   CHECK_EQ(lab.value("config_distribution_in_force"), "40");
@@ -750,17 +760,17 @@
   CHECK(lab.log.find(" more since the last line)") != std::string::npos);
 }
 
-// ---- the class without a gatekeeper, as others may use it
+// ---- class Subscription without a gatekeeper, as other programs use it
 
-void it_stands_alone_and_beside_others() {
+void subscription_works_without_a_gatekeeper() {
   Counters counters;
   std::vector<std::vector<ServiceConfig>> sets;
-  SubscriberSettings settings = *distributed().configuration;
-  std::string trouble;
+  SubscriberSettings settings = *deploy_config_with_distributors().configuration;
+  std::string rejection;
   Subscription subscription(
       settings, counters,
       [&](Time, const std::vector<ServiceConfig>& all, Outbox&) -> std::optional<std::string> {
-        if (!trouble.empty()) return trouble;
+        if (!rejection.empty()) return rejection;
         sets.push_back(all);
         return std::nullopt;
       },
@@ -778,15 +788,15 @@
   for (std::size_t i = 0; i < conns.size(); ++i) CHECK_EQ(conns[i].number, 6 + 100 * i);
   CHECK(timer && timer->number == 5);
   subscription.on(now, net::Connected{conns[0]}, out);
-  const ServiceConfig change = document("calls", 1, journal_at(8600));
-  Fleet speaker;
-  speaker.documents["calls"] = change;
-  const auto tell = [&](const json& line) {
+  const ServiceConfig change = make_config("calls", 1, journal_patch(8600));
+  GatekeeperFixture speaker;
+  speaker.configs["calls"] = change;
+  const auto send_to_subscription = [&](const json& line) {
     const std::string bytes = line_of(line);
     subscription.on(now, net::Received{conns[0], bytes}, out);
   };
-  tell(speaker.notice({{"calls", {}}}));
-  tell(config_line(change));
+  send_to_subscription(speaker.notification_for({{"calls", {}}}));
+  send_to_subscription(config_line(change));
   for (int i = 0; i < 10; ++i) {
     now += 50ms;
     subscription.on(now, net::TimerFired{*timer}, out);
@@ -796,13 +806,13 @@
   CHECK(subscription.ready());
   CHECK_EQ(counters.of("config.distribution.sets_taken"), 1U);
 
-  // A reason of somebody's settings goes on as one plain line of a bounded length.
-  trouble = "bad\nline " + std::string(10'000, 'x');
-  const ServiceConfig next = document("calls", 2, journal_at(8700));
-  speaker.documents["calls"] = next;
-  tell(speaker.notice({{"calls", {}}}));
+  // A rejection reason is logged as one line of bounded length.
+  rejection = "bad\nline " + std::string(10'000, 'x');
+  const ServiceConfig next = make_config("calls", 2, journal_patch(8700));
+  speaker.configs["calls"] = next;
+  send_to_subscription(speaker.notification_for({{"calls", {}}}));
   out.net.clear();
-  tell(config_line(next));
+  send_to_subscription(config_line(next));
   for (int i = 0; i < 10; ++i) {
     now += 50ms;
     subscription.on(now, net::TimerFired{*timer}, out);
@@ -818,30 +828,30 @@
   CHECK_EQ(counters.of("config.distribution.refused"), 1U);
 }
 
-// ---- documents over a file
+// ---- overlay of configurations on a file
 
-void documents_lie_over_each_other_in_their_order() {
+void overlays_apply_in_their_order() {
   const std::string base = file_with_two_servers().dump();
   CHECK_EQ(json::parse(with_overlay(base, {})), file_with_two_servers());
-  const auto laid = [&base](const std::vector<ServiceConfig>& all) {
+  const auto overlaid = [&base](const std::vector<ServiceConfig>& all) {
     return json::parse(with_overlay(base, all));
   };
-  const json both = laid({document("a", 1, {{"journal", "127.0.0.1:1"}, {"settings", {{"me", 2}}}}),
-                          document("b", 1, {{"journal", "127.0.0.1:2"}})});
+  const json both = overlaid({make_config("a", 1, {{"journal", "127.0.0.1:1"}, {"settings", {{"me", 2}}}}),
+                              make_config("b", 1, {{"journal", "127.0.0.1:2"}})});
   json expected = file_with_two_servers();
   expected["journal"] = "127.0.0.1:2";
   expected["settings"]["me"] = 2;
   CHECK_EQ(both, expected);
-  // RFC 7396: null takes away, a list is replaced whole.
+  // RFC 7396: null removes a key, a list is replaced as a whole.
   const json less =
-      laid({document("a", 1, {{"settings", {{"areas", {"x"}}, {"limits", {{"peers", nullptr}}}}}})});
+      overlaid({make_config("a", 1, {{"settings", {{"areas", {"x"}}, {"limits", {{"peers", nullptr}}}}}})});
   CHECK_EQ(less["settings"]["areas"], json::array({"x"}));
   CHECK(!less["settings"]["limits"].contains("peers"));
   CHECK(less["settings"]["limits"].contains("cancel"));
 }
 
 template <class Act>
-std::string trouble_of(Act act) {
+std::string error_of(Act act) {
   try {
     act();
   } catch (const ConfigError& e) {
@@ -850,28 +860,28 @@
   return {};
 }
 
-void documents_have_bounds() {
+void overlay_limits_are_enforced() {
   const std::string base = file_with_two_servers().dump();
-  const auto trouble = [&base](const std::string& content) {
-    return trouble_of([&] { with_overlay(base, {ServiceConfig{"a", {4, {}}, content}}); });
+  const auto overlay_error = [&base](const std::string& content) {
+    return error_of([&] { with_overlay(base, {ServiceConfig{"a", {4, {}}, content}}); });
   };
-  CHECK_EQ(trouble(R"({"name":"x"})"),
+  CHECK_EQ(overlay_error(R"({"name":"x"})"),
            "the document of 'a', version 4, sets 'name': only 'settings' and 'journal' may be set");
-  CHECK_EQ(trouble("{"), "the document of 'a', version 4, is no JSON object");
-  CHECK_EQ(trouble(""), "the document of 'a', version 4, is no JSON object");
-  CHECK_EQ(trouble("null"), "the document of 'a', version 4, is no JSON object");
-  CHECK_EQ(trouble("[]"), "the document of 'a', version 4, is no JSON object");
-  CHECK(trouble(R"({"settings":")" + std::string(distribution::kMaxConfigBytes, 'x') + "\"}")
+  CHECK_EQ(overlay_error("{"), "the document of 'a', version 4, is no JSON object");
+  CHECK_EQ(overlay_error(""), "the document of 'a', version 4, is no JSON object");
+  CHECK_EQ(overlay_error("null"), "the document of 'a', version 4, is no JSON object");
+  CHECK_EQ(overlay_error("[]"), "the document of 'a', version 4, is no JSON object");
+  CHECK(overlay_error(R"({"settings":")" + std::string(distribution::kMaxConfigBytes, 'x') + "\"}")
             .find("longer than 12288") != std::string::npos);
   const auto nested = [](int depth) {
     return R"({"settings":)" + std::string(static_cast<std::size_t>(depth), '[') +
            std::string(static_cast<std::size_t>(depth), ']') + "}";
   };
-  CHECK_EQ(trouble(nested(60)), "");
-  CHECK(trouble(nested(70)).find("deeper than 64") != std::string::npos);
-  CHECK(trouble(nested(6000)).find("deeper than 64") != std::string::npos);
-  CHECK(trouble(std::string(6000, '[')).find("the document of 'a'") == 0);
-  // As deep as where it is published, and no deeper.
+  CHECK_EQ(overlay_error(nested(60)), "");
+  CHECK(overlay_error(nested(70)).find("deeper than 64") != std::string::npos);
+  CHECK(overlay_error(nested(6000)).find("deeper than 64") != std::string::npos);
+  CHECK(overlay_error(std::string(6000, '[')).find("the document of 'a'") == 0);
+  // The depth limit is the same as at publication.
   for (int depth = 50; depth < 80; ++depth) {
     bool publishable = true;
     try {
@@ -879,19 +889,19 @@
     } catch (const ProtocolError&) {
       publishable = false;
     }
-    CHECK_EQ(trouble(nested(depth)).empty(), publishable);
+    CHECK_EQ(overlay_error(nested(depth)).empty(), publishable);
   }
   std::vector<ServiceConfig> many(kMaxSubscribedServices, ServiceConfig{"a", {1, {}}, "{}"});
-  CHECK_EQ(trouble_of([&] { with_overlay(base, many); }), "");
+  CHECK_EQ(error_of([&] { with_overlay(base, many); }), "");
   many.push_back(many.back());
-  CHECK_EQ(trouble_of([&] { with_overlay(base, many); }), "there are more than 64 documents");
-  CHECK(!trouble_of([&] { with_overlay("", {}); }).empty());
-  CHECK(!trouble_of([&] { with_overlay("[]", {}); }).empty());
+  CHECK_EQ(error_of([&] { with_overlay(base, many); }), "there are more than 64 documents");
+  CHECK(!error_of([&] { with_overlay("", {}); }).empty());
+  CHECK(!error_of([&] { with_overlay("[]", {}); }).empty());
 }
 
 // ---- the deploy file
 
-void the_deploy_key() {
+void deploy_file_key_is_validated() {
   const json good = {{"distributors", {"127.0.0.1:1", "127.0.0.1:2"}},
                      {"services", {"calls", "limits.eu-1"}},
                      {"key_file", "/k"}};
@@ -926,7 +936,7 @@
   const auto bad = [&](const char* key, const json& value) {
     json one = good;
     one[key] = value;
-    CHECK(!trouble_of([&] { read(one); }).empty());
+    CHECK(!error_of([&] { read(one); }).empty());
   };
   for (const json& value : std::vector<json>{json::array(),
                                              "127.0.0.1:1",
@@ -946,40 +956,40 @@
   for (const char* key : {"distributors", "services", "key_file"}) {
     json one = good;
     one.erase(key);
-    CHECK(!trouble_of([&] { read(one); }).empty());
+    CHECK(!error_of([&] { read(one); }).empty());
   }
   for (const json& whole : std::vector<json>{nullptr, json::array(), "x", json::object()})
-    CHECK(!trouble_of([&] { read(whole); }).empty());
-  CHECK(!trouble_of([&] { read(good, ""); }).empty());
-  CHECK(!trouble_of([&] { read(good, "a\nb"); }).empty());
-  CHECK(!trouble_of([&] { read(good, std::string(256, 'a')); }).empty());
+    CHECK(!error_of([&] { read(whole); }).empty());
+  CHECK(!error_of([&] { read(good, ""); }).empty());
+  CHECK(!error_of([&] { read(good, "a\nb"); }).empty());
+  CHECK(!error_of([&] { read(good, std::string(256, 'a')); }).empty());
 }
 
 }  // namespace
 
 int main() {
-  documents_lie_over_each_other_in_their_order();
-  documents_have_bounds();
-  the_deploy_key();
-  without_the_key_nothing_is_done();
-  it_is_ready_when_it_has_what_is_in_force();
-  what_is_refused_at_the_start_does_not_hold_it_up();
-  it_waits_only_so_long();
-  a_change_is_taken_and_told();
-  a_refused_change_keeps_the_last_good();
-  what_no_document_may_do();
-  a_file_and_a_document_hold_together();
-  a_change_crosses_a_reload_on_its_way();
-  what_was_refused_is_tried_on_the_next_file();
-  a_file_that_fails_over_the_documents_changes_nothing();
-  a_change_during_an_upgrade_comes_to_both();
-  a_change_lasts_no_longer_than_its_process_but_by_distributors();
+  overlays_apply_in_their_order();
+  overlay_limits_are_enforced();
+  deploy_file_key_is_validated();
+  without_the_settings_key_nothing_is_opened();
+  ready_when_committed_configs_are_active();
+  config_rejected_at_startup_does_not_delay_readiness();
+  startup_wait_is_bounded();
+  change_is_applied_and_reported();
+  rejected_change_keeps_the_active_config();
+  config_outside_its_limits_is_rejected();
+  reloaded_file_and_config_are_merged();
+  change_racing_a_reload_is_applied_with_it();
+  rejected_config_is_retried_on_the_next_file();
+  file_that_fails_under_the_active_configs_changes_nothing();
+  change_during_an_upgrade_reaches_both_processes();
+  new_process_without_distributors_starts_from_its_file();
   open_calls_keep_their_class();
-  garbage_closes_its_source_and_is_counted();
-  a_line_before_garbage_is_heard();
-  half_a_line_is_waited_for_and_not_for_ever();
-  beats_are_answered_and_a_stopped_source_is_left();
-  cut_off_for_hours_it_serves_on();
-  a_flood_of_changes_is_no_flood_of_lines();
-  it_stands_alone_and_beside_others();
+  malformed_input_closes_its_source_and_is_counted();
+  line_before_malformed_input_is_handled();
+  partial_line_is_completed_or_times_out();
+  heartbeats_are_answered_and_a_silent_source_is_closed();
+  disconnected_gatekeeper_serves_for_hours();
+  many_changes_are_logged_at_a_limited_rate();
+  subscription_works_without_a_gatekeeper();
 }
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -433,15 +433,15 @@
   b.notify(0, d);
   b.notify(1, d);
   CHECK_EQ(b.all<FetchConfig>().size(), 1U);
-  const std::uint32_t asked = b.all<FetchConfig>()[0].source;
+  const std::uint32_t first_source = b.all<FetchConfig>()[0].source;
   b.run(1100ms);
   CHECK_EQ(b.log_count(SubscriberLogKind::fetch_timed_out), 1U);
   CHECK_EQ(b.all<FetchConfig>().size(), 2U);
-  CHECK(b.all<FetchConfig>()[1].source != asked);
+  CHECK(b.all<FetchConfig>()[1].source != first_source);
   // The late answer of the first source is accepted.
-  b.step(ConfigDelivered{asked, d});
+  b.step(ConfigDelivered{first_source, d});
   CHECK_EQ(b.active_version("a"), 4U);
-  b.step(ConfigDelivered{1 - asked, d});
+  b.step(ConfigDelivered{1 - first_source, d});
   CHECK_EQ(b.log_count(SubscriberLogKind::unrequested), 0U);
   CHECK_EQ(b.applies, 1U);
 }
@@ -694,8 +694,8 @@
   DistributorFixture d(4, true);
   CHECK(d.distributor->voter_state() == VoterState::uninitialized);
   d.step(ClientConnected{9});
-  const ServiceConfig asked = make_config("a", 50, "x");
-  d.step(ProposalReceived{9, 1, asked});
+  const ServiceConfig proposed = make_config("a", 50, "x");
+  d.step(ProposalReceived{9, 1, proposed});
   CHECK(!d.all<AnswerProposal>().back().accepted);
   d.step(PublishRequested{1, "a", "x", 100});
   CHECK_EQ(d.all<PublishFinished>().back().reason, "not voting yet");
@@ -712,14 +712,14 @@
   d.run(5s);
   // Three of four peers must be complete and voting: one is, one is not voting, one is not complete.
   CHECK(d.distributor->voter_state() == VoterState::recovering);
-  d.step(ProposalReceived{9, 2, asked});
+  d.step(ProposalReceived{9, 2, proposed});
   CHECK(!d.all<AnswerProposal>().back().accepted);
   d.step(PeerVersionsNotified{1, {}, true, VoterState::voting});
   CHECK(d.distributor->voter_state() == VoterState::recovering);
   d.step(PeerVersionsNotified{2, {}, true, VoterState::voting});
   CHECK(d.distributor->voter_state() == VoterState::voting);
   // A version that peers have seen is not accepted again.
-  d.step(ProposalReceived{9, 3, asked});
+  d.step(ProposalReceived{9, 3, proposed});
   CHECK(!d.all<AnswerProposal>().back().accepted);
   CHECK_EQ(d.all<AnswerProposal>().back().highest_seen, 60U);
   d.step(ProposalReceived{9, 4, make_config("a", 61, "x")});
