--- a/src/distribution/subscriber.h
+++ b/src/distribution/subscriber.h
@@ -144,8 +144,8 @@
   activated,        // a configuration became active
   rejected,         // a configuration was rejected, with the reason
   stale,            // an older version was offered and ignored
-  conflict,         // other content under the active or fetched version was offered and ignored
-  unsound,          // a configuration failed its check, or differs from the version that was notified
+  conflict,         // other content under the active, fetched or notified version; ignored
+  unsound,          // a fetched configuration failed its check (is_sound)
   unrequested,      // a configuration that was not fetched, or of a service that is not subscribed
   fetch_timed_out,  // a source did not answer a FetchConfig within kFetchTimeout
   source_connected,
