--- a/src/control/config_client.cpp
+++ b/src/control/config_client.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration kConnectTimeout = 1s;
 constexpr Duration kPollInterval = 200ms;
-constexpr Duration kLateAnswerThreshold = 1s;
-constexpr std::size_t kMaxNamesInQuestion = 100;  // in one question, and of so many bytes
-constexpr std::size_t kMaxNameBytesInQuestion = 16 * 1024;
-constexpr std::size_t kMaxNamesPrinted = 20;  // of each list, to a person
+constexpr Duration kLateAnswerThreshold = 1s;  // age of a polling round whose missing answers count as late
+constexpr std::size_t kMaxNamesInQuery = 100;  // names in one `attached` query
+constexpr std::size_t kMaxNameBytesInQuery = 16 * 1024;
+constexpr std::size_t kMaxNamesPrinted = 20;  // of each list, in the text output
 constexpr std::int64_t kMaxCount = 1'000'000'000;
 constexpr std::int64_t kMaxVersion = std::int64_t{1} << 53;
 
@@ -33,21 +33,22 @@
   return it != object.end() && it->is_boolean() && it->get<bool>();
 }
 
-// `total` of them there are: the first ones, and how many more.
-template <class List, class Text>
-std::string listed(const List& list, std::size_t total, Text text) {
-  std::string all;
-  std::size_t said = 0;
-  for (const auto& one : list) {
-    if (said == kMaxNamesPrinted) break;
-    all += "  " + text(one) + "\n";
-    ++said;
+// One line for each of the first entries, and the number of the remaining ones. `total` counts entries that
+// the list does not hold, too.
+template <class List, class Describe>
+std::string describe_list(const List& list, std::size_t total, Describe describe) {
+  std::string text;
+  std::size_t printed = 0;
+  for (const auto& entry : list) {
+    if (printed == kMaxNamesPrinted) break;
+    text += "  " + describe(entry) + "\n";
+    ++printed;
   }
-  if (total > said) all += "  and " + std::to_string(total - said) + " more\n";
-  return all;
+  if (total > printed) text += "  and " + std::to_string(total - printed) + " more\n";
+  return text;
 }
 
-std::string prefix_of(const std::string& digest) { return digest.substr(0, 12); }
+std::string digest_prefix(const std::string& digest) { return digest.substr(0, 12); }
 
 bool is_active_everywhere(const ServiceStatus& status) {
   return status.version != 0 && status.active == status.subscribed && status.rejected_count == 0;
@@ -72,9 +73,9 @@
 
 ConfigClient::ConfigClient(ConfigClientSettings settings) : settings_(std::move(settings)) {
   for (const std::string& address : settings_.addresses) {
-    Target t;
-    t.address = address;
-    targets_.push_back(std::move(t));
+    Target target;
+    target.address = address;
+    targets_.push_back(std::move(target));
   }
   if (settings_.command == ConfigClientSettings::Command::publish) stage_ = Stage::publishing;
 }
@@ -82,7 +83,7 @@
 void ConfigClient::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   net::dispatch(
-      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
+      event, [&](const auto& e) requires requires { on(now, e, out); } { on(now, e, out); });
   effects = std::move(out.net);
 }
 
@@ -90,8 +91,8 @@
   return conn.number >= 1 && conn.number <= targets_.size() ? &targets_[conn.number - 1] : nullptr;
 }
 
-void ConfigClient::send(const Target& t, const json& line, Outbox& out) const {
-  const auto number = static_cast<std::uint32_t>(&t - targets_.data()) + 1;
+void ConfigClient::send(const Target& target, const json& line, Outbox& out) const {
+  const auto number = static_cast<std::uint32_t>(&target - targets_.data()) + 1;
   out.send({net::Concern::control_client, number}, line_of(line));
 }
 
@@ -107,28 +108,29 @@
     out.net.push_back(
         net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectTimeout});
   out.arm(net::Concern::process, 0, now + settings_.timeout);
-  round_began_ = now;
+  round_started_at_ = now;
 }
 
 void ConfigClient::on(Time now, const net::Connected& e, Outbox& out) {
-  Target* t = target_of(e.conn);
-  if (t == nullptr || finished_) return;
-  t->connected = true;
+  Target* target = target_of(e.conn);
+  if (target == nullptr || finished_) return;
+  target->connected = true;
   if (stage_ == Stage::publishing) return publish_next(now, out);
   advance(now, out);
 }
 
-void ConfigClient::fail_target(Time now, Target& t, const std::string& why, Outbox& out) {
-  if (finished_ || !t.error.empty()) return;
-  const bool lost_in_it = stage_ == Stage::publishing && publish_sent_ && &t == &targets_[publish_target_];
-  t.error = why;
-  t.connected = false;
-  t.pending_answers = 0;
-  t.services.clear();
-  t.lost_gatekeepers.clear();
-  if (lost_in_it) {
+void ConfigClient::fail_target(Time now, Target& target, const std::string& reason, Outbox& out) {
+  if (finished_ || !target.error.empty()) return;
+  const bool publication_unknown =
+      stage_ == Stage::publishing && publish_sent_ && &target == &targets_[publish_target_];
+  target.error = reason;
+  target.connected = false;
+  target.pending_answers = 0;
+  target.services.clear();
+  target.lost_gatekeepers.clear();
+  if (publication_unknown) {
     print(out,
-          t.address + ": " + why +
+          target.address + ": " + reason +
               " after the document was sent. It is not known whether it is in force: look at the status\n",
           {{"service", settings_.service},
            {"committed", nullptr},
@@ -140,26 +142,26 @@
 }
 
 void ConfigClient::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  if (Target* t = target_of(e.conn))
-    fail_target(now, *t, e.refused ? "nobody listens there" : "it does not answer", out);
+  if (Target* target = target_of(e.conn))
+    fail_target(now, *target, e.refused ? "nobody listens there" : "it does not answer", out);
 }
 
 void ConfigClient::on(Time now, const net::Closed& e, Outbox& out) {
-  if (Target* t = target_of(e.conn)) fail_target(now, *t, "it closed the connection", out);
+  if (Target* target = target_of(e.conn)) fail_target(now, *target, "it closed the connection", out);
 }
 
 void ConfigClient::on(Time now, const net::Received& e, Outbox& out) {
-  Target* t = target_of(e.conn);
-  if (t == nullptr || finished_ || !t->error.empty()) return;
+  Target* target = target_of(e.conn);
+  if (target == nullptr || finished_ || !target->error.empty()) return;
   const auto used = read_lines(
       e.bytes,
       [&](const json& line) {
-        if (!finished_ && t->error.empty()) handle_line(now, *t, line, out);
+        if (!finished_ && target->error.empty()) handle_line(now, *target, line, out);
       },
-      [&](const json&, const std::string& trouble) {
-        fail_target(now, *t, "it answers what can't be read (" + trouble + ")", out);
+      [&](const json&, const std::string& error) {
+        fail_target(now, *target, "it answers what can't be read (" + error + ")", out);
       });
-  if (!used) return fail_target(now, *t, "it answers what can't be read", out);
+  if (!used) return fail_target(now, *target, "it answers what can't be read", out);
   out.net.push_back(net::Consume{e.conn, *used});
 }
 
@@ -169,20 +171,21 @@
     if (stage_ == Stage::waiting) begin_round(now, out);
     return;
   }
-  // The time is over.
+  // The timeout of the whole command has expired.
   if (stage_ == Stage::publishing && publish_sent_)
     return fail_target(now, targets_[publish_target_], "no answer in time", out);
-  // One that owes an answer for long, not one that was asked just now.
-  const bool late = !round_completed_ || now - round_began_ > kLateAnswerThreshold;
-  for (Target& t : targets_) {
-    if (t.error.empty() && (!t.connected || (t.pending_answers > 0 && late))) t.error = "no answer in time";
-    if (!t.error.empty()) t.connected = false;
+  // Only targets that have owed an answer for a while fail, not those that were queried just now.
+  const bool late = !round_completed_ || now - round_started_at_ > kLateAnswerThreshold;
+  for (Target& target : targets_) {
+    if (target.error.empty() && (!target.connected || (target.pending_answers > 0 && late)))
+      target.error = "no answer in time";
+    if (!target.error.empty()) target.connected = false;
   }
   if (stage_ == Stage::publishing || connected_targets() == 0) return print_result(out);
-  if (!round_completed_) {  // what has come so far
+  if (!round_completed_) {  // reports the answers received so far
     statuses_ = sum_statuses();
-    for (const Target& t : targets_)
-      lost_gatekeepers_.insert(t.lost_gatekeepers.begin(), t.lost_gatekeepers.end());
+    for (const Target& target : targets_)
+      lost_gatekeepers_.insert(target.lost_gatekeepers.begin(), target.lost_gatekeepers.end());
     for (const std::string& name : reattached_) lost_gatekeepers_.erase(name);
   }
   print_result(out);
@@ -192,22 +195,22 @@
   if (!finished_) print_result(out);
 }
 
-void ConfigClient::handle_line(Time now, Target& t, const json& line, Outbox& out) {
-  if (!line.contains("re")) return;  // an event
+void ConfigClient::handle_line(Time now, Target& target, const json& line, Outbox& out) {
+  if (!line.contains("re")) return;  // an event line, not an answer
   if (text_in(line, "re") != "config") return;
-  if (line.contains("distributor")) t.name = text_in(line, "distributor");
+  if (line.contains("distributor")) target.name = text_in(line, "distributor");
   const std::string what = text_in(line, "what");
-  if (what == "publish") return handle_publish_answer(now, t, line, out);
+  if (what == "publish") return handle_publish_answer(now, target, line, out);
   if (!flag_in(line, "ok"))
-    return fail_target(now, t, line.contains("trouble") ? text_in(line, "trouble") : "it refuses to tell",
-                       out);
+    return fail_target(now, target,
+                       line.contains("trouble") ? text_in(line, "trouble") : "it refuses to tell", out);
   if (what == "status") {
-    handle_status(t, line, out);
+    handle_status(target, line, out);
   } else if (what == "attached") {
     for (const json& name : list_in(line, "names")) {
       if (name.is_string()) reattached_.insert(name.get<std::string>());
     }
-    if (t.pending_answers > 0) --t.pending_answers;
+    if (target.pending_answers > 0) --target.pending_answers;
   } else {
     return;
   }
@@ -216,7 +219,8 @@
 
 // ---- publishing
 
-// At the first address, in their order, that can be reached: the next one only where it was not sent.
+// Publishes at the first reachable address, in the given order. Never sends it to a second distributor while
+// the first one may have committed it.
 void ConfigClient::publish_next(Time, Outbox& out) {
   if (publish_sent_) return;
   while (publish_target_ < targets_.size() && !targets_[publish_target_].error.empty()) ++publish_target_;
@@ -229,41 +233,41 @@
       out);
 }
 
-void ConfigClient::handle_publish_answer(Time now, Target& t, const json& line, Outbox& out) {
-  if (stage_ != Stage::publishing || !publish_sent_ || &t != &targets_[publish_target_]) return;
+void ConfigClient::handle_publish_answer(Time now, Target& target, const json& line, Outbox& out) {
+  if (stage_ != Stage::publishing || !publish_sent_ || &target != &targets_[publish_target_]) return;
   if (!flag_in(line, "ok")) {
-    const std::string why = line.contains("trouble") ? text_in(line, "trouble") : "refused";
-    // One without a vote has begun nothing: the next one may.
+    const std::string reason = line.contains("trouble") ? text_in(line, "trouble") : "refused";
+    // A distributor that is not a voter has proposed nothing: the next one may publish.
     if (line.contains("standing") && text_in(line, "standing") != "voting" &&
         publish_target_ + 1 < targets_.size()) {
       ++publish_target_;
       publish_sent_ = false;
-      non_voter_answer_ = t.name + " " + t.address + ": not published: " + why + "\n";
+      non_voter_answer_ = target.name + " " + target.address + ": not published: " + reason + "\n";
       return publish_next(now, out);
     }
-    print(out, t.name + " " + t.address + ": not published: " + why + "\n",
-          {{"service", settings_.service}, {"committed", false}, {"by", t.name}, {"trouble", why}});
+    print(out, target.name + " " + target.address + ": not published: " + reason + "\n",
+          {{"service", settings_.service}, {"committed", false}, {"by", target.name}, {"trouble", reason}});
     return exit_with(kIncomplete, out);
   }
   version_ = static_cast<distribution::Version>(integer_in(line, "version", 1, std::int64_t{1} << 53));
   digest_ = text_in(line, "digest");
-  publisher_name_ = t.name;
+  publisher_name_ = target.name;
   if (!settings_.wait_until_active) return print_result(out);
   begin_round(now, out);
 }
 
-// ---- how far it has come: all are asked, then of the names that are gone at one, the others
+// ---- polling: queries the status at every target, then which of the lost gatekeepers are attached elsewhere
 
 void ConfigClient::begin_round(Time now, Outbox& out) {
   stage_ = Stage::statuses;
-  round_began_ = now;
+  round_started_at_ = now;
   reattached_.clear();
-  for (Target& t : targets_) {
-    t.services.clear();
-    t.lost_gatekeepers.clear();
-    t.voter_state.clear();
-    t.pending_answers = 0;
-    t.status_requested = false;
+  for (Target& target : targets_) {
+    target.services.clear();
+    target.lost_gatekeepers.clear();
+    target.voter_state.clear();
+    target.pending_answers = 0;
+    target.status_requested = false;
   }
   advance(now, out);
 }
@@ -281,8 +285,8 @@
   return status;
 }
 
-// With the names, which only the answer to a question about one service has.
-ServiceStatus named_status_in(const json& line) {
+// Also reads the gatekeepers' names, which only the status of a single service has.
+ServiceStatus detailed_status_in(const json& line) {
   ServiceStatus status = service_status_in(line);
   for (const json& rejection : list_in(line, "refused")) {
     if (!rejection.is_object()) throw ProtocolError("'refused' holds what is no object");
@@ -307,9 +311,9 @@
 }
 
 void ConfigClient::handle_all_services(Target& target, const json& line, Outbox& out) {
-  for (const json& one : list_in(line, "services")) {
-    if (!one.is_object()) throw ProtocolError("'services' holds what is no object");
-    target.services[text_in(one, "service")] = service_status_in(one);
+  for (const json& service : list_in(line, "services")) {
+    if (!service.is_object()) throw ProtocolError("'services' holds what is no object");
+    target.services[text_in(service, "service")] = service_status_in(service);
   }
   if (!flag_in(line, "more") || target.services.empty()) {
     target.pending_answers = 0;
@@ -321,11 +325,11 @@
 void ConfigClient::handle_one_service(Target& target, const json& line, Outbox& out) {
   const std::string service = text_in(line, "service");
   if (!target.services.contains(service))
-    target.services[service] = named_status_in(line);  // of several lines
+    target.services[service] = detailed_status_in(line);  // only the first page of several has the names
   const json& lost = list_in(line, "lost");
-  for (const json& one : lost) {
-    if (!one.is_object()) throw ProtocolError("'lost' holds what is no object");
-    target.lost_gatekeepers[text_in(one, "name")] = integer_in(one, "ago_ms", 0, kMaxVersion);
+  for (const json& gatekeeper : lost) {
+    if (!gatekeeper.is_object()) throw ProtocolError("'lost' holds what is no object");
+    target.lost_gatekeepers[text_in(gatekeeper, "name")] = integer_in(gatekeeper, "ago_ms", 0, kMaxVersion);
   }
   if (!flag_in(line, "more") || lost.empty()) {
     target.pending_answers = 0;
@@ -339,77 +343,78 @@
        out);
 }
 
-// Asks whoever was not asked yet; goes to the next stage once none is owed any more.
+// Queries the connected targets that were not queried in this round, and enters the next stage once no answer
+// is pending.
 void ConfigClient::advance(Time now, Outbox& out) {
   if (finished_) return;
   if (stage_ == Stage::statuses) {
-    bool waits = false;
-    for (Target& t : targets_) {
-      if (t.connected && !std::exchange(t.status_requested, true)) {
-        t.pending_answers = 1;
-        json question = {{"op", "config"}, {"what", "status"}};
-        if (!settings_.service.empty()) question["service"] = settings_.service;
-        send(t, question, out);
+    bool pending = false;
+    for (Target& target : targets_) {
+      if (target.connected && !std::exchange(target.status_requested, true)) {
+        target.pending_answers = 1;
+        json query = {{"op", "config"}, {"what", "status"}};
+        if (!settings_.service.empty()) query["service"] = settings_.service;
+        send(target, query, out);
       }
-      waits = waits || t.pending_answers > 0 || (!t.connected && t.error.empty());
+      pending = pending || target.pending_answers > 0 || (!target.connected && target.error.empty());
     }
-    if (waits) return;
-    return ask_for_lost_gatekeepers(now, out);
+    if (pending) return;
+    return query_lost_gatekeepers(now, out);
   }
   if (stage_ != Stage::attached) return;
   if (std::ranges::any_of(targets_, [](const Target& t) { return t.pending_answers > 0; })) return;
   end_round(now, out);
 }
 
-void ConfigClient::ask_for_lost_gatekeepers(Time now, Outbox& out) {
+void ConfigClient::query_lost_gatekeepers(Time now, Outbox& out) {
   stage_ = Stage::attached;
-  std::set<std::string> gone;
-  for (const Target& t : targets_) {
-    for (const auto& [name, ago] : t.lost_gatekeepers) gone.insert(name);
+  std::set<std::string> lost;
+  for (const Target& target : targets_) {
+    for (const auto& [name, ago_ms] : target.lost_gatekeepers) lost.insert(name);
   }
   json names = json::array();
   std::size_t bytes = 0;
-  const auto ask = [&] {
+  const auto send_query = [&] {
     if (names.empty()) return;
-    for (Target& t : targets_) {
-      if (!t.connected) continue;
-      ++t.pending_answers;
-      send(t, {{"op", "config"}, {"what", "attached"}, {"names", names}}, out);
+    for (Target& target : targets_) {
+      if (!target.connected) continue;
+      ++target.pending_answers;
+      send(target, {{"op", "config"}, {"what", "attached"}, {"names", names}}, out);
     }
     names = json::array();
     bytes = 0;
   };
-  for (const std::string& name : gone) {
-    if (names.size() >= kMaxNamesInQuestion || bytes + name.size() > kMaxNameBytesInQuestion) ask();
+  for (const std::string& name : lost) {
+    if (names.size() >= kMaxNamesInQuery || bytes + name.size() > kMaxNameBytesInQuery) send_query();
     names.push_back(name);
     bytes += name.size();
   }
-  ask();
+  send_query();
   advance(now, out);
 }
 
 std::map<std::string, ServiceStatus> ConfigClient::sum_statuses() const {
   std::map<std::string, ServiceStatus> all;
-  for (const Target& t : targets_) {
-    for (const auto& [service, part] : t.services) {
+  for (const Target& target : targets_) {
+    for (const auto& [service, part] : target.services) {
       ServiceStatus& sum = all[service];
       if (part.version <= sum.version) continue;
       sum.version = part.version;
       sum.digest = part.digest;
     }
   }
-  if (version_ != 0) {  // what was just published; a newer one is in its place already, if there is any
+  if (version_ != 0) {  // the configuration just published, unless a newer version is known
     ServiceStatus& sum = all[settings_.service];
     if (sum.version <= version_) {
       sum.version = version_;
       sum.digest = digest_;
     }
   }
-  for (const Target& t : targets_) {
-    for (const auto& [service, part] : t.services) {
+  for (const Target& target : targets_) {
+    for (const auto& [service, part] : target.services) {
       ServiceStatus& sum = all[service];
       sum.subscribed += part.subscribed;
-      // One that does not know the newest yet can't tell who has it.
+      // A distributor that does not know the newest version cannot tell which gatekeepers have it.
       if (part.version != sum.version || part.digest != sum.digest) {
         sum.behind_count += part.subscribed;
         continue;
@@ -427,20 +432,20 @@
 void ConfigClient::end_round(Time now, Outbox& out) {
   statuses_ = sum_statuses();
   lost_gatekeepers_.clear();
-  for (const Target& t : targets_)
-    lost_gatekeepers_.insert(t.lost_gatekeepers.begin(), t.lost_gatekeepers.end());
+  for (const Target& target : targets_)
+    lost_gatekeepers_.insert(target.lost_gatekeepers.begin(), target.lost_gatekeepers.end());
   for (const std::string& name : reattached_) lost_gatekeepers_.erase(name);
   round_completed_ = true;
-  const bool all =
-      std::ranges::all_of(statuses_, [](const auto& s) { return is_active_everywhere(s.second); });
+  const bool all_active =
+      std::ranges::all_of(statuses_, [](const auto& status) { return is_active_everywhere(status.second); });
   if (settings_.command == ConfigClientSettings::Command::status || connected_targets() == 0 ||
-      (all && lost_gatekeepers_.empty()))
+      (all_active && lost_gatekeepers_.empty()))
     return print_result(out);
   stage_ = Stage::waiting;
   out.arm(net::Concern::process, 1, now + kPollInterval);
 }
 
-// ---- what is said
+// ---- output
 
 void ConfigClient::print(Outbox& out, std::string text, const json& object) const {
   out.net.push_back(net::Print{settings_.json ? line_of(object) : std::move(text), true});
@@ -470,14 +475,14 @@
     print(out, report.text, report.object);
     return exit_with(published ? kIncomplete : kUnreachable, out);
   }
-  const bool all = report_services(report);
-  report_without_vote(report);
+  const bool complete = report_services(report);
+  report_non_voters(report);
   json lost = json::array();
-  for (const auto& [name, ago] : lost_gatekeepers_) lost.push_back({{"name", name}, {"ago_ms", ago}});
+  for (const auto& [name, ago_ms] : lost_gatekeepers_) lost.push_back({{"name", name}, {"ago_ms", ago_ms}});
   report.object["not_heard_of"] = std::move(lost);
-  report.object["all"] = all;
+  report.object["all"] = complete;
   print(out, report.text, report.object);
-  exit_with(all ? kSuccess : kIncomplete, out);
+  exit_with(complete ? kSuccess : kIncomplete, out);
 }
 
 void ConfigClient::report_unreachable(Report& report) const {
@@ -505,35 +510,35 @@
   report.object["version"] = version_;
   report.object["digest"] = digest_;
   report.object["by"] = publisher_name_;
-  report.text += settings_.service + ": version " + std::to_string(version_) + ", " + prefix_of(digest_) +
+  report.text += settings_.service + ": version " + std::to_string(version_) + ", " + digest_prefix(digest_) +
                  ", committed by " + publisher_name_ + "\n";
 }
 
 bool ConfigClient::report_services(Report& report) const {
-  bool all = report.object["not_reached"].empty() && round_completed_ && lost_gatekeepers_.empty();
+  bool complete = report.object["not_reached"].empty() && round_completed_ && lost_gatekeepers_.empty();
   json services = json::array();
   for (const auto& [service, status] : statuses_) {
     const bool replaced = version_ != 0 && status.version > version_;
-    all = all && is_active_everywhere(status) && !replaced;
+    complete = complete && is_active_everywhere(status) && !replaced;
     services.push_back(to_json(service, status));
     if (replaced)
       report.text +=
           service + ": version " + std::to_string(status.version) + " was published since, and counts here\n";
-    report.text += service_text(service, status);
+    report.text += describe_service(service, status);
   }
   if (statuses_.empty()) report.text += "no service has a document\n";
   report.object["services"] = std::move(services);
-  return all;
+  return complete;
 }
 
-std::string ConfigClient::service_text(const std::string& service, const ServiceStatus& status) const {
+std::string ConfigClient::describe_service(const std::string& service, const ServiceStatus& status) const {
   const bool published = version_ != 0;
   std::string text;
   if (!published)
     text += service + ": " +
             (status.version == 0
                  ? "nothing committed"
-                 : "version " + std::to_string(status.version) + ", " + prefix_of(status.digest)) +
+                 : "version " + std::to_string(status.version) + ", " + digest_prefix(status.digest)) +
             ": ";
   text += "in force at " + std::to_string(status.active) + " of " + std::to_string(status.subscribed) +
           ", refused at " + std::to_string(status.rejected_count);
@@ -541,20 +546,22 @@
   text += ", not heard of " + std::to_string(lost_gatekeepers_.size()) + "\n";
   if (status.rejected_count > 0)
     text += "refused:\n" +
-            listed(status.rejections, status.rejected_count,
-                   [](const ConfigRejection& rejection) { return rejection.name + ": " + rejection.reason; });
+            describe_list(status.rejections, status.rejected_count, [](const ConfigRejection& rejection) {
+              return rejection.name + ": " + rejection.reason;
+            });
   if (published) return text;
   if (status.behind_count > 0)
     text += "behind:\n" +
-            listed(status.behind, status.behind_count, [](const std::string& name) { return name; });
+            describe_list(status.behind, status.behind_count, [](const std::string& name) { return name; });
   if (!lost_gatekeepers_.empty())
-    text += "not heard of:\n" + listed(lost_gatekeepers_, lost_gatekeepers_.size(), [](const auto& lost) {
-              return lost.first + ", for " + std::to_string(lost.second / 1000) + " s";
-            });
+    text +=
+        "not heard of:\n" + describe_list(lost_gatekeepers_, lost_gatekeepers_.size(), [](const auto& lost) {
+          return lost.first + ", for " + std::to_string(lost.second / 1000) + " s";
+        });
   return text;
 }
 
-void ConfigClient::report_without_vote(Report& report) const {
+void ConfigClient::report_non_voters(Report& report) const {
   for (const Target& target : targets_) {
     if (target.connected && !target.voter_state.empty() && target.voter_state != "voting")
       report.text += target.name + " " + target.address + " has no vote: " + target.voter_state + "\n";
--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -11,37 +11,39 @@
 
 constexpr Duration kTick = 50ms;
 constexpr Duration kConnectTimeout = 1s;
-constexpr Duration kIdleTimeout = 20s;  // four beats: who is there answers each
+constexpr Duration kIdleTimeout = 20s;  // four heartbeat intervals; a live client answers each heartbeat
 constexpr Duration kReapInterval = 250ms;
-constexpr std::size_t kMaxPublications = 256;  // of all operators together
+constexpr std::size_t kMaxPublications = 256;  // unanswered, all operators together
 constexpr std::size_t kMaxPublicationsPerOperator = 16;
-constexpr std::size_t kMaxNamesInQuestion = 100;     // names in one question
-constexpr std::size_t kMaxServicesInLine = 100;      // in one line
-constexpr std::size_t kMaxStatusReasonLength = 160;  // bytes
-// of one status line, and so on: together under kLineBound
+constexpr std::size_t kMaxNamesInQuery = 100;        // gatekeeper names in one `attached` query
+constexpr std::size_t kMaxServicesInLine = 100;      // services in one line of the list of all services
+constexpr std::size_t kMaxStatusReasonLength = 160;  // bytes of each rejection reason in a status line
+// Bytes of the three lists in one status line; their sum leaves room for the rest under kMaxLineBytes.
 constexpr std::size_t kMaxRejectionBytes = 14 * 1024;
 constexpr std::size_t kMaxBehindBytes = 6 * 1024;
 constexpr std::size_t kMaxLostBytes = 8 * 1024;
 
-std::string_view to_string(DistributorLogKind told) {
-  constexpr std::string_view kWords[] = {"committed", "accepted", "turned_down",  "given_up", "stale",
+// The suffix of the kind's counter, `distributor.` before it.
+std::string_view to_string(DistributorLogKind kind) {
+  constexpr std::string_view kNames[] = {"committed", "accepted", "turned_down",  "given_up", "stale",
                                          "conflict",  "unsound",  "learned_back", "standing", "full"};
-  return kWords[static_cast<std::size_t>(told)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
-// Appends until so many bytes are full; whether all had room.
-bool append_within(json& list, json one, std::size_t& room) {
-  const std::size_t size = one.dump(-1, ' ', false, json::error_handler_t::replace).size() + 1;
-  if (size > room) return false;
-  room -= size;
-  list.push_back(std::move(one));
+// Appends the entry if its text fits into the remaining bytes, and returns whether it did.
+bool append_within(json& list, json entry, std::size_t& remaining_bytes) {
+  const std::size_t size = entry.dump(-1, ' ', false, json::error_handler_t::replace).size() + 1;
+  if (size > remaining_bytes) return false;
+  remaining_bytes -= size;
+  list.push_back(std::move(entry));
   return true;
 }
 
-std::string shortened(const std::string& text, std::size_t most) {
-  if (text.size() <= most) return text;
-  while (most > 0 && (static_cast<unsigned char>(text[most]) & 0xC0) == 0x80) --most;
-  return text.substr(0, most) + "...";
+// The first `max_bytes` of the text, without a partial UTF-8 sequence, and "..." where it was cut.
+std::string shortened(const std::string& text, std::size_t max_bytes) {
+  if (text.size() <= max_bytes) return text;
+  while (max_bytes > 0 && (static_cast<unsigned char>(text[max_bytes]) & 0xC0) == 0x80) --max_bytes;
+  return text.substr(0, max_bytes) + "...";
 }
 
 std::string two_digits(std::size_t number) {
@@ -54,9 +56,9 @@
 }  // namespace
 
 ConfigDistributor::ConfigDistributor(ConfigDistributorSettings settings,
-                                     std::function<void(Counters&)> others)
+                                     std::function<void(Counters&)> add_runtime_counters)
     : settings_(std::move(settings)),
-      add_runtime_counters_(std::move(others)),
+      add_runtime_counters_(std::move(add_runtime_counters)),
       distributor_({settings_.name, settings_.peers.size(), settings_.key, settings_.bytes_per_second,
                     settings_.seed}),
       reaper_(settings_.max_connections, kIdleTimeout),
@@ -72,13 +74,13 @@
 void ConfigDistributor::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   net::dispatch(
-      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
+      event, [&](const auto& e) requires requires { on(now, e, out); } { on(now, e, out); });
   write_changed_files(effects);
   effects.insert(effects.end(), std::make_move_iterator(out.net.begin()),
                  std::make_move_iterator(out.net.end()));
 }
 
-// ---- its files
+// ---- files
 
 std::string ConfigDistributor::path_of(std::size_t bucket) const {
   return settings_.directory + "/bucket-" + two_digits(bucket);
@@ -89,8 +91,9 @@
   return line_of({{"voted", has_voted_}, {"buckets", stored_buckets_}});
 }
 
-// First of all that a step asks for: what it says rests on them. `known` comes last, so that it names no
-// bucket that may not be there, and tells of a vote only once all that was learned for it is kept.
+// Writes files before any other effect of the step, because sent messages depend on what is stored. The index
+// is written last: it lists only buckets that exist, and records the vote only after everything recovered for
+// it is stored.
 void ConfigDistributor::write_changed_files(net::Effects& effects) {
   if (!listening_) return;
   bool index = false;
@@ -108,11 +111,11 @@
   out.net.push_back(net::ReadFile{index_path()});
 }
 
-void ConfigDistributor::reject_file(const std::string& path, const std::string& why, Outbox& out) {
+void ConfigDistributor::reject_file(const std::string& path, const std::string& reason, Outbox& out) {
   if (std::exchange(failed_, true)) return;
-  out.log(net::Level::error, path + " is no use: " + why +
-                                 ". Put it right, or move the whole directory away: then this distributor "
-                                 "learns all from the others");
+  out.log(net::Level::error, path + " is no use: " + reason +
+                                 ". Repair it, or move the whole directory away: the distributor then "
+                                 "recovers its records from the others");
   out.net.push_back(net::Exit{1});
 }
 
@@ -132,11 +135,11 @@
   const json index = json::parse(*event.text, nullptr, false);
   if (!index.is_object() || !index.contains("voted") || !index["voted"].is_boolean() ||
       !index.contains("buckets") || !index["buckets"].is_array())
-    return reject_file(event.path, "it does not say which buckets there are", out);
-  for (const json& one : index["buckets"]) {
-    if (!one.is_number_unsigned() || one.get<std::uint64_t>() >= kBuckets)
-      return reject_file(event.path, "it names a bucket that can't be", out);
-    stored_buckets_.insert(one.get<std::size_t>());
+    return reject_file(event.path, "the index is not an object with 'voted' and 'buckets'", out);
+  for (const json& bucket : index["buckets"]) {
+    if (!bucket.is_number_unsigned() || bucket.get<std::uint64_t>() >= kBuckets)
+      return reject_file(event.path, "the index lists an invalid bucket number", out);
+    stored_buckets_.insert(bucket.get<std::size_t>());
   }
   has_voted_ = index["voted"].get<bool>();
   unread_buckets_ = stored_buckets_;
@@ -147,24 +150,24 @@
   const auto bucket = std::find_if(unread_buckets_.begin(), unread_buckets_.end(),
                                    [&](std::size_t b) { return path_of(b) == event.path; });
   if (bucket == unread_buckets_.end()) return;
-  if (!event.text) return reject_file(event.path, "it can't be read", out);
+  if (!event.text) return reject_file(event.path, "cannot read it", out);
   try {
     for (auto& [service, record] : parse_records(*event.text)) {
       if (Distributor::bucket_of(service) != *bucket)
-        return reject_file(event.path, "service " + service + " does not belong into it", out);
-      for (const auto& document : {record.committed, record.accepted}) {
-        if (document && !is_sound(settings_.key, *document))
-          return reject_file(event.path, "the digest of " + service + " is not its own (another key?)", out);
+        return reject_file(event.path, "service " + service + " belongs to another bucket", out);
+      for (const auto& config : {record.committed, record.accepted}) {
+        if (config && !is_sound(settings_.key, *config))
+          return reject_file(event.path, "digest mismatch of service " + service + " (another key?)", out);
       }
       restored_.records.emplace(service, std::move(record));
     }
-  } catch (const ProtocolError& trouble) {
-    return reject_file(event.path, trouble.what(), out);
+  } catch (const ProtocolError& error) {
+    return reject_file(event.path, error.what(), out);
   }
   unread_buckets_.erase(bucket);
 }
 
-// Only with all that was kept does it speak to anyone.
+// Starts to listen and to connect, after all stored records are read.
 void ConfigDistributor::start_serving(Time now, Outbox& out) {
   listening_ = true;
   restored_.empty = !has_voted_;
@@ -173,17 +176,17 @@
   out.log(net::Level::info, settings_.name + " listens on " + settings_.listen + ", one of " +
                                 std::to_string(peers_.size() + 1) + " distributors, with " +
                                 std::to_string(restored_.records.size()) + " services" +
-                                (restored_.empty ? "; it starts from nothing, without a vote for now" : ""));
+                                (restored_.empty ? "; it starts uninitialized and does not vote yet" : ""));
   step_distributor(now, std::exchange(restored_, {}), out);
 }
 
-// ---- the pure core
+// ---- the distribution state machine
 
 void ConfigDistributor::step_distributor(Time now, const DistributorEvent& event, Outbox& out) {
   DistributorEffects effects;
   distributor_.step(now, event, effects);
   for (const DistributorEffect& effect : effects)
-    std::visit([&](const auto& notice) { apply(now, notice, out); }, effect);
+    std::visit([&](const auto& e) { apply(now, e, out); }, effect);
 }
 
 void ConfigDistributor::apply(Time, const SaveBucket& effect, Outbox&) {
@@ -228,42 +231,42 @@
 void ConfigDistributor::apply(Time now, const CloseClient& effect, Outbox& out) {
   if (!callers_.contains(conn_of(effect.client))) return;
   counters_.add("distributor.clients_closed");
-  malformed_warning_.line(now, "a client's connection is closed: " + effect.reason, out);
+  malformed_warning_.line(now, "client connection closed: " + effect.reason, out);
   close(now, conn_of(effect.client), out);
 }
 
 void ConfigDistributor::apply(Time, const PublishFinished& event, Outbox& out) {
   const auto it = pending_publications_.find(event.request);
   if (it == pending_publications_.end()) return;
-  const PendingPublication asked = it->second;
+  const PendingPublication publication = it->second;
   pending_publications_.erase(it);
   counters_.add(event.committed ? "distributor.published" : "distributor.publish_refused");
-  json answer = {{"ok", event.committed}, {"service", asked.service}};
+  json answer = {{"ok", event.committed}, {"service", publication.service}};
   if (event.committed) {
     answer["version"] = event.id.version;
     answer["digest"] = to_hex(event.id.digest);
   } else {
     answer["trouble"] = event.reason;
-    answer["standing"] =
-        control::to_string(distributor_.voter_state());  // without a vote nothing was begun: another may
+    // A distributor that is not a voter has proposed nothing, so the operator may publish at another one.
+    answer["standing"] = control::to_string(distributor_.voter_state());
   }
-  if (const auto caller = callers_.find(asked.conn); caller != callers_.end()) {
+  if (const auto caller = callers_.find(publication.conn); caller != callers_.end()) {
     if (caller->second.pending_publications > 0) --caller->second.pending_publications;
-    reply(asked.conn, "publish", std::move(answer), out);
+    reply(publication.conn, "publish", std::move(answer), out);
   }
 }
 
 void ConfigDistributor::apply(Time now, const DistributorLogEvent& event, Outbox& out) {
-  const std::string word(to_string(event.kind));
-  counters_.add("distributor." + word);
+  const std::string kind(to_string(event.kind));
+  counters_.add("distributor." + kind);
   if (event.kind == DistributorLogKind::committed || event.kind == DistributorLogKind::accepted) return;
   if (event.kind == DistributorLogKind::voter_state) {
-    out.log(net::Level::info, "this distributor's standing is now " +
-                                  std::string(control::to_string(distributor_.voter_state())));
+    out.log(net::Level::info,
+            "voter state is now " + std::string(control::to_string(distributor_.voter_state())));
     return;
   }
-  std::string text = word;
-  if (!event.service.empty()) text += " of service " + event.service;
+  std::string text = kind;
+  if (!event.service.empty()) text += ": service " + event.service;
   if (event.version != 0) text += ", version " + std::to_string(event.version);
   if (!event.reason.empty()) text += ": " + event.reason;
   event_warnings_[static_cast<std::size_t>(event.kind)].line(now, std::move(text), out);
@@ -284,10 +287,12 @@
     out.send({net::Concern::control_client, peers_[peer].conn}, line_of(line));
 }
 
-// Drawn, and longer each time: those who come back must not all come at once.
+// Schedules the next connect after a randomized exponential backoff, so that distributors do not all
+// reconnect at the same time.
 void ConfigDistributor::back_off(Time now, Peer& peer) {
-  const auto whole = peer.backoff.count();
-  peer.next_connect = now + Duration(std::uniform_int_distribution<Duration::rep>(whole / 2, whole)(random_));
+  const auto backoff = peer.backoff.count();
+  peer.next_connect =
+      now + Duration(std::uniform_int_distribution<Duration::rep>(backoff / 2, backoff)(random_));
   peer.backoff = std::min<Duration>(peer.backoff * 2, kMaxReconnectBackoff);
   peer.conn = 0;
   peer.connected = false;
@@ -299,7 +304,7 @@
   peers_[*peer].connected = true;
   peers_[*peer].last_received_at = now;
   counters_.add("distributor.peers_reached");
-  // One that starts from nothing subscribes only later, and who says nothing is closed.
+  // An uninitialized distributor subscribes later, and the peer closes a connection that sends nothing.
   send_to_peer(*peer, heartbeat_answer_line(), out);
   step_distributor(now, PeerConnected{*peer}, out);
 }
@@ -308,18 +313,18 @@
   const auto peer = peer_of(event.conn);
   if (!peer) return;
   counters_.add("distributor.peers_not_reached");
-  peer_warning_.line(now, "distributor " + peers_[*peer].address + " can't be reached", out);
+  peer_warning_.line(now, "distributor " + peers_[*peer].address + ": connect failed", out);
   back_off(now, peers_[*peer]);
 }
 
 void ConfigDistributor::handle_peer_lost(Time now, std::uint32_t peer, Outbox& out) {
   counters_.add("distributor.peers_lost");
-  peer_warning_.line(now, "distributor " + peers_[peer].address + " is lost", out);
+  peer_warning_.line(now, "distributor " + peers_[peer].address + ": connection lost", out);
   back_off(now, peers_[peer]);
   step_distributor(now, PeerDisconnected{peer}, out);
 }
 
-// ---- whoever connects
+// ---- accepted connections
 
 void ConfigDistributor::on(Time now, const net::Accepted& event, Outbox& out) {
   callers_[event.conn] = {};
@@ -328,7 +333,8 @@
        reaper_.excess_connections(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("distributor.connections_over");
     malformed_warning_.line(
-        now, "there are more than " + std::to_string(settings_.max_connections) + " connections", out);
+        now, "connection closed: more than " + std::to_string(settings_.max_connections) + " connections",
+        out);
     close(now, conn, out);
   }
 }
@@ -364,44 +370,44 @@
   out.send(conn, line_of(answer));
 }
 
-void ConfigDistributor::on(Time now, const net::Received& notice, Outbox& out) {
-  const bool caller = callers_.contains(notice.conn);
-  const auto peer = caller ? std::nullopt : peer_of(notice.conn);
-  if (!caller && !peer) return;
+void ConfigDistributor::on(Time now, const net::Received& event, Outbox& out) {
+  const bool is_caller = callers_.contains(event.conn);
+  const auto peer = is_caller ? std::nullopt : peer_of(event.conn);
+  if (!is_caller && !peer) return;
   if (peer) peers_[*peer].last_received_at = now;
-  bool whole = false;
+  bool complete_line = false;
   const auto used = read_lines(
-      notice.bytes,
+      event.bytes,
       [&](const json& line) {
-        whole = true;
-        if (caller) {
-          if (callers_.contains(notice.conn)) handle_caller_line(now, notice.conn, line, out);
-        } else if (peer_of(notice.conn)) {
+        complete_line = true;
+        if (is_caller) {
+          if (callers_.contains(event.conn)) handle_caller_line(now, event.conn, line, out);
+        } else if (peer_of(event.conn)) {
           peers_[*peer].backoff = kMinReconnectBackoff;
-          if (const auto event = parse_peer_line(*peer, line)) {
-            step_distributor(now, *event, out);
+          if (const auto parsed = parse_peer_line(*peer, line)) {
+            step_distributor(now, *parsed, out);
           } else {
             send_to_peer(*peer, heartbeat_answer_line(), out);
           }
         }
       },
-      [&](const json&, const std::string& trouble) {
-        whole = true;
+      [&](const json&, const std::string& error) {
+        complete_line = true;
         counters_.add("distributor.malformed");
-        malformed_warning_.line(now, "a line is refused: " + trouble, out);
-        if (callers_.contains(notice.conn))
-          reply(notice.conn, "line", {{"ok", false}, {"trouble", trouble}}, out);
+        malformed_warning_.line(now, "malformed line: " + error, out);
+        if (callers_.contains(event.conn))
+          reply(event.conn, "line", {{"ok", false}, {"trouble", error}}, out);
       });
   if (!used) {
     counters_.add("distributor.malformed");
-    malformed_warning_.line(now, "a connection is closed: a line of it has no end within 32 KiB", out);
-    if (callers_.contains(notice.conn))
-      reply(notice.conn, "line", {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
-    return close(now, notice.conn, out);
+    malformed_warning_.line(now, "connection closed: a line is longer than 32 KiB", out);
+    if (callers_.contains(event.conn))
+      reply(event.conn, "line", {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
+    return close(now, event.conn, out);
   }
-  if (callers_.contains(notice.conn))
-    reaper_.record_input(now, notice.conn, whole, *used < notice.bytes.size());
-  out.net.push_back(net::Consume{notice.conn, *used});
+  if (callers_.contains(event.conn))
+    reaper_.record_input(now, event.conn, complete_line, *used < event.bytes.size());
+  out.net.push_back(net::Consume{event.conn, *used});
 }
 
 void ConfigDistributor::handle_caller_line(Time now, net::ConnId conn, const json& line, Outbox& out) {
@@ -420,37 +426,36 @@
   counters_.add("distributor.asked_by_operators");
   if (what == "publish") return handle_publish(now, conn, line, out);
   if (what == "status")
-    return reply(conn, what, line.contains("service") ? status_of(now, line) : all_services(line), out);
-  if (what == "attached") return reply(conn, what, attached(line), out);
+    return reply(conn, what, line.contains("service") ? service_status(now, line) : all_services(line), out);
+  if (what == "attached") return reply(conn, what, attached_gatekeepers(line), out);
   throw ProtocolError("'what' is not one of publish, status, attached");
 }
 
 void ConfigDistributor::handle_publish(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::string service = text_in(line, "service");
-  const auto refuse = [&](const std::string& trouble) {
+  const auto reject = [&](const std::string& reason) {
     counters_.add("distributor.publish_refused");
-    malformed_warning_.line(now, "a document is not published: " + trouble, out);
+    malformed_warning_.line(now, "configuration not published: " + reason, out);
     reply(conn, "publish",
-          {{"ok", false}, {"service", shortened(service, kMaxServiceNameLength)}, {"trouble", trouble}}, out);
+          {{"ok", false}, {"service", shortened(service, kMaxServiceNameLength)}, {"trouble", reason}}, out);
   };
   std::string content;
   try {
     content = canonical_patch(text_in(line, "content"));
-  } catch (const ProtocolError& trouble) {
-    return refuse(trouble.what());
+  } catch (const ProtocolError& error) {
+    return reject(error.what());
   }
-  if (const std::string trouble = find_config_error(service, content); !trouble.empty())
-    return refuse(trouble);
+  if (const std::string error = find_config_error(service, content); !error.empty()) return reject(error);
   Caller& caller = callers_[conn];
   if (pending_publications_.size() >= kMaxPublications ||
       caller.pending_publications >= kMaxPublicationsPerOperator)
-    return refuse("too much is being published");
+    return reject("too much is being published");
   ++caller.pending_publications;
   pending_publications_[++last_request_] = {conn, service};
   step_distributor(now, PublishRequested{last_request_, service, content}, out);
 }
 
-json ConfigDistributor::status_of(Time now, const json& line) const {
+json ConfigDistributor::service_status(Time now, const json& line) const {
   const std::string service = text_in(line, "service");
   if (!is_service_name(service)) throw ProtocolError("'service' is no service's name");
   const std::string after = line.contains("after") ? text_in(line, "after") : "";
@@ -468,27 +473,29 @@
                  {"lost", json::array()},
                  {"more", false}};
   if (!status.committed.none()) answer["digest"] = to_hex(status.committed.digest);
-  std::size_t room = after.empty() ? kMaxRejectionBytes : 0;
+  std::size_t remaining_bytes = after.empty() ? kMaxRejectionBytes : 0;
   for (const auto& rejection : status.rejections) {
     if (!append_within(answer["refused"],
                        {{"name", rejection.name},
                         {"version", rejection.version},
                         {"reason", shortened(rejection.reason, kMaxStatusReasonLength)}},
-                       room))
+                       remaining_bytes))
       break;
   }
-  room = after.empty() ? kMaxBehindBytes : 0;
+  remaining_bytes = after.empty() ? kMaxBehindBytes : 0;
   for (const std::string& name : status.behind) {
-    if (!append_within(answer["behind"], name, room)) break;
+    if (!append_within(answer["behind"], name, remaining_bytes)) break;
   }
-  // All of these, a page a line: the command asks the other distributors for each.
+  // Lost gatekeepers are listed completely, in pages of one line: the command asks the other distributors
+  // whether each of them is attached there.
   std::vector<Distributor::LostGatekeeper> lost = distributor_.lost_gatekeepers();
   std::ranges::sort(lost, {}, &Distributor::LostGatekeeper::name);
-  room = kMaxLostBytes;
-  for (const Distributor::LostGatekeeper& l : lost) {
-    if (l.name <= after) continue;
-    const auto ago = std::chrono::duration_cast<std::chrono::milliseconds>(now - l.lost_at).count();
-    if (!append_within(answer["lost"], {{"name", l.name}, {"ago_ms", ago}}, room)) {
+  remaining_bytes = kMaxLostBytes;
+  for (const Distributor::LostGatekeeper& gatekeeper : lost) {
+    if (gatekeeper.name <= after) continue;
+    const auto ago_ms =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - gatekeeper.lost_at).count();
+    if (!append_within(answer["lost"], {{"name", gatekeeper.name}, {"ago_ms", ago_ms}}, remaining_bytes)) {
       answer["more"] = true;
       break;
     }
@@ -521,20 +528,20 @@
   return answer;
 }
 
-json ConfigDistributor::attached(const json& line) const {
+json ConfigDistributor::attached_gatekeepers(const json& line) const {
   const auto names = line.find("names");
-  if (names == line.end() || !names->is_array() || names->size() > kMaxNamesInQuestion)
-    throw ProtocolError("'names' is not a list of at most " + std::to_string(kMaxNamesInQuestion) + " names");
-  json here = json::array();
-  for (const json& one : *names) {
-    if (!one.is_string()) throw ProtocolError("'names' holds what is not text");
-    const std::string name = one.get<std::string>();
-    if (distributor_.is_attached(name)) here.push_back(name);
+  if (names == line.end() || !names->is_array() || names->size() > kMaxNamesInQuery)
+    throw ProtocolError("'names' is not a list of at most " + std::to_string(kMaxNamesInQuery) + " names");
+  json attached = json::array();
+  for (const json& entry : *names) {
+    if (!entry.is_string()) throw ProtocolError("'names' holds what is not text");
+    const std::string name = entry.get<std::string>();
+    if (distributor_.is_attached(name)) attached.push_back(name);
   }
-  return {{"ok", true}, {"names", std::move(here)}};
+  return {{"ok", true}, {"names", std::move(attached)}};
 }
 
-// ---- time
+// ---- timers, counters and the end
 
 void ConfigDistributor::on(Time now, const net::TimerFired& event, Outbox& out) {
   if (event.key.concern != net::Concern::control) return;
@@ -552,22 +559,22 @@
   }
   if (now < next_reap_at_) return;
   next_reap_at_ = now + kReapInterval;
-  const auto waits = [this](net::ConnId c) {
+  const auto awaits_publication = [this](net::ConnId c) {
     const auto it = callers_.find(c);
     return it != callers_.end() && it->second.pending_publications > 0;
   };
-  for (const auto& [conn, stuck] : reaper_.expired(now, waits)) {
+  for (const auto& [conn, stuck] : reaper_.expired(now, awaits_publication)) {
     counters_.add(stuck ? "distributor.connections_stuck" : "distributor.connections_silent");
     malformed_warning_.line(now,
-                            std::string("a connection is closed: ") +
-                                (stuck ? "no whole line came in time" : "it says nothing any more"),
+                            std::string("connection closed: ") +
+                                (stuck ? "no complete line within the time limit" : "idle timeout"),
                             out);
     close(now, conn, out);
   }
 }
 
 void ConfigDistributor::on(Time, const net::StopRequested&, Outbox& out) {
-  out.log(net::Level::info, settings_.name + " ends");
+  out.log(net::Level::info, settings_.name + " stops on request");
   out.net.push_back(net::Exit{0});
 }
 
@@ -576,13 +583,13 @@
   Counters all = counters_;
   if (add_runtime_counters_) add_runtime_counters_(all);
   for (const auto& [name, value] : all.all()) text += name + " " + std::to_string(value) + "\n";
-  std::size_t up = 0;
-  for (const Peer& peer : peers_) up += peer.connected ? 1 : 0;
+  std::size_t connected_peers = 0;
+  for (const Peer& peer : peers_) connected_peers += peer.connected ? 1 : 0;
   text += "distributor.now.standing_" + std::string(control::to_string(distributor_.voter_state())) + " 1\n";
   text += "distributor.now.services " + std::to_string(distributor_.records().size()) + "\n";
   text += "distributor.now.clients " + std::to_string(distributor_.clients()) + "\n";
   text += "distributor.now.connections " + std::to_string(callers_.size()) + "\n";
-  text += "distributor.now.peers_up " + std::to_string(up) + "\n";
+  text += "distributor.now.peers_up " + std::to_string(connected_peers) + "\n";
   out.net.push_back(net::Print{text});
 }
 
--- a/src/control/config_distributor.h
+++ b/src/control/config_distributor.h
@@ -1,16 +1,17 @@
-// A distributor of configuration as a program: distribution::Distributor between its files, its connections
-// to the other distributors, and whoever connects (gatekeepers, other distributors, operators). What is
-// decided is decided there; here lines become its events and its effects become lines and files. A reducer:
-// the runtime does the I/O.
+// The shell of a configuration distributor: connects distribution::Distributor, which makes every decision,
+// to its files, to the other distributors and to the clients that connect (gatekeepers, other distributors,
+// operators). Lines and files become events of the Distributor; its effects become lines and files. A
+// reducer: the runtime does the I/O.
 //
-// Files, in one directory: `bucket-00` to `bucket-63`, each the records of the services in it, and `known`,
-// which names the buckets that are there and says whether this distributor has had a vote. In one step all
-// buckets are written first, then `known`, then whatever rests on them goes out. So a bucket that `known`
-// does not name rests under nothing that was said, and one that it names and that is not there, or can't be
-// read, or holds a document that is not its digest's, has to be looked at by somebody: one line, and exit 1.
-// Without `known`, or before it ever had a vote, a distributor counts as one that starts from nothing.
+// Files, in one directory: `bucket-00` to `bucket-63`, each with the records of the services in that bucket,
+// and `known`, the index, which lists the buckets that exist and whether this distributor has ever been a
+// voter. Each step writes its buckets first, then the index, then sends the messages that depend on them. A
+// bucket that is not in the index was therefore never the basis of a sent message. A bucket that is in the
+// index and is missing, unreadable, or holds a configuration that does not match its digest needs an
+// operator: the program logs one line and exits with status 1. Without an index, or before it first became a
+// voter, a distributor starts uninitialized.
 //
-// Memory: the documents, and for each connection what the runtime holds of it.
+// Memory: the configurations, and the runtime's buffers of each connection.
 #pragma once
 
 #include <functional>
@@ -28,20 +29,22 @@
 namespace graniterun::control {
 
 struct ConfigDistributorSettings {
-  std::string listen{};              // where gatekeepers, distributors and operators connect
+  std::string listen{};              // address for gatekeepers, distributors and operators
   std::vector<std::string> peers{};  // addresses of the other distributors
-  std::string directory{};           // of its files; it is there
+  std::string directory{};           // holds the files; must exist
   std::string name{"distributor"};
   distribution::Key key{};
-  std::size_t bytes_per_second = 16 * 1024 * 1024;  // of documents delivered to all
-  std::size_t max_connections = 2048;  // beyond: the one idle longest that is no client goes, or the newest
-  std::uint64_t seed{};                // another number at each start
+  std::size_t bytes_per_second = 16 * 1024 * 1024;  // configuration content delivered, all clients together
+  // Above this, the connection that is idle longest and is no client is closed; without one, the newest.
+  std::size_t max_connections = 2048;
+  std::uint64_t seed{};  // differs at each start
 };
 
 class ConfigDistributor {
  public:
-  // `others`: adds what the runtime has counted, where counters are asked for.
-  explicit ConfigDistributor(ConfigDistributorSettings settings, std::function<void(Counters&)> others = {});
+  // `add_runtime_counters` adds the runtime's counters to those that are printed on request.
+  explicit ConfigDistributor(ConfigDistributorSettings settings,
+                             std::function<void(Counters&)> add_runtime_counters = {});
 
   void step(Time now, const net::Event& event, net::Effects& effects);
   const Counters& counters() const { return counters_; }
@@ -50,21 +53,23 @@
  private:
   struct Peer {
     std::string address{};
-    std::uint32_t conn = 0;  // the last one asked for; 0: none
+    std::uint32_t conn = 0;  // number of the current connection or connect attempt; 0: none
     bool connected = false;
     Time next_connect{};
     Duration backoff{};
     Time last_received_at{};
   };
   struct Caller {
-    bool is_client = false;  // it has said what a gatekeeper or distributor says; else it may be an operator
-    std::size_t pending_publications = 0;  // of its own that are not answered yet
+    // Has sent a line of a gatekeeper or distributor; otherwise it may be an operator.
+    bool is_client = false;
+    std::size_t pending_publications = 0;  // its own, not answered yet
   };
   struct PendingPublication {
     net::ConnId conn{};
     std::string service{};
   };
-  static constexpr std::size_t kKinds = static_cast<std::size_t>(distribution::DistributorLogKind::full) + 1;
+  static constexpr std::size_t kLogKinds =
+      static_cast<std::size_t>(distribution::DistributorLogKind::full) + 1;
 
   void on(Time now, const net::Started& event, Outbox& out);
   void on(Time now, const net::FileRead& event, Outbox& out);
@@ -77,17 +82,17 @@
   void on(Time now, const net::StopRequested& event, Outbox& out);
   void on(Time now, const net::CountersRequested& event, Outbox& out);
 
-  // Its files.
+  // Files.
   std::string path_of(std::size_t bucket) const;
   std::string index_path() const;
   std::string index_text() const;
   void read_index(const net::FileRead& event, Outbox& out);
   void read_bucket(const net::FileRead& event, Outbox& out);
-  void reject_file(const std::string& path, const std::string& why, Outbox& out);
+  void reject_file(const std::string& path, const std::string& reason, Outbox& out);
   void start_serving(Time now, Outbox& out);
   void write_changed_files(net::Effects& effects);
 
-  // The pure core.
+  // The distribution state machine.
   void step_distributor(Time now, const distribution::DistributorEvent& event, Outbox& out);
   void apply(Time now, const distribution::SaveBucket& effect, Outbox& out);
   void apply(Time now, const distribution::SubscribeToPeer& effect, Outbox& out);
@@ -108,9 +113,9 @@
   void handle_caller_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void handle_operator_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void handle_publish(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
-  nlohmann::json status_of(Time now, const nlohmann::json& line) const;
+  nlohmann::json service_status(Time now, const nlohmann::json& line) const;
   nlohmann::json all_services(const nlohmann::json& line) const;
-  nlohmann::json attached(const nlohmann::json& line) const;
+  nlohmann::json attached_gatekeepers(const nlohmann::json& line) const;
   void reply(net::ConnId conn, std::string_view what, nlohmann::json answer, Outbox& out);
   void send(distribution::ClientId client, const nlohmann::json& line, Outbox& out);
   void send_to_peer(std::uint32_t peer, const nlohmann::json& line, Outbox& out);
@@ -126,24 +131,24 @@
   Counters counters_;
   RateLimitedWarning malformed_warning_;
   RateLimitedWarning peer_warning_;
-  RateLimitedWarning event_warnings_[kKinds];
+  RateLimitedWarning event_warnings_[kLogKinds];
   downstream::ConnectionReaper reaper_;
   std::mt19937_64 random_;
   std::vector<Peer> peers_;
   std::map<net::ConnId, Caller> callers_;
-  std::map<std::uint64_t, PendingPublication> pending_publications_;  // by request
+  std::map<std::uint64_t, PendingPublication> pending_publications_;  // by publish request id
   std::uint64_t last_request_ = 0;
   std::uint32_t last_conn_ = 0;
-  Time next_reap_at_{};  // at connections that say nothing
+  Time next_reap_at_{};  // next check for idle connections
 
   bool listening_ = false;
   bool failed_ = false;
-  bool index_read_ = false;  // `known` has been looked for
-  bool has_voted_ = false;   // as `known` says
+  bool index_read_ = false;  // the read of `known` has finished, whether or not it exists
+  bool has_voted_ = false;   // whether this distributor has ever been a voter, as in `known`
   std::set<std::size_t> stored_buckets_;
-  std::set<std::size_t> unread_buckets_;  // buckets that are still awaited at the start
+  std::set<std::size_t> unread_buckets_;  // read requests outstanding at the start
   distribution::Restored restored_;
-  std::set<std::size_t> changed_buckets_;  // buckets that changed in this step
+  std::set<std::size_t> changed_buckets_;  // to be written at the end of this step
 };
 
 }  // namespace graniterun::control
--- a/src/control/config_lines.cpp
+++ b/src/control/config_lines.cpp
@@ -8,14 +8,15 @@
 using nlohmann::json;
 using namespace distribution;
 
-constexpr std::int64_t kMaxVersion = std::int64_t{1} << 53;  // every JSON reader holds it exactly
+constexpr std::int64_t kMaxVersion =
+    std::int64_t{1} << 53;  // the largest integer range that a JSON double represents exactly
 constexpr const char* kVoterStates[] = {"new", "recovering", "voting"};
 
-// Cut at `most` bytes, not within a character.
-std::string truncated(std::string text, std::size_t most) {
-  if (text.size() <= most) return text;
-  while (most > 0 && (static_cast<unsigned char>(text[most]) & 0xC0) == 0x80) --most;
-  text.resize(most);
+// The first `max_bytes` of the text, without a partial UTF-8 sequence at the end.
+std::string truncated(std::string text, std::size_t max_bytes) {
+  if (text.size() <= max_bytes) return text;
+  while (max_bytes > 0 && (static_cast<unsigned char>(text[max_bytes]) & 0xC0) == 0x80) --max_bytes;
+  text.resize(max_bytes);
   return text;
 }
 
@@ -26,10 +27,10 @@
   return *it;
 }
 
-const json& list_in(const json& object, const char* name, std::size_t most) {
+const json& list_in(const json& object, const char* name, std::size_t max_size) {
   const auto it = object.find(name);
-  if (it == object.end() || !it->is_array() || it->size() > most)
-    throw ProtocolError(std::string("'") + name + "' is not a list of at most " + std::to_string(most));
+  if (it == object.end() || !it->is_array() || it->size() > max_size)
+    throw ProtocolError(std::string("'") + name + "' is not a list of at most " + std::to_string(max_size));
   return *it;
 }
 
@@ -40,11 +41,11 @@
   return it->get<bool>();
 }
 
-Version version_in(const json& object, const char* name, std::int64_t least = 1) {
-  return static_cast<Version>(integer_in(object, name, least, kMaxVersion));
+Version version_in(const json& object, const char* name, std::int64_t min_version = 1) {
+  return static_cast<Version>(integer_in(object, name, min_version, kMaxVersion));
 }
 
-std::uint64_t number_in(const json& object, const char* name) {
+std::uint64_t unsigned_in(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end() || !it->is_number_unsigned())
     throw ProtocolError(std::string("'") + name + "' is not a whole number");
@@ -74,34 +75,34 @@
   return reason;
 }
 
-void put_version_id(json& line, const VersionId& stamp) {
-  if (stamp.none()) return;
-  line["version"] = stamp.version;
-  line["digest"] = to_hex(stamp.digest);
+void put_version_id(json& line, const VersionId& id) {
+  if (id.none()) return;
+  line["version"] = id.version;
+  line["digest"] = to_hex(id.digest);
 }
 
 VersionId version_id_in(const json& object) {
-  VersionId stamp;
-  stamp.version = version_in(object, "version");
-  if (!parse_digest(text_in(object, "digest"), stamp.digest))
+  VersionId id;
+  id.version = version_in(object, "version");
+  if (!parse_digest(text_in(object, "digest"), id.digest))
     throw ProtocolError("'digest' is not 64 hex digits");
-  return stamp;
+  return id;
 }
 
-// Of nothing there is neither number nor digest.
+// An object with neither version nor digest has the empty id.
 VersionId optional_version_id_in(const json& object) {
   return object.contains("version") || object.contains("digest") ? version_id_in(object) : VersionId{};
 }
 
-json with_version_id(const std::string& service, const VersionId& stamp) {
+json service_with_version_id(const std::string& service, const VersionId& id) {
   json object = {{"service", service}};
-  put_version_id(object, stamp);
+  put_version_id(object, id);
   return object;
 }
 
-json to_json(const ServiceConfig& document) {
-  json object = with_version_id(document.service, document.id);
-  object["content"] = document.content;
+json to_json(const ServiceConfig& config) {
+  json object = service_with_version_id(config.service, config.id);
+  object["content"] = config.content;
   return object;
 }
 
@@ -116,26 +117,25 @@
   return {service_in(object), version_id_in(object), content_in(object)};
 }
 
-std::vector<VersionsNotified::Entry> entries_in(const json& object, const char* name, std::size_t most) {
-  std::vector<VersionsNotified::Entry> all;
-  for (const json& one : list_in(object, name, most)) {
-    if (!one.is_object()) throw ProtocolError(std::string("'") + name + "' holds what is no object");
-    all.push_back({service_in(one), optional_version_id_in(one)});
+std::vector<VersionsNotified::Entry> entries_in(const json& object, const char* name, std::size_t max_size) {
+  std::vector<VersionsNotified::Entry> entries;
+  for (const json& entry : list_in(object, name, max_size)) {
+    if (!entry.is_object()) throw ProtocolError(std::string("'") + name + "' holds what is no object");
+    entries.push_back({service_in(entry), optional_version_id_in(entry)});
   }
-  return all;
+  return entries;
 }
 
 VoterState voter_state_in(const json& object) {
-  const std::string word = text_in(object, "standing");
-  const auto known = std::find(std::begin(kVoterStates), std::end(kVoterStates), word);
-  if (known == std::end(kVoterStates))
-    throw ProtocolError("'standing' is not one of new, recovering, voting");
-  return static_cast<VoterState>(known - std::begin(kVoterStates));
+  const std::string name = text_in(object, "standing");
+  const auto it = std::find(std::begin(kVoterStates), std::end(kVoterStates), name);
+  if (it == std::end(kVoterStates)) throw ProtocolError("'standing' is not one of new, recovering, voting");
+  return static_cast<VoterState>(it - std::begin(kVoterStates));
 }
 
-// A document as it is saved: its service stands beside it.
-json to_stored(const ServiceConfig& document) {
-  json object = to_json(document);
+// The stored form of a configuration, without the service name, which the enclosing record holds.
+json to_stored(const ServiceConfig& config) {
+  json object = to_json(config);
   object.erase("service");
   return object;
 }
@@ -143,8 +143,8 @@
 std::optional<ServiceConfig> stored_config_in(const json& object, const char* name,
                                               const std::string& service) {
   if (!object.contains(name)) return std::nullopt;
-  const json& saved = object_in(object, name);
-  return ServiceConfig{service, version_id_in(saved), content_in(saved)};
+  const json& stored = object_in(object, name);
+  return ServiceConfig{service, version_id_in(stored), content_in(stored)};
 }
 
 json parsed_line(std::string_view line) {
@@ -155,7 +155,9 @@
 
 }  // namespace
 
-std::string_view to_string(VoterState standing) { return kVoterStates[static_cast<std::size_t>(standing)]; }
+std::string_view to_string(VoterState voter_state) {
+  return kVoterStates[static_cast<std::size_t>(voter_state)];
+}
 
 bool is_gatekeeper_name(std::string_view name) {
   return !name.empty() && name.size() <= kMaxGatekeeperNameLength &&
@@ -163,12 +165,13 @@
                       [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7F; });
 }
 
-// ---- from whoever connected
+// ---- lines from a client
 
 json subscribe_line(const std::string& name, const std::vector<VersionsNotified::Entry>& held, bool primary) {
-  json all = json::array();
-  for (const VersionsNotified::Entry& entry : held) all.push_back(with_version_id(entry.service, entry.id));
-  return {{"op", "subscribe"}, {"name", name}, {"held", std::move(all)}, {"primary", primary}};
+  json services = json::array();
+  for (const VersionsNotified::Entry& entry : held)
+    services.push_back(service_with_version_id(entry.service, entry.id));
+  return {{"op", "subscribe"}, {"name", name}, {"held", std::move(services)}, {"primary", primary}};
 }
 json subscribe_all_line(const std::string& name) {
   return {{"op", "subscribe"}, {"name", name}, {"all", true}};
@@ -179,15 +182,15 @@
   return {{"op", "fetch"}, {"service", service}, {"version", version}};
 }
 json report_line(const ReportStatus& report) {
-  json line = with_version_id(report.service, report.id);
+  json line = service_with_version_id(report.service, report.id);
   line["op"] = "has";
   line["in_force"] = report.active;
   if (!report.reason.empty()) line["reason"] = truncated(report.reason, kMaxSentReasonLength);
   return line;
 }
-json return_line(const ServiceConfig& document) { return {{"op", "hand"}, {"document", to_json(document)}}; }
-json propose_line(std::uint64_t proposal, const ServiceConfig& document) {
-  return {{"op", "propose"}, {"proposal", proposal}, {"document", to_json(document)}};
+json return_line(const ServiceConfig& config) { return {{"op", "hand"}, {"document", to_json(config)}}; }
+json propose_line(std::uint64_t proposal, const ServiceConfig& config) {
+  return {{"op", "propose"}, {"proposal", proposal}, {"document", to_json(config)}};
 }
 json heartbeat_answer_line() { return {{"op", "beat"}}; }
 
@@ -210,26 +213,26 @@
                           reason_in(line)};
   if (op == "hand") return ConfigReturned{client, config_in(object_in(line, "document"))};
   if (op == "propose")
-    return ProposalReceived{client, number_in(line, "proposal"), config_in(object_in(line, "document"))};
+    return ProposalReceived{client, unsigned_in(line, "proposal"), config_in(object_in(line, "document"))};
   if (op == "beat") return std::nullopt;
   throw ProtocolError("'op' is not one of subscribe, primary, heard, fetch, has, hand, propose, beat");
 }
 
-// ---- from a distributor
+// ---- lines from a distributor
 
-json versions_line(const NotifyVersions& notice) {
-  json all = json::array();
-  for (const PeerVersionsNotified::Entry& entry : notice.entries) {
-    all.push_back(with_version_id(entry.service, entry.id));
-    if (notice.with_highest_seen) all.back()["seen"] = entry.highest_seen;
+json versions_line(const NotifyVersions& notification) {
+  json entries = json::array();
+  for (const PeerVersionsNotified::Entry& entry : notification.entries) {
+    entries.push_back(service_with_version_id(entry.service, entry.id));
+    if (notification.with_highest_seen) entries.back()["seen"] = entry.highest_seen;
   }
   return {{"event", "notices"},
-          {"entries", std::move(all)},
-          {"complete", notice.complete},
-          {"standing", to_string(notice.voter_state)}};
+          {"entries", std::move(entries)},
+          {"complete", notification.complete},
+          {"standing", to_string(notification.voter_state)}};
 }
-json config_line(const ServiceConfig& document) {
-  json line = to_json(document);
+json config_line(const ServiceConfig& config) {
+  json line = to_json(config);
   line["event"] = "document";
   return line;
 }
@@ -260,23 +263,24 @@
   if (!line.is_object()) throw ProtocolError("the line is not a JSON object");
   const std::string event = text_in(line, "event");
   if (event == "notices") {
-    PeerVersionsNotified noticed{peer, {}, flag_in(line, "complete"), voter_state_in(line)};
-    for (const json& one : list_in(line, "entries", kMaxNotifiedVersions)) {
-      if (!one.is_object()) throw ProtocolError("'entries' holds what is no object");
-      noticed.entries.push_back({service_in(one), optional_version_id_in(one), version_in(one, "seen", 0)});
+    PeerVersionsNotified notification{peer, {}, flag_in(line, "complete"), voter_state_in(line)};
+    for (const json& entry : list_in(line, "entries", kMaxNotifiedVersions)) {
+      if (!entry.is_object()) throw ProtocolError("'entries' holds what is no object");
+      notification.entries.push_back(
+          {service_in(entry), optional_version_id_in(entry), version_in(entry, "seen", 0)});
     }
-    return noticed;
+    return notification;
   }
   if (event == "document") return PeerConfigDelivered{peer, config_in(line)};
   if (event == "missing") return PeerConfigMissing{peer, service_in(line)};
   if (event == "proposal")
-    return ProposalAnswered{peer, number_in(line, "proposal"), flag_in(line, "accepted"),
+    return ProposalAnswered{peer, unsigned_in(line, "proposal"), flag_in(line, "accepted"),
                             version_in(line, "seen", 0)};
   if (event == "beat") return std::nullopt;
   throw ProtocolError("'event' is not one of notices, document, missing, proposal, beat");
 }
 
-// ---- what is saved
+// ---- stored records
 
 std::string serialize_records(const std::map<std::string, ServiceRecord>& records) {
   std::string text;
@@ -311,11 +315,11 @@
 
 std::string canonical_patch(std::string_view text) {
   bool too_deep = false;
-  const auto look = [&](int depth, json::parse_event_t, json&) {
+  const auto check_depth = [&](int depth, json::parse_event_t, json&) {
     too_deep = too_deep || depth > kMaxPatchDepth;
     return !too_deep;
   };
-  const json patch = json::parse(text, look, false);
+  const json patch = json::parse(text, check_depth, false);
   if (too_deep) throw ProtocolError("the patch is nested deeper than " + std::to_string(kMaxPatchDepth));
   if (patch.is_discarded() || !patch.is_object()) throw ProtocolError("the patch is not a JSON object");
   for (const auto& [key, value] : patch.items()) {
@@ -333,9 +337,9 @@
   if (content.empty() || content.size() > kMaxConfigBytes)
     return "the document has " + std::to_string(content.size()) + " bytes, and may have 1 to " +
            std::to_string(kMaxConfigBytes);
-  // The longest line that carries a document.
-  ServiceConfig longest{std::string(service), {static_cast<Version>(kMaxVersion), {}}, std::string(content)};
-  if (line_of(propose_line(~std::uint64_t{}, longest)).size() > kMaxLineBytes)
+  // A proposal is the longest line that carries a configuration.
+  ServiceConfig config{std::string(service), {static_cast<Version>(kMaxVersion), {}}, std::string(content)};
+  if (line_of(propose_line(~std::uint64_t{}, config)).size() > kMaxLineBytes)
     return "the document does not fit a line of " + std::to_string(kMaxLineBytes) +
            " bytes once it is escaped";
   return {};
--- a/src/control/subscription.cpp
+++ b/src/control/subscription.cpp
@@ -15,37 +15,38 @@
 
 constexpr Duration kTick = 50ms;
 constexpr Duration kConnectTimeout = 1s;
-constexpr std::size_t kPageBytes = 28 * 1024;  // of services, in a line of at most 32 KiB
+constexpr std::size_t kMaxPageBytes = 28 * 1024;  // services in one line of at most kMaxLineBytes
 
-// What a kind is counted as, and how it stands in the log; none: it is counted only.
-struct Kind {
+// The counter's suffix and the log text of an event's kind. Without a level the event is only counted.
+struct LogFormat {
   std::string_view counter;
   std::optional<net::Level> level;
-  std::string_view words;
+  std::string_view text;
 };
-constexpr Kind kind_of(SubscriberLogKind told) {
+constexpr LogFormat log_format_of(SubscriberLogKind kind) {
   using net::Level;
-  switch (told) {
+  switch (kind) {
     case SubscriberLogKind::activated:
       return {"in_force", Level::info, "is in force"};
     case SubscriberLogKind::rejected:
       return {"refused", Level::warning, "is refused, and what was in force stays"};
     case SubscriberLogKind::stale:
-      return {"stale", std::nullopt, "is older than what is in force"};
+      return {"stale", std::nullopt, "is older than the active version"};
     case SubscriberLogKind::conflict:
-      return {"conflicts", Level::error, "is told with another content than the one in force, which stays"};
+      return {"conflicts", Level::error,
+              "conflicts with the active content of that version, which stays active"};
     case SubscriberLogKind::unsound:
-      return {"unsound", Level::warning, "is not what its digest says, and is passed over"};
+      return {"unsound", Level::warning, "is ignored, its digest does not match"};
     case SubscriberLogKind::unrequested:
-      return {"unasked", Level::warning, "was not asked for"};
+      return {"unasked", Level::warning, "is ignored, it was not requested"};
     case SubscriberLogKind::fetch_timed_out:
       return {"fetch_late", std::nullopt, "was not delivered in time"};
     case SubscriberLogKind::source_connected:
       return {"source_up", Level::info, "a distributor is reached"};
     case SubscriberLogKind::source_disconnected:
-      return {"source_down", Level::warning, "a distributor is not reached, or is lost"};
+      return {"source_down", Level::warning, "connect failed or connection lost to a distributor"};
     case SubscriberLogKind::current:
-      return {"current", Level::info, "what the distributors have in force is in force here, or refused"};
+      return {"current", Level::info, "every committed configuration is active or rejected here"};
     case SubscriberLogKind::wait_expired:
       return {"waited_out", Level::warning, "no distributor has told all that is in force"};
   }
@@ -56,12 +57,15 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// A text of somebody's settings, as part of a line.
-std::string plain(std::string text) {
-  std::size_t most = kMaxSentReasonLength;
-  // Not within a character.
-  while (text.size() > most && most > 0 && (static_cast<unsigned char>(text[most]) & 0xC0) == 0x80) --most;
-  if (text.size() > most) text.resize(most);
+// Text from settings as part of a log line or a message: cut to kMaxSentReasonLength, control characters
+// replaced by spaces.
+std::string sanitized(std::string text) {
+  std::size_t max_bytes = kMaxSentReasonLength;
+  // Cuts before a UTF-8 sequence, never within it.
+  while (text.size() > max_bytes && max_bytes > 0 &&
+         (static_cast<unsigned char>(text[max_bytes]) & 0xC0) == 0x80)
+    --max_bytes;
+  if (text.size() > max_bytes) text.resize(max_bytes);
   std::replace_if(
       text.begin(), text.end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; }, ' ');
   return text;
@@ -70,24 +74,24 @@
 }  // namespace
 
 Subscription::Subscription(SubscriberSettings settings, Counters& counters, Apply apply)
-    : Subscription(std::move(settings), counters, std::move(apply), Lane{}) {}
+    : Subscription(std::move(settings), counters, std::move(apply), IdRange{}) {}
 
-Subscription::Subscription(SubscriberSettings settings, Counters& counters, Apply apply, Lane lane)
+Subscription::Subscription(SubscriberSettings settings, Counters& counters, Apply apply, IdRange ids)
     : name_(settings.name),
       distributors_(settings.distributors),
       wait_(settings.wait),
       counters_(counters),
       apply_(std::move(apply)),
-      lane_(lane),
+      ids_(ids),
       subscriber_(std::move(settings)) {}
 
 void Subscription::start(Time now, Outbox& out) {
   SubscriberEffects effects;
   subscriber_.start(now, effects);
-  std::vector<SubscriberEvent> more;
-  for (const SubscriberEffect& effect : effects) apply(now, effect, more, out);
-  for (const SubscriberEvent& event : more) step(now, event, out);
-  out.arm(net::Concern::configuration, lane_.number, now + kTick);
+  std::vector<SubscriberEvent> follow_up_events;
+  for (const SubscriberEffect& effect : effects) apply(now, effect, follow_up_events, out);
+  for (const SubscriberEvent& event : follow_up_events) step(now, event, out);
+  out.arm(net::Concern::configuration, ids_.number, now + kTick);
 }
 
 void Subscription::base_changed(Time now, Outbox& out) {
@@ -101,7 +105,7 @@
   for (const auto& [source, link] : links_) {
     if (link.conn == conn) return source;
   }
-  return std::nullopt;  // of a connection that was given up
+  return std::nullopt;  // the connection was closed here
 }
 
 void Subscription::on(Time now, const net::Connected& event, Outbox& out) {
@@ -137,33 +141,33 @@
 void Subscription::on(Time now, const net::Received& event, Outbox& out) {
   const auto source = source_of(event.conn);
   if (!source) return;
-  // A line may end the connection: what came after it is not heard.
-  const auto open = [&] { return source_of(event.conn) == source; };
-  bool bad = false;
-  const auto refuse = [&](const std::string& trouble) {
-    if (std::exchange(bad, true)) return;
+  // A line may close the connection; the lines after it are then ignored.
+  const auto is_open = [&] { return source_of(event.conn) == source; };
+  bool malformed = false;
+  const auto record_malformed = [&](const std::string& error) {
+    if (std::exchange(malformed, true)) return;
     counters_.add("config.distribution.malformed");
     log_limited(now, malformed_, net::Level::warning,
                 "configuration: the distributor " + distributors_[*source] +
-                    " says what can't be read, and is given up: " + plain(trouble),
+                    " says what can't be read, and is given up: " + sanitized(error),
                 out);
   };
   const auto used = read_lines(
       event.bytes,
       [&](const json& object) {
-        if (!bad && open()) handle_line(now, *source, object, out);
+        if (!malformed && is_open()) handle_line(now, *source, object, out);
       },
-      [&](const json&, const std::string& trouble) {
-        if (open()) refuse(trouble);
+      [&](const json&, const std::string& error) {
+        if (is_open()) record_malformed(error);
       });
-  if (!open()) return;
-  if (!used) refuse("a line has no end within 32 KiB");
-  if (bad) return close_source(now, *source, out);
+  if (!is_open()) return;
+  if (!used) record_malformed("a line is longer than 32 KiB");
+  if (malformed) return close_source(now, *source, out);
   out.net.push_back(net::Consume{event.conn, *used});
 }
 
 void Subscription::on(Time now, const net::TimerFired&, Outbox& out) {
-  out.arm(net::Concern::configuration, lane_.number, now + kTick);
+  out.arm(net::Concern::configuration, ids_.number, now + kTick);
   step(now, Tick{}, out);
 }
 
@@ -179,7 +183,7 @@
 void Subscription::handle_line(Time now, std::uint32_t source, const json& object, Outbox& out) {
   const SubscriberEvent event = parse_subscriber_line(source, object);
   counters_.add("config.distribution.lines_in");
-  // Each notice and each beat has its answer, whatever comes of it.
+  // Every notification and every heartbeat is answered, whatever the Subscriber does with it.
   if (std::holds_alternative<HeartbeatReceived>(event)) send(source, heartbeat_answer_line(), out);
   const net::ConnId conn = links_.at(source).conn;
   step(now, event, out);
@@ -187,28 +191,30 @@
     send(source, acknowledge_line(), out);
 }
 
-// ---- what the Subscriber asks for
+// ---- effects of the Subscriber
 
 void Subscription::step(Time now, const SubscriberEvent& event, Outbox& out) {
-  std::vector<SubscriberEvent> more{event};
-  for (std::size_t i = 0; i < more.size(); ++i) {
-    const SubscriberEvent next = std::move(more[i]);
+  std::vector<SubscriberEvent> events{event};
+  for (std::size_t i = 0; i < events.size(); ++i) {
+    const SubscriberEvent next = std::move(events[i]);
     SubscriberEffects effects;
     subscriber_.step(now, next, effects);
-    for (const SubscriberEffect& effect : effects) apply(now, effect, more, out);
+    for (const SubscriberEffect& effect : effects) apply(now, effect, events, out);
   }
 }
 
-void Subscription::apply(Time now, const SubscriberEffect& effect, std::vector<SubscriberEvent>& more,
-                         Outbox& out) {
+void Subscription::apply(Time now, const SubscriberEffect& effect,
+                         std::vector<SubscriberEvent>& follow_up_events, Outbox& out) {
   if (const auto* open = std::get_if<OpenSource>(&effect)) {
-    const net::ConnId conn{net::Concern::configuration, lane_.number + 1 + lane_.of * connections_++};
-    if (const auto old = links_.find(open->source); old != links_.end()) out.drop(old->second.conn);
+    const net::ConnId conn{net::Concern::configuration,
+                           ids_.number + 1 + ids_.stride * opened_connections_++};
+    if (const auto previous = links_.find(open->source); previous != links_.end())
+      out.drop(previous->second.conn);
     links_.insert_or_assign(open->source, Link{conn});
     counters_.add("config.distribution.connects");
     out.net.push_back(net::Connect{conn, distributors_.at(open->source), kConnectTimeout});
-  } else if (const auto* shut = std::get_if<CloseSource>(&effect)) {
-    const auto it = links_.find(shut->source);
+  } else if (const auto* close = std::get_if<CloseSource>(&effect)) {
+    const auto it = links_.find(close->source);
     if (it == links_.end()) return;
     counters_.add("config.distribution.shut");
     out.drop(it->second.conn);
@@ -222,98 +228,99 @@
     send(fetch->source, fetch_line(fetch->service, fetch->version), out);
   } else if (const auto* report = std::get_if<ReportStatus>(&effect)) {
     send(report->source, report_line(*report), out);
-  } else if (const auto* hand = std::get_if<ReturnConfig>(&effect)) {
+  } else if (const auto* returned = std::get_if<ReturnConfig>(&effect)) {
     counters_.add("config.distribution.handed");
-    send(hand->source, return_line(hand->config), out);
+    send(returned->source, return_line(returned->config), out);
   } else if (const auto* apply = std::get_if<distribution::ApplyConfigs>(&effect)) {
-    const auto trouble = apply_(now, apply->configs, out);
-    counters_.add(trouble ? "config.distribution.sets_refused" : "config.distribution.sets_taken");
-    more.push_back(ApplyFinished{!trouble, trouble ? plain(*trouble) : std::string()});
+    const auto error = apply_(now, apply->configs, out);
+    counters_.add(error ? "config.distribution.sets_refused" : "config.distribution.sets_taken");
+    follow_up_events.push_back(ApplyFinished{!error, error ? sanitized(*error) : std::string()});
   } else {
     log_event(now, std::get<SubscriberLogEvent>(effect), out);
   }
 }
 
-// ---- the log, the counters, the answers
+// ---- log, control answers and gauges
 
-void Subscription::log_limited(Time now, RateLimit& kind, net::Level level, std::string text, Outbox& out) {
-  if (kind.lines == 0 || now - kind.second >= 1s) {
-    kind.second = now;
-    kind.lines = 0;
+void Subscription::log_limited(Time now, RateLimit& limit, net::Level level, std::string text, Outbox& out) {
+  if (limit.lines == 0 || now - limit.window_start >= 1s) {
+    limit.window_start = now;
+    limit.lines = 0;
   }
-  if (kind.lines >= kMaxLogLinesPerSecond) {
-    ++kind.suppressed;
+  if (limit.lines >= kMaxLogLinesPerSecond) {
+    ++limit.suppressed;
     return;
   }
-  ++kind.lines;
-  if (kind.suppressed > 0)
-    text += " (" + std::to_string(std::exchange(kind.suppressed, 0)) + " more since the last line)";
+  ++limit.lines;
+  if (limit.suppressed > 0)
+    text += " (" + std::to_string(std::exchange(limit.suppressed, 0)) + " more since the last line)";
   out.log(level, std::move(text));
 }
 
 void Subscription::log_event(Time now, const SubscriberLogEvent& event, Outbox& out) {
-  const Kind kind = kind_of(event.kind);
-  counters_.add("config.distribution." + std::string(kind.counter));
-  if (!kind.level) return;
+  const LogFormat format = log_format_of(event.kind);
+  counters_.add("config.distribution." + std::string(format.counter));
+  if (!format.level) return;
   std::string text = "configuration: ";
   if (!event.service.empty()) text += event.service + ", version " + std::to_string(event.version) + ", ";
-  text += kind.words;
+  text += format.text;
   if (event.kind == SubscriberLogKind::wait_expired)
     text += " within " + std::to_string(ms_of(wait_)) + " ms: it serves on its start configuration";
-  if (!event.reason.empty()) text += ": " + plain(event.reason);
-  log_limited(now, log_limits_[event.kind], *kind.level, std::move(text), out);
+  if (!event.reason.empty()) text += ": " + sanitized(event.reason);
+  log_limited(now, log_limits_[event.kind], *format.level, std::move(text), out);
 }
 
-json Subscription::answer(const json& asked) const {
-  const auto text = [&asked](const char* key) {
-    const auto it = asked.find(key);
-    return it != asked.end() && it->is_string() ? it->get<std::string>() : std::string();
+json Subscription::answer(const json& line) const {
+  const auto text_of = [&line](const char* key) {
+    const auto it = line.find(key);
+    return it != line.end() && it->is_string() ? it->get<std::string>() : std::string();
   };
-  if (text("what") != "held") return {{"ok", false}, {"trouble", "'what' is not held"}};
-  json j = {{"ok", true},
-            {"what", "held"},
-            {"ready", subscriber_.ready()},
-            {"current", subscriber_.is_current()},
-            {"sources", subscriber_.connected_sources()}};
-  // A line is bounded: what has no room is asked for by the last service before it.
-  std::string after = text("after");
+  if (text_of("what") != "held") return {{"ok", false}, {"trouble", "'what' is not held"}};
+  json answer = {{"ok", true},
+                 {"what", "held"},
+                 {"ready", subscriber_.ready()},
+                 {"current", subscriber_.is_current()},
+                 {"sources", subscriber_.connected_sources()}};
+  // Lines are bounded: a client requests the next page by the last service of the previous one, in `after`.
+  std::string after = text_of("after");
   json page = json::array();
   std::size_t bytes = 0;
-  for (const auto& [service, held] : subscriber_.service_states()) {
+  for (const auto& [service, state] : subscriber_.service_states()) {
     if (!after.empty()) {
       if (service == after) after.clear();
       continue;
     }
-    json one = {{"service", service}, {"version", held.active.version}};
-    if (!held.active.none()) one["digest"] = to_hex(held.active.digest);
-    if (held.rejected) {
-      one["refused"] = {{"version", held.rejected->version},
-                        {"digest", to_hex(held.rejected->digest)},
-                        {"reason", held.reason}};
+    json entry = {{"service", service}, {"version", state.active.version}};
+    if (!state.active.none()) entry["digest"] = to_hex(state.active.digest);
+    if (state.rejected) {
+      entry["refused"] = {{"version", state.rejected->version},
+                          {"digest", to_hex(state.rejected->digest)},
+                          {"reason", state.reason}};
     }
-    bytes += line_of(one).size();
-    if (bytes > kPageBytes) {
-      j["more"] = true;
+    bytes += line_of(entry).size();
+    if (bytes > kMaxPageBytes) {
+      answer["more"] = true;
       break;
     }
-    page.push_back(std::move(one));
+    page.push_back(std::move(entry));
   }
-  j["services"] = std::move(page);
-  return j;
+  answer["services"] = std::move(page);
+  return answer;
 }
 
 std::vector<Gauge> Subscription::gauges() const {
-  const auto held = subscriber_.service_states();
-  const auto refused = std::count_if(held.begin(), held.end(),
-                                     [](const auto& one) { return one.second.rejected.has_value(); });
-  std::vector<Gauge> all;
-  all.push_back(
+  const auto states = subscriber_.service_states();
+  const auto rejected_count = std::count_if(
+      states.begin(), states.end(), [](const auto& state) { return state.second.rejected.has_value(); });
+  std::vector<Gauge> gauges;
+  gauges.push_back(
       {"config.sources_up", "{distributor}", static_cast<double>(subscriber_.connected_sources()), {}});
-  all.push_back({"config.current", "1", subscriber_.is_current() ? 1.0 : 0.0, {}});
-  all.push_back({"config.refused", "{document}", static_cast<double>(refused), {}});
-  for (const auto& [service, one] : held)
-    all.push_back({"config.version", "1", static_cast<double>(one.active.version), {{"service", service}}});
-  return all;
+  gauges.push_back({"config.current", "1", subscriber_.is_current() ? 1.0 : 0.0, {}});
+  gauges.push_back({"config.refused", "{document}", static_cast<double>(rejected_count), {}});
+  for (const auto& [service, state] : states)
+    gauges.push_back(
+        {"config.version", "1", static_cast<double>(state.active.version), {{"service", service}}});
+  return gauges;
 }
 
 }  // namespace graniterun::control
--- a/src/control/subscription.h
+++ b/src/control/subscription.h
@@ -1,11 +1,12 @@
-// A gatekeeper's connections to the distributors of configuration: JSON lines over TCP, by which it is told
-// of documents, fetches them and says what it has in force. A sub-reducer (Concern::configuration). What is
-// taken, refused or asked for again is decided by distribution::Subscriber; this one carries it out, and
-// counts it as config.distribution.*. docs/design/distribution.md tells of the lines.
+// A gatekeeper's connections to the configuration distributors: JSON lines over TCP, through which it is
+// notified of versions, fetches configurations and reports which ones are active. A sub-reducer
+// (Concern::configuration). distribution::Subscriber decides what is applied, rejected or fetched again;
+// Subscription carries its effects out and counts them as config.distribution.*.
+// docs/design/distribution.md describes the lines.
 //
-// Bounds: a line is at most kLineBound bytes, longer ones and such as are no line of a distributor close that
-// connection; kSources connections; a reason that goes into a line or the log kMaxSentReasonLength bytes; of
-// each kind kMaxLogLinesPerSecond in the log.
+// Bounds: kMaxLineBytes per line (a longer or malformed line closes its connection), kSources connections,
+// kMaxSentReasonLength bytes of a rejection reason in a line or in the log, kMaxLogLinesPerSecond log lines
+// of each kind.
 #pragma once
 
 #include <cstdint>
@@ -26,19 +27,19 @@
 
 class Subscription {
  public:
-  // Takes the documents, all that are to be in force, whole or not at all. What is wrong with them; nothing:
-  // they are in force.
+  // Applies the complete set of configurations atomically. Returns the reason if it is rejected, nullopt if
+  // it is active.
   using Apply = std::function<std::optional<std::string>(
-      Time now, const std::vector<distribution::ServiceConfig>& documents, Outbox& out)>;
-  // Where several share one runtime, each has its own numbers of connections (number + 1, and every `of`th
-  // after it) and its own timer (number).
-  struct Lane {
+      Time now, const std::vector<distribution::ServiceConfig>& configs, Outbox& out)>;
+  // Identifies one of several subscriptions that share a runtime: its timer has the key `number`, its
+  // connections the numbers `number` + 1 and every `stride`th after that.
+  struct IdRange {
     std::uint32_t number = 0;
-    std::uint32_t of = 1;
+    std::uint32_t stride = 1;
   };
 
   Subscription(distribution::SubscriberSettings settings, Counters& counters, Apply apply);
-  Subscription(distribution::SubscriberSettings settings, Counters& counters, Apply apply, Lane lane);
+  Subscription(distribution::SubscriberSettings settings, Counters& counters, Apply apply, IdRange ids);
 
   void start(Time now, Outbox& out);
   void on(Time now, const net::Connected& event, Outbox& out);
@@ -46,15 +47,16 @@
   void on(Time now, const net::Received& event, Outbox& out);
   void on(Time now, const net::Closed& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
-  // What the documents are laid over is another one now.
+  // The base configuration, onto which the distributed configurations are merged, was replaced.
   void base_changed(Time now, Outbox& out);
 
-  // It has what was current when it started, or has waited long enough for it.
+  // True once everything that was current at the start is applied or rejected, or the wait for it has
+  // expired.
   bool ready() const { return subscriber_.ready(); }
   const distribution::Subscriber& subscriber() const { return subscriber_; }
-  // For the control listener: `configuration` with `what` held.
+  // The answer to the control listener's operation `configuration` with `what` `held`.
   nlohmann::json answer(const nlohmann::json& line) const;
-  // The whole's before the services'.
+  // The global gauges, followed by those of each service.
   std::vector<Gauge> gauges() const;
 
  private:
@@ -62,18 +64,18 @@
     net::ConnId conn;
     bool connected = false;
   };
-  // The lines of one kind.
+  // Limits the log lines of one kind.
   struct RateLimit {
-    Time second{};  // when the second began that `lines` are counted in
-    unsigned lines = 0;
-    std::uint64_t suppressed = 0;
+    Time window_start{};           // of the one-second window that `lines` counts
+    unsigned lines = 0;            // logged in the window
+    std::uint64_t suppressed = 0;  // since the last logged line
   };
 
   void step(Time now, const distribution::SubscriberEvent& event, Outbox& out);
   void apply(Time now, const distribution::SubscriberEffect& effect,
-             std::vector<distribution::SubscriberEvent>& more, Outbox& out);
+             std::vector<distribution::SubscriberEvent>& follow_up_events, Outbox& out);
   void log_event(Time now, const distribution::SubscriberLogEvent& event, Outbox& out);
-  void log_limited(Time now, RateLimit& kind, net::Level level, std::string text, Outbox& out);
+  void log_limited(Time now, RateLimit& limit, net::Level level, std::string text, Outbox& out);
   void send(std::uint32_t source, const nlohmann::json& line, Outbox& out);
   void handle_line(Time now, std::uint32_t source, const nlohmann::json& line, Outbox& out);
   std::optional<std::uint32_t> source_of(net::ConnId conn) const;
@@ -84,10 +86,10 @@
   Duration wait_;
   Counters& counters_;
   Apply apply_;
-  Lane lane_;
+  IdRange ids_;
   distribution::Subscriber subscriber_;
   std::map<std::uint32_t, Link> links_;  // by distributor
-  std::uint32_t connections_ = 0;
+  std::uint32_t opened_connections_ = 0;
   std::map<distribution::SubscriberLogKind, RateLimit> log_limits_;
   RateLimit malformed_{};
 };
--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -1,5 +1,6 @@
-// The distributors and the operators' command as reducers under one clock: a small network in memory, files
-// that outlive their program, gatekeepers with the real subscriber, and programs killed at any effect.
+// Tests of ConfigDistributor and ConfigClient as reducers under one simulated clock: an in-memory network,
+// files that survive their program, gatekeepers with the real Subscriber, and programs killed after any
+// effect.
 #include "control/config_distributor.h"
 
 #include <deque>
@@ -45,14 +46,15 @@
   std::size_t missing_reads = 0;
   std::size_t writes = 0;
   std::size_t effects = 0;
-  std::optional<std::size_t> killed_after{};  // so many effects
-  bool reads = true;                          // what comes to it
+  std::optional<std::size_t> killed_after{};  // number of effects after which the program is killed
+  bool reads = true;                          // false: received bytes stay unread
   bool logged(const std::string& part) const {
-    return std::ranges::any_of(logs, [&](const std::string& l) { return l.find(part) != std::string::npos; });
+    return std::ranges::any_of(logs,
+                               [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
 };
 
-class Net {
+class Network {
  public:
   Time now = Time(1'700'000'000'000ms);
 
@@ -62,7 +64,7 @@
     programs_.back()->files = files;
     return *programs_.back();
   }
-  void start(Program& p) { tell(p, net::Started{}); }
+  void start(Program& p) { deliver(p, net::Started{}); }
   void kill(Program& p) {
     p.running = false;
     p.timers.clear();
@@ -71,7 +73,7 @@
     for (const auto& [conn, link] : std::exchange(p.links, {})) end(link, true);
     drain();
   }
-  void tell(Program& p, net::Event event) {
+  void deliver(Program& p, net::Event event) {
     queue_.push_back({&p, std::move(event), {}});
     drain();
   }
@@ -88,18 +90,18 @@
       now = std::max(now, next->timers.begin()->first);
       const net::TimerKey timer = next->timers.begin()->second;
       next->timers.erase(next->timers.begin());
-      tell(*next, net::TimerFired{timer});
+      deliver(*next, net::TimerFired{timer});
     }
     now = until;
   }
   template <class Done>
-  bool run_until(Done done, Duration most) {
-    for (const Time until = now + most; now < until; run(10ms)) {
+  bool run_until(Done done, Duration timeout) {
+    for (const Time until = now + timeout; now < until; run(10ms)) {
       if (done()) return true;
     }
     return done();
   }
-  // Nothing passes between the address and the others any more: what is open ends, what is asked for fails.
+  // Partitions the address from all others: open connections are reset, new ones fail.
   void cut(const std::string& address) {
     cut_.insert(address);
     for (std::size_t i = 0; i < links_.size(); ++i) {
@@ -114,7 +116,7 @@
     drain();
   }
   void heal() { cut_.clear(); }
-  // Bytes sent to the program that it has not read.
+  // Bytes sent to the program that it has not consumed.
   std::size_t unread_of(const Program& p) const {
     std::size_t all = 0;
     for (const auto& [conn, link] : p.links) all += links_[link].unread[side_of(link, p, conn)].size();
@@ -128,10 +130,10 @@
     std::string unread[2];
     bool open = true;
   };
-  struct Due {
+  struct PendingEvent {
     Program* to;
     net::Event event;
-    std::optional<std::size_t> link;  // what is to be read there
+    std::optional<std::size_t> link;  // of a Received event, whose bytes are taken from it at delivery
   };
 
   int side_of(std::size_t link, const Program& p, ConnId conn) const {
@@ -148,41 +150,41 @@
   void drain() {
     if (std::exchange(draining_, true)) return;
     while (!queue_.empty()) {
-      Due due = std::move(queue_.front());
+      PendingEvent pending = std::move(queue_.front());
       queue_.pop_front();
-      if (due.to->running) handle(due);
+      if (pending.to->running) handle(pending);
     }
     draining_ = false;
   }
-  void handle(Due& due) {
-    Program& p = *due.to;
+  void handle(PendingEvent& pending) {
+    Program& p = *pending.to;
     std::string bytes;
-    if (due.link) {
-      Link& l = links_[*due.link];
-      const ConnId conn = std::get<net::Received>(due.event).conn;
+    if (pending.link) {
+      Link& l = links_[*pending.link];
+      const ConnId conn = std::get<net::Received>(pending.event).conn;
       if (!p.links.contains(conn) || !p.reads) return;
-      bytes = l.unread[side_of(*due.link, p, conn)];
+      bytes = l.unread[side_of(*pending.link, p, conn)];
       if (bytes.empty()) return;
-      due.event = net::Received{conn, bytes};
+      pending.event = net::Received{conn, bytes};
     }
-    // What was sent before the other side's end has been read by then.
-    if (const auto* closed = std::get_if<net::Closed>(&due.event)) p.links.erase(closed->conn);
+    // Bytes that the other side sent before it closed have been delivered by now.
+    if (const auto* closed = std::get_if<net::Closed>(&pending.event)) p.links.erase(closed->conn);
     net::Effects effects;
-    p.step(now, due.event, effects);
+    p.step(now, pending.event, effects);
     for (const net::Effect& effect : effects) {
       if (!p.running || p.status) break;
       if (p.killed_after && p.effects >= *p.killed_after) return kill(p);
       ++p.effects;
-      std::visit([&](const auto& e) { carry_out(p, e); }, effect);
+      std::visit([&](const auto& e) { apply_effect(p, e); }, effect);
     }
     if (p.status) kill(p);
   }
 
-  void carry_out(Program& p, const net::Listen& e) {
+  void apply_effect(Program& p, const net::Listen& e) {
     p.address = e.address;
     listeners_[e.address] = &p;
   }
-  void carry_out(Program& p, const net::Connect& e) {
+  void apply_effect(Program& p, const net::Connect& e) {
     const auto it = listeners_.find(e.address);
     if (it == listeners_.end() || cut_.contains(e.address) || cut_.contains(p.address)) {
       queue_.push_back({&p, net::ConnectFailed{e.conn, true}, {}});
@@ -195,7 +197,7 @@
     queue_.push_back({&to, net::Accepted{taken}, {}});
     queue_.push_back({&p, net::Connected{e.conn}, {}});
   }
-  void carry_out(Program& p, const net::Send& e) {
+  void apply_effect(Program& p, const net::Send& e) {
     const auto it = p.links.find(e.conn);
     if (it == p.links.end()) return;
     Link& l = links_[it->second];
@@ -204,24 +206,24 @@
     l.unread[other] += e.bytes;
     queue_.push_back({l.ends[other], net::Received{l.ids[other], {}}, it->second});
   }
-  void carry_out(Program& p, const net::Consume& e) {
+  void apply_effect(Program& p, const net::Consume& e) {
     const auto it = p.links.find(e.conn);
     if (it != p.links.end()) links_[it->second].unread[side_of(it->second, p, e.conn)].erase(0, e.count);
   }
-  void carry_out(Program& p, const net::Close& e) {
+  void apply_effect(Program& p, const net::Close& e) {
     const auto it = p.links.find(e.conn);
     if (it == p.links.end()) return;
     const std::size_t link = it->second;
-    p.links.erase(it);  // who closes is not told
+    p.links.erase(it);  // the closing side gets no Closed event
     end(link, false);
   }
-  void carry_out(Program& p, const net::ArmTimer& e) { p.timers.emplace(e.at, e.key); }
-  void carry_out(Program& p, const net::WriteFile& e) {
-    CHECK(e.required);  // a vote that no file holds must not go out
+  void apply_effect(Program& p, const net::ArmTimer& e) { p.timers.emplace(e.at, e.key); }
+  void apply_effect(Program& p, const net::WriteFile& e) {
+    CHECK(e.required);  // a vote must not be sent unless it is stored
     ++p.writes;
     if (p.files != nullptr) (*p.files)[e.path] = e.text;
   }
-  void carry_out(Program& p, const net::ReadFile& e) {
+  void apply_effect(Program& p, const net::ReadFile& e) {
     net::FileRead read{e.path, std::nullopt};
     if (p.files != nullptr && p.files->contains(e.path)) {
       read.text = p.files->at(e.path);
@@ -230,34 +232,34 @@
     }
     queue_.push_back({&p, std::move(read), {}});
   }
-  void carry_out(Program& p, const net::Log& e) { p.logs.push_back(e.text); }
-  void carry_out(Program& p, const net::Print& e) { p.printed += e.text; }
-  void carry_out(Program& p, const net::Exit& e) { p.status = e.status; }
-  void carry_out(Program&, const auto&) { CHECK(false); }
+  void apply_effect(Program& p, const net::Log& e) { p.logs.push_back(e.text); }
+  void apply_effect(Program& p, const net::Print& e) { p.printed += e.text; }
+  void apply_effect(Program& p, const net::Exit& e) { p.status = e.status; }
+  void apply_effect(Program&, const auto&) { CHECK(false); }
 
   std::vector<std::unique_ptr<Program>> programs_;
   std::map<std::string, Program*> listeners_;
   std::deque<Link> links_;
-  std::deque<Due> queue_;
+  std::deque<PendingEvent> queue_;
   std::set<std::string> cut_;
   bool draining_ = false;
 };
 
-// ---- who is on it
+// ---- gatekeepers, raw clients and the cluster
 
 std::string address_of(std::size_t i) { return "10.0.0." + std::to_string(i + 1) + ":7800"; }
 
-// A gatekeeper: the real subscriber, whose documents are taken but for those that hold the word `bad`.
+// A gatekeeper with the real Subscriber. Applies every configuration set unless one has the word `bad`.
 class Gatekeeper {
  public:
-  Gatekeeper(Net& net, std::string name, std::vector<std::string> distributors,
+  Gatekeeper(Network& net, std::string name, std::vector<std::string> distributors,
              std::vector<std::string> services, std::uint64_t seed)
       : net_(net), subscriber_(settings(name, distributors, services, seed)), distributors_(distributors) {
     program = &net.add([this](Time now, const net::Event& e, net::Effects& out) { step(now, e, out); });
     program->address = name;
     net.start(*program);
   }
-  Version in_force(const std::string& service) const {
+  Version active_version(const std::string& service) const {
     for (const auto& [name, held] : subscriber_.service_states()) {
       if (name == service) return held.active.version;
     }
@@ -289,32 +291,32 @@
     } else if (const auto* up = std::get_if<net::Connected>(&event)) {
       if (const auto source = source_of(up->conn)) subscriber_.step(now, SourceConnected{*source}, effects);
     } else if (const auto* failed = std::get_if<net::ConnectFailed>(&event)) {
-      down(now, failed->conn, effects);
+      source_closed(now, failed->conn, effects);
     } else if (const auto* closed = std::get_if<net::Closed>(&event)) {
-      down(now, closed->conn, effects);
+      source_closed(now, closed->conn, effects);
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
       const auto used = read_lines(
           received->bytes,
           [&](const json& line) {
             const auto source = source_of(received->conn);
             if (!source) return;
-            const SubscriberEvent said = parse_subscriber_line(*source, line);
-            if (std::holds_alternative<HeartbeatReceived>(said))
+            const SubscriberEvent parsed = parse_subscriber_line(*source, line);
+            if (std::holds_alternative<HeartbeatReceived>(parsed))
               out.push_back(net::Send{received->conn, line_of(heartbeat_answer_line())});
-            if (std::holds_alternative<VersionsNotified>(said))
+            if (std::holds_alternative<VersionsNotified>(parsed))
               out.push_back(net::Send{received->conn, line_of(acknowledge_line())});
-            subscriber_.step(now, said, effects);
+            subscriber_.step(now, parsed, effects);
           },
-          [](const json&, const std::string& trouble) {
-            std::cerr << trouble << '\n';
+          [](const json&, const std::string& error) {
+            std::cerr << error << '\n';
             CHECK(false);
           });
       CHECK(used.has_value());
       out.push_back(net::Consume{received->conn, *used});
     }
-    carry_out(now, std::move(effects), out);
+    apply_effect(now, std::move(effects), out);
   }
-  void carry_out(Time now, SubscriberEffects effects, net::Effects& out) {
+  void apply_effect(Time now, SubscriberEffects effects, net::Effects& out) {
     for (std::size_t i = 0; i < effects.size(); ++i) {
       const SubscriberEffect effect = effects[i];
       if (const auto* apply = std::get_if<ApplyConfigs>(&effect)) {
@@ -329,31 +331,31 @@
         effects.insert(effects.end(), more.begin(), more.end());
         continue;
       }
-      std::visit([&](const auto& e) { carry_out(e, out); }, effect);
+      std::visit([&](const auto& e) { apply_effect(e, out); }, effect);
     }
   }
   void send(std::uint32_t source, const json& line, net::Effects& out) {
     if (conns_.contains(source))
       out.push_back(net::Send{{Concern::control_client, conns_[source]}, line_of(line)});
   }
-  void carry_out(const OpenSource& e, net::Effects& out) {
+  void apply_effect(const OpenSource& e, net::Effects& out) {
     conns_[e.source] = ++last_;
     out.push_back(net::Connect{{Concern::control_client, last_}, distributors_[e.source], 1s});
   }
-  void carry_out(const CloseSource& e, net::Effects& out) {
+  void apply_effect(const CloseSource& e, net::Effects& out) {
     if (conns_.contains(e.source)) out.push_back(net::Close{{Concern::control_client, conns_[e.source]}});
     conns_.erase(e.source);
   }
-  void carry_out(const Subscribe& e, net::Effects& out) {
+  void apply_effect(const Subscribe& e, net::Effects& out) {
     send(e.source, subscribe_line(program->address, e.held, e.primary), out);
   }
-  void carry_out(const SendPrimary& e, net::Effects& out) { send(e.source, primary_line(e.primary), out); }
-  void carry_out(const FetchConfig& e, net::Effects& out) {
+  void apply_effect(const SendPrimary& e, net::Effects& out) { send(e.source, primary_line(e.primary), out); }
+  void apply_effect(const FetchConfig& e, net::Effects& out) {
     send(e.source, fetch_line(e.service, e.version), out);
   }
-  void carry_out(const ReportStatus& e, net::Effects& out) { send(e.source, report_line(e), out); }
-  void carry_out(const ReturnConfig& e, net::Effects& out) { send(e.source, return_line(e.config), out); }
-  void carry_out(const auto&, net::Effects&) {}
+  void apply_effect(const ReportStatus& e, net::Effects& out) { send(e.source, report_line(e), out); }
+  void apply_effect(const ReturnConfig& e, net::Effects& out) { send(e.source, return_line(e.config), out); }
+  void apply_effect(const auto&, net::Effects&) {}
 
   std::optional<std::uint32_t> source_of(ConnId conn) const {
     for (const auto& [source, number] : conns_) {
@@ -361,24 +363,24 @@
     }
     return std::nullopt;
   }
-  void down(Time now, ConnId conn, SubscriberEffects& effects) {
+  void source_closed(Time now, ConnId conn, SubscriberEffects& effects) {
     const auto source = source_of(conn);
     if (!source) return;
     conns_.erase(*source);
     subscriber_.step(now, SourceDisconnected{*source}, effects);
   }
 
-  Net& net_;
+  Network& net_;
   Subscriber subscriber_;
   std::vector<std::string> distributors_;
   std::map<std::uint32_t, std::uint32_t> conns_;
   std::uint32_t last_ = 0;
 };
 
-// Somebody with a terminal.
-class Terminal {
+// Sends and receives raw lines on one connection.
+class RawClient {
  public:
-  Terminal(Net& net, const std::string& address) : net_(net) {
+  RawClient(Network& net, const std::string& address) : net_(net) {
     program = &net.add([this](Time, const net::Event& event, net::Effects& out) {
       if (const auto* r = std::get_if<net::Received>(&event)) {
         const auto used = read_lines(
@@ -388,28 +390,28 @@
       }
       closed = closed || std::holds_alternative<net::Closed>(event);
       up = up || std::holds_alternative<net::Connected>(event);
-      if (std::holds_alternative<net::Started>(event)) out.push_back(net::Connect{kConn, wanted_, 1s});
+      if (std::holds_alternative<net::Started>(event)) out.push_back(net::Connect{kConn, address_, 1s});
       for (std::string& bytes : std::exchange(to_send_, {}))
         out.push_back(net::Send{kConn, std::move(bytes)});
     });
-    wanted_ = address;
+    address_ = address;
     net.start(*program);
     CHECK(up);
   }
-  Terminal(const Terminal&) = delete;
-  ~Terminal() { net_.kill(*program); }
-  void say(const std::string& bytes) {
+  RawClient(const RawClient&) = delete;
+  ~RawClient() { net_.kill(*program); }
+  void send(const std::string& bytes) {
     to_send_.push_back(bytes);
-    net_.tell(*program, net::CountersRequested{});
+    net_.deliver(*program, net::CountersRequested{});
   }
-  void say(const json& line) { say(line_of(line)); }
-  json ask(const json& line) {
+  void send(const json& line) { send(line_of(line)); }
+  json request(const json& line) {
     lines.clear();
-    say(line);
+    send(line);
     CHECK(!lines.empty());
     return lines.back();
   }
-  std::vector<json> take() { return std::exchange(lines, {}); }
+  std::vector<json> take_lines() { return std::exchange(lines, {}); }
   std::vector<json> lines{};
   bool up = false;
   bool closed = false;
@@ -417,8 +419,8 @@
 
  private:
   static constexpr ConnId kConn{Concern::control_client, 1};
-  Net& net_;
-  std::string wanted_;
+  Network& net_;
+  std::string address_;
   std::vector<std::string> to_send_;
 };
 
@@ -427,47 +429,50 @@
 }
 std::string patch(const std::string& value) { return R"({"settings":{"pause":")" + value + "\"}}"; }
 
-struct Lab {
-  explicit Lab(std::size_t distributors = 3, std::size_t most_connections = 64)
-      : most(most_connections), files(distributors), d(distributors), p(distributors, nullptr) {
-    for (std::size_t i = 0; i < distributors; ++i) start(i);
+struct Cluster {
+  explicit Cluster(std::size_t count = 3, std::size_t max_connections_each = 64)
+      : max_connections(max_connections_each), files(count), distributors(count), programs(count, nullptr) {
+    for (std::size_t i = 0; i < count; ++i) start(i);
   }
-  // `first_byte`: of another key.
+  // A `first_byte` other than the default gives the distributor another key.
   void start(std::size_t i, unsigned char first_byte = 3) {
     ConfigDistributorSettings s;
     s.listen = address_of(i);
-    for (std::size_t other = 0; other < d.size(); ++other) {
+    for (std::size_t other = 0; other < distributors.size(); ++other) {
       if (other != i) s.peers.push_back(address_of(other));
     }
     s.directory = "/dir";
     s.name = "d" + std::to_string(i + 1);
     s.key = key(first_byte);
-    s.max_connections = most;
+    s.max_connections = max_connections;
     s.seed = ++starts;
-    d[i] = std::make_shared<ConfigDistributor>(std::move(s));
-    p[i] =
-        &net.add([one = d[i]](Time now, const net::Event& e, net::Effects& out) { one->step(now, e, out); },
+    distributors[i] = std::make_shared<ConfigDistributor>(std::move(s));
+    programs[i] =
+        &net.add([distributor = distributors[i]](Time now, const net::Event& e,
+                                                 net::Effects& out) { distributor->step(now, e, out); },
                  &files[i]);
-    net.start(*p[i]);
+    net.start(*programs[i]);
+  }
+  void kill(std::size_t i) { net.kill(*programs[i]); }
+  bool voting(std::size_t i) const {
+    return distributors[i]->distributor().voter_state() == VoterState::voting;
   }
-  void kill(std::size_t i) { net.kill(*p[i]); }
-  bool voting(std::size_t i) const { return d[i]->distributor().voter_state() == VoterState::voting; }
   void all_vote() {
     const bool done = net.run_until(
         [&] {
           bool all = true;
-          for (std::size_t i = 0; i < d.size(); ++i) all = all && voting(i);
+          for (std::size_t i = 0; i < distributors.size(); ++i) all = all && voting(i);
           return all;
         },
         30s);
     CHECK(done);
   }
   VersionId committed(std::size_t i, const std::string& service) const {
-    const auto& records = d[i]->distributor().records();
+    const auto& records = distributors[i]->distributor().records();
     const auto it = records.find(service);
     return it != records.end() && it->second.committed ? it->second.committed->id : VersionId{};
   }
-  // What its files hold of a service.
+  // The record of a service in the distributor's files.
   ServiceRecord saved(std::size_t i, const std::string& service) const {
     for (const auto& [path, text] : files[i]) {
       if (path.find("bucket-") == std::string::npos) continue;
@@ -478,7 +483,7 @@
   }
   std::vector<std::string> all() const {
     std::vector<std::string> addresses;
-    for (std::size_t i = 0; i < d.size(); ++i) addresses.push_back(address_of(i));
+    for (std::size_t i = 0; i < distributors.size(); ++i) addresses.push_back(address_of(i));
     return addresses;
   }
   void add_gatekeepers(std::size_t count, std::vector<std::string> services) {
@@ -492,7 +497,7 @@
     int status;
     std::string text;
   };
-  Result ctl(ConfigClientSettings s) {
+  Result run_command(ConfigClientSettings s) {
     const auto command = std::make_shared<ConfigClient>(std::move(s));
     Program& program =
         net.add([command](Time now, const net::Event& e, net::Effects& out) { command->step(now, e, out); });
@@ -500,7 +505,7 @@
     CHECK(net.run_until([&] { return program.status.has_value(); }, 60s));
     return {*program.status, program.printed};
   }
-  ConfigClientSettings publishing(const std::string& service, const std::string& content) {
+  ConfigClientSettings publish_settings(const std::string& service, const std::string& content) {
     ConfigClientSettings s;
     s.command = ConfigClientSettings::Command::publish;
     s.addresses = all();
@@ -508,7 +513,7 @@
     s.content = content;
     return s;
   }
-  ConfigClientSettings asking(const std::string& service) {
+  ConfigClientSettings status_settings(const std::string& service) {
     ConfigClientSettings s;
     s.command = ConfigClientSettings::Command::status;
     s.addresses = all();
@@ -516,11 +521,11 @@
     return s;
   }
 
-  Net net{};
-  std::size_t most;
+  Network net{};
+  std::size_t max_connections;
   std::vector<Files> files;
-  std::vector<std::shared_ptr<ConfigDistributor>> d;
-  std::vector<Program*> p;
+  std::vector<std::shared_ptr<ConfigDistributor>> distributors;
+  std::vector<Program*> programs;
   std::vector<std::unique_ptr<Gatekeeper>> gatekeepers{};
   std::uint64_t starts = 0;
 };
@@ -532,143 +537,152 @@
   CHECK(false);
 }
 
-// ---- the cases
+// ---- tests
 
-void a_change_is_in_force_everywhere() {
-  Lab lab;
-  lab.all_vote();
-  lab.add_gatekeepers(20, {"trail", "map"});
-  lab.net.run(3s);
-  const Time began = lab.net.now;
-  const Lab::Result first = lab.ctl(lab.publishing("trail", patch("1")));
+void a_published_config_becomes_active_everywhere() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.add_gatekeepers(20, {"trail", "map"});
+  cluster.net.run(3s);
+  const Time began = cluster.net.now;
+  const Cluster::Result first = cluster.run_command(cluster.publish_settings("trail", patch("1")));
   CHECK_EQ(first.status, ConfigClient::kSuccess);
   check_has(first.text, "in force at 20 of 20, refused at 0, not heard of 0");
-  CHECK(lab.net.now - began < 6s);
-  for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
-  const Version version = lab.committed(0, "trail").version;
-  for (std::size_t i = 0; i < 3; ++i) CHECK(lab.committed(i, "trail") == lab.committed(0, "trail"));
+  CHECK(cluster.net.now - began < 6s);
+  for (const auto& g : cluster.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
+  const Version version = cluster.committed(0, "trail").version;
+  for (std::size_t i = 0; i < 3; ++i) CHECK(cluster.committed(i, "trail") == cluster.committed(0, "trail"));
 
-  // The old content again is a new number, and goes back.
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("2"))).status, ConfigClient::kSuccess);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-  CHECK(lab.committed(0, "trail").version > version + 1);
-  for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
+  // Publishing old content again gets a new version, which restores that content everywhere.
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("2"))).status, ConfigClient::kSuccess);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status, ConfigClient::kSuccess);
+  CHECK(cluster.committed(0, "trail").version > version + 1);
+  for (const auto& g : cluster.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("1"));
 
-  const Lab::Result one = lab.ctl(lab.asking("trail"));
+  const Cluster::Result one = cluster.run_command(cluster.status_settings("trail"));
   CHECK_EQ(one.status, ConfigClient::kSuccess);
   check_has(one.text, "in force at 20 of 20, refused at 0, not heard of 0");
-  CHECK_EQ(lab.ctl(lab.publishing("map", patch("m"))).status, ConfigClient::kSuccess);
-  const Lab::Result all = lab.ctl(lab.asking(""));
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("map", patch("m"))).status, ConfigClient::kSuccess);
+  const Cluster::Result all = cluster.run_command(cluster.status_settings(""));
   CHECK_EQ(all.status, ConfigClient::kSuccess);
   check_has(all.text, "map: version");
   check_has(all.text, "trail: version");
-  // A service that has no document is not in force.
-  CHECK_EQ(lab.ctl(lab.asking("nothing")).status, ConfigClient::kIncomplete);
-  ConfigClientSettings as_json = lab.asking("trail");
+  // A service without a configuration is not active.
+  CHECK_EQ(cluster.run_command(cluster.status_settings("nothing")).status, ConfigClient::kIncomplete);
+  ConfigClientSettings as_json = cluster.status_settings("trail");
   as_json.json = true;
-  const json object = json::parse(lab.ctl(as_json).text);
+  const json object = json::parse(cluster.run_command(as_json).text);
   CHECK(object["all"] == true && object["services"][0]["in_force"] == 20);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.malformed"), 0U);
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.malformed"), 0U);
 }
 
-void a_bad_change_is_stopped_and_told() {
-  Lab lab;
-  lab.all_vote();
-  lab.add_gatekeepers(5, {"trail"});
-  lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigClient::kSuccess);
-  ConfigClientSettings s = lab.publishing("trail", patch("bad"));
+void a_config_that_gatekeepers_reject_is_reported() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.add_gatekeepers(5, {"trail"});
+  cluster.net.run(3s);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("good"))).status,
+           ConfigClient::kSuccess);
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("bad"));
   s.timeout = 3s;
-  const Lab::Result bad = lab.ctl(s);
+  const Cluster::Result bad = cluster.run_command(s);
   CHECK_EQ(bad.status, ConfigClient::kIncomplete);
   check_has(bad.text, "in force at 0 of 5, refused at 5, not heard of 0");
   check_has(bad.text, "gk1: 'settings' holds what is bad");
-  for (const auto& g : lab.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("good"));
-  const Lab::Result status = lab.ctl(lab.asking("trail"));
+  for (const auto& g : cluster.gatekeepers) CHECK_EQ(g->content.at("trail"), patch("good"));
+  const Cluster::Result status = cluster.run_command(cluster.status_settings("trail"));
   CHECK_EQ(status.status, ConfigClient::kIncomplete);
   check_has(status.text, "refused at 5");
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("good"))).status, ConfigClient::kSuccess);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("good"))).status,
+           ConfigClient::kSuccess);
 }
 
-void all_go_on_from_their_files() {
-  Lab lab;
-  lab.all_vote();
-  // Looking for what is not there makes one line of the log, not one for each bucket.
-  for (const Program* program : lab.p) CHECK_EQ(program->missing_reads, 1U);
+void distributors_resume_from_their_files() {
+  Cluster cluster;
+  cluster.all_vote();
+  // Without an index only the index is looked for: one read fails, not one per bucket.
+  for (const Program* program : cluster.programs) CHECK_EQ(program->missing_reads, 1U);
   for (int i = 0; i < 30; ++i) {
-    ConfigClientSettings s = lab.publishing("s" + std::to_string(i), patch(std::to_string(i)));
-    CHECK_EQ(lab.ctl(s).status, ConfigClient::kSuccess);
+    ConfigClientSettings s = cluster.publish_settings("s" + std::to_string(i), patch(std::to_string(i)));
+    CHECK_EQ(cluster.run_command(s).status, ConfigClient::kSuccess);
   }
   std::map<std::string, VersionId> before;
-  for (int i = 0; i < 30; ++i) before["s" + std::to_string(i)] = lab.committed(0, "s" + std::to_string(i));
-  for (std::size_t i = 0; i < 3; ++i) lab.kill(i);
-  for (std::size_t i = 0; i < 3; ++i) lab.start(i);
+  for (int i = 0; i < 30; ++i)
+    before["s" + std::to_string(i)] = cluster.committed(0, "s" + std::to_string(i));
+  for (std::size_t i = 0; i < 3; ++i) cluster.kill(i);
+  for (std::size_t i = 0; i < 3; ++i) cluster.start(i);
   for (std::size_t i = 0; i < 3; ++i) {
-    CHECK(lab.voting(i));  // at once
-    CHECK_EQ(lab.p[i]->missing_reads, 0U);
-    for (const auto& [service, stamp] : before) CHECK(lab.committed(i, service) == stamp);
+    CHECK(cluster.voting(i));  // immediately, without a recovery wait
+    CHECK_EQ(cluster.programs[i]->missing_reads, 0U);
+    for (const auto& [service, stamp] : before) CHECK(cluster.committed(i, service) == stamp);
   }
-  lab.net.run(1s);
-  CHECK_EQ(lab.ctl(lab.publishing("s3", patch("again"))).status, ConfigClient::kSuccess);
-  CHECK(lab.committed(1, "s3").version > before["s3"].version);
+  cluster.net.run(1s);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("s3", patch("again"))).status,
+           ConfigClient::kSuccess);
+  CHECK(cluster.committed(1, "s3").version > before["s3"].version);
 }
 
-// One that had not reached its vote when it was killed has files, and still no vote.
-void a_restart_while_it_recovers_gives_no_vote() {
-  Lab lab;
-  lab.all_vote();
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-  lab.kill(2);
-  lab.files[2].clear();
-  lab.start(2);
-  CHECK(!lab.voting(2));
-  CHECK(lab.net.run_until([&] { return lab.committed(2, "trail") == lab.committed(0, "trail"); }, 20s));
-  // Its connections stay, though it asks for nothing yet.
-  CHECK_EQ(lab.d[2]->counters().of("distributor.peers_lost"), 0U);
-  CHECK(!lab.voting(2) && !lab.files[2].empty());
-  // Nothing is published through it; the command goes on to the next one.
-  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+// A distributor that is killed before its recovery is complete has files but must not vote after its restart:
+// it may have forgotten what it accepted before.
+void a_restart_during_recovery_does_not_grant_a_vote() {
+  Cluster cluster;
+  cluster.all_vote();
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status, ConfigClient::kSuccess);
+  cluster.kill(2);
+  cluster.files[2].clear();
+  cluster.start(2);
+  CHECK(!cluster.voting(2));
+  CHECK(cluster.net.run_until([&] { return cluster.committed(2, "trail") == cluster.committed(0, "trail"); },
+                              20s));
+  // Its connections stay open, although it does not subscribe yet.
+  CHECK_EQ(cluster.distributors[2]->counters().of("distributor.peers_lost"), 0U);
+  CHECK(!cluster.voting(2) && !cluster.files[2].empty());
+  // It rejects the publication, and the command goes on to the next distributor.
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
   s.addresses = {address_of(2)};
-  const Lab::Result alone = lab.ctl(s);
+  const Cluster::Result alone = cluster.run_command(s);
   CHECK_EQ(alone.status, ConfigClient::kIncomplete);
   check_has(alone.text, "not published: not voting yet");
   s.addresses = {address_of(2), address_of(1), address_of(0)};
-  const Lab::Result next = lab.ctl(s);
+  const Cluster::Result next = cluster.run_command(s);
   CHECK_EQ(next.status, ConfigClient::kSuccess);
   check_has(next.text, "committed by d2");
   check_has(next.text, "d3 " + address_of(2) + " has no vote: recovering");
-  CHECK(lab.net.run_until([&] { return lab.committed(2, "trail") == lab.committed(0, "trail"); }, 1s));
-  CHECK(!lab.voting(2));
-  lab.kill(2);
-  lab.start(2);
-  CHECK(!lab.voting(2));
-  // It keeps what it learned all the same.
-  CHECK(lab.committed(2, "trail") == lab.committed(0, "trail"));
-  lab.all_vote();
-  lab.kill(2);
-  lab.start(2);
-  CHECK(lab.voting(2));
+  CHECK(cluster.net.run_until([&] { return cluster.committed(2, "trail") == cluster.committed(0, "trail"); },
+                              1s));
+  CHECK(!cluster.voting(2));
+  cluster.kill(2);
+  cluster.start(2);
+  CHECK(!cluster.voting(2));
+  // It keeps what it recovered.
+  CHECK(cluster.committed(2, "trail") == cluster.committed(0, "trail"));
+  cluster.all_vote();
+  cluster.kill(2);
+  cluster.start(2);
+  CHECK(cluster.voting(2));
 }
 
-void a_file_that_is_no_use_is_told_and_ends_the_program() {
-  Lab lab;
-  lab.all_vote();
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-  lab.kill(0);
-  const Files good = lab.files[0];
+void an_invalid_file_is_logged_and_ends_the_program() {
+  Cluster cluster;
+  cluster.all_vote();
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status, ConfigClient::kSuccess);
+  cluster.kill(0);
+  const Files good = cluster.files[0];
   std::string bucket;
   for (const auto& [path, text] : good) {
     if (has(path, "bucket-")) bucket = path;
   }
   CHECK(!bucket.empty() && good.contains("/dir/known"));
   const auto ends = [&](const Files& files, const std::string& path, unsigned char first_byte = 3) {
-    lab.files[0] = files;
-    lab.start(0, first_byte);
-    CHECK(lab.p[0]->status == 1);
-    CHECK(lab.p[0]->logged(path + " is no use"));
-    CHECK_EQ(std::ranges::count_if(lab.p[0]->logs, [](const std::string& l) { return has(l, "no use"); }), 1);
-    CHECK_EQ(lab.p[0]->writes, 0U);
-    CHECK(lab.files[0] == files);
+    cluster.files[0] = files;
+    cluster.start(0, first_byte);
+    CHECK(cluster.programs[0]->status == 1);
+    CHECK(cluster.programs[0]->logged(path + " is no use"));
+    CHECK_EQ(std::ranges::count_if(cluster.programs[0]->logs,
+                                   [](const std::string& l) { return has(l, "no use"); }),
+             1);
+    CHECK_EQ(cluster.programs[0]->writes, 0U);
+    CHECK(cluster.files[0] == files);
   };
   const auto with = [&](const std::string& path, const std::string& text) {
     Files files = good;
@@ -690,7 +704,7 @@
        {"", "{}\n", "[1]", R"({"voted":true,"buckets":[64]})", R"({"voted":1,"buckets":[]})",
         R"({"voted":true,"buckets":[-1]})", R"({"voted":true,"buckets":["1"]})"})
     ends(with("/dir/known", index), "/dir/known");
-  // In another bucket's place.
+  // A bucket's text in the file of another bucket.
   Files moved = good;
   moved["/dir/bucket-00"] = text;
   const json index = json::parse(good.at("/dir/known"));
@@ -699,27 +713,29 @@
     moved["/dir/known"] = R"({"voted":true,"buckets":[0]})";
     ends(moved, "/dir/bucket-00");
   }
-  lab.files[0] = good;
-  lab.start(0);
-  CHECK(!lab.p[0]->status && lab.voting(0));
+  cluster.files[0] = good;
+  cluster.start(0);
+  CHECK(!cluster.programs[0]->status && cluster.voting(0));
 }
 
-// Killed after each of its effects in turn, writes among them: what was answered as committed stays, no
-// number has two contents, and it starts again from what stands in its files.
-void a_distributor_killed_at_any_effect_forgets_nothing_it_said() {
+// The publishing distributor is killed after each of its effects in turn, file writes included. A
+// publication answered as committed survives, no version has two contents, and the distributor restarts from
+// its files.
+void a_distributor_killed_at_any_effect_keeps_what_it_acknowledged() {
   std::size_t answered = 0;
   std::size_t unanswered = 0;
   std::size_t killed = 0;
   for (std::size_t at = 0; at < 60; ++at) {
-    Lab lab;
-    lab.all_vote();
-    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-    const Version first = lab.committed(1, "trail").version;
-    lab.p[0]->killed_after = lab.p[0]->effects + at;
-    ConfigClientSettings s = lab.publishing("trail", patch("2"));
+    Cluster cluster;
+    cluster.all_vote();
+    CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status,
+             ConfigClient::kSuccess);
+    const Version first = cluster.committed(1, "trail").version;
+    cluster.programs[0]->killed_after = cluster.programs[0]->effects + at;
+    ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
     s.addresses = {address_of(0)};
     s.wait_until_active = false;
-    const Lab::Result result = lab.ctl(s);
+    const Cluster::Result result = cluster.run_command(s);
     if (result.status == ConfigClient::kSuccess) {
       ++answered;
     } else {
@@ -727,65 +743,66 @@
       check_has(result.text, "not known whether it is in force: look at the status");
       ++unanswered;
     }
-    if (!lab.p[0]->running && result.status == ConfigClient::kSuccess)
-      CHECK(lab.saved(0, "trail").committed->content == patch("2"));
-    lab.net.run(5s);
-    if (!lab.p[0]->running) {
+    if (!cluster.programs[0]->running && result.status == ConfigClient::kSuccess)
+      CHECK(cluster.saved(0, "trail").committed->content == patch("2"));
+    cluster.net.run(5s);
+    if (!cluster.programs[0]->running) {
       ++killed;
-      lab.start(0);
-      CHECK(!lab.p[0]->status);  // its files are of use
+      cluster.start(0);
+      CHECK(!cluster.programs[0]->status);  // its files are valid
     }
-    CHECK(lab.voting(0));
-    lab.net.run(12s);
-    const VersionId now = lab.committed(0, "trail");
+    CHECK(cluster.voting(0));
+    cluster.net.run(12s);
+    const VersionId now = cluster.committed(0, "trail");
     CHECK(now.version >= first);
-    CHECK(lab.committed(1, "trail") == now && lab.committed(2, "trail") == now);
+    CHECK(cluster.committed(1, "trail") == now && cluster.committed(2, "trail") == now);
     if (result.status == ConfigClient::kSuccess) {
       CHECK(now.version > first);
-      CHECK_EQ(lab.d[1]->distributor().records().at("trail").committed->content, patch("2"));
+      CHECK_EQ(cluster.distributors[1]->distributor().records().at("trail").committed->content, patch("2"));
     }
-    const Lab::Result next = lab.ctl(lab.publishing("trail", patch("3")));
+    const Cluster::Result next = cluster.run_command(cluster.publish_settings("trail", patch("3")));
     CHECK_EQ(next.status, ConfigClient::kSuccess);
-    CHECK(lab.committed(2, "trail").version > now.version);
-    for (const auto& one : lab.d) CHECK_EQ(one->counters().of("distributor.conflict"), 0U);
+    CHECK(cluster.committed(2, "trail").version > now.version);
+    for (const auto& one : cluster.distributors) CHECK_EQ(one->counters().of("distributor.conflict"), 0U);
   }
   CHECK(answered > 0 && unanswered > 0 && killed > 20);
 }
 
-// Its vote stands in its file before the publisher can count it.
-void a_vote_outlives_whoever_gave_it() {
+// A voter is killed after each of its effects in turn: any vote that the publisher counted is in its files.
+void a_counted_vote_survives_its_voter() {
   std::size_t counted = 0;
   std::size_t killed = 0;
   for (std::size_t at = 0; at < 40; ++at) {
-    Lab lab;
-    lab.all_vote();
-    CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-    lab.net.cut(address_of(2));
-    lab.p[1]->killed_after = lab.p[1]->effects + at;
-    ConfigClientSettings s = lab.publishing("trail", patch("2"));
+    Cluster cluster;
+    cluster.all_vote();
+    CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status,
+             ConfigClient::kSuccess);
+    cluster.net.cut(address_of(2));
+    cluster.programs[1]->killed_after = cluster.programs[1]->effects + at;
+    ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
     s.addresses = {address_of(0)};
     s.wait_until_active = false;
-    const bool committed = lab.ctl(s).status == ConfigClient::kSuccess;
-    if (lab.p[1]->running) continue;
+    const bool committed = cluster.run_command(s).status == ConfigClient::kSuccess;
+    if (cluster.programs[1]->running) continue;
     ++killed;
     if (!committed) continue;
     ++counted;
-    const ServiceRecord kept = lab.saved(1, "trail");
+    const ServiceRecord kept = cluster.saved(1, "trail");
     CHECK((kept.accepted ? *kept.accepted : *kept.committed).content == patch("2"));
   }
   CHECK(counted > 0 && killed > counted);
 }
 
-void two_publishers_at_once() {
-  Lab lab;
-  lab.all_vote();
+void concurrent_publishers_get_distinct_versions() {
+  Cluster cluster;
+  cluster.all_vote();
   std::size_t both = 0;
   for (int i = 0; i < 20; ++i) {
-    Terminal one(lab.net, address_of(0));
-    Terminal two(lab.net, address_of(1));
-    one.say(publish_line("trail", patch("one" + std::to_string(i))));
-    two.say(publish_line("trail", patch("two" + std::to_string(i))));
-    CHECK(lab.net.run_until([&] { return !one.lines.empty() && !two.lines.empty(); }, 10s));
+    RawClient one(cluster.net, address_of(0));
+    RawClient two(cluster.net, address_of(1));
+    one.send(publish_line("trail", patch("one" + std::to_string(i))));
+    two.send(publish_line("trail", patch("two" + std::to_string(i))));
+    CHECK(cluster.net.run_until([&] { return !one.lines.empty() && !two.lines.empty(); }, 10s));
     CHECK(one.lines[0]["re"] == "config" && one.lines[0]["what"] == "publish");
     const bool first = one.lines[0]["ok"] == true;
     const bool second = two.lines[0]["ok"] == true;
@@ -794,99 +811,102 @@
       ++both;
       CHECK(one.lines[0]["version"] != two.lines[0]["version"]);
     }
-    lab.net.run(500ms);
-    CHECK(lab.committed(0, "trail") == lab.committed(1, "trail"));
-    CHECK(lab.committed(0, "trail") == lab.committed(2, "trail"));
+    cluster.net.run(500ms);
+    CHECK(cluster.committed(0, "trail") == cluster.committed(1, "trail"));
+    CHECK(cluster.committed(0, "trail") == cluster.committed(2, "trail"));
   }
   CHECK(both > 0);
-  // On one distributor the second is told so, or comes after.
-  Terminal one(lab.net, address_of(0));
-  lab.net.cut(address_of(1));
-  lab.net.cut(address_of(2));
-  one.say(publish_line("trail", patch("x")));
+  // At one distributor a second publication of the same service is rejected while the first is pending.
+  RawClient one(cluster.net, address_of(0));
+  cluster.net.cut(address_of(1));
+  cluster.net.cut(address_of(2));
+  one.send(publish_line("trail", patch("x")));
   CHECK(one.lines.empty());
-  const json second = one.ask(publish_line("trail", patch("y")));
+  const json second = one.request(publish_line("trail", patch("y")));
   CHECK(second["ok"] == false && second["trouble"].is_string());
-  // Alone it has no majority, says so, and nothing is in force.
-  const VersionId before = lab.committed(0, "trail");
-  CHECK(lab.net.run_until([&] { return one.lines.size() >= 2; }, 20s));
+  // Without a majority the publication fails, and the committed version stays.
+  const VersionId before = cluster.committed(0, "trail");
+  CHECK(cluster.net.run_until([&] { return one.lines.size() >= 2; }, 20s));
   CHECK(one.lines.back()["ok"] == false);
-  CHECK(lab.committed(0, "trail") == before);
+  CHECK(cluster.committed(0, "trail") == before);
 }
 
-void the_small_side_of_a_cut_publishes_nothing_and_comes_back() {
-  Lab lab;
-  lab.all_vote();
-  lab.add_gatekeepers(6, {"trail"});
-  lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-  lab.net.cut(address_of(0));
-  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+void a_partitioned_distributor_catches_up() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.add_gatekeepers(6, {"trail"});
+  cluster.net.run(3s);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status, ConfigClient::kSuccess);
+  cluster.net.cut(address_of(0));
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
   s.addresses = {address_of(1), address_of(2)};
-  const Lab::Result large = lab.ctl(s);
+  const Cluster::Result large = cluster.run_command(s);
   CHECK_EQ(large.status, ConfigClient::kSuccess);
   check_has(large.text, "in force at 6 of 6");
-  // The address that can't be reached is passed over, and named.
-  s.addresses = lab.all();
+  // An unreachable address is skipped and reported.
+  s.addresses = cluster.all();
   s.content = patch("3");
   s.timeout = 3s;
-  const Lab::Result named = lab.ctl(s);
+  const Cluster::Result named = cluster.run_command(s);
   CHECK_EQ(named.status, ConfigClient::kIncomplete);
   check_has(named.text, address_of(0) + ": nobody listens there");
   check_has(named.text, "committed by d2");
-  lab.net.heal();
-  CHECK(lab.net.run_until([&] { return lab.committed(0, "trail") == lab.committed(1, "trail"); }, 20s));
-  CHECK(lab.d[0]->counters().of("distributor.peers_not_reached") > 0);
+  cluster.net.heal();
+  CHECK(cluster.net.run_until([&] { return cluster.committed(0, "trail") == cluster.committed(1, "trail"); },
+                              20s));
+  CHECK(cluster.distributors[0]->counters().of("distributor.peers_not_reached") > 0);
 }
 
-void nobody_to_be_reached() {
-  Lab lab(1);
-  ConfigClientSettings s = lab.publishing("trail", patch("1"));
+void a_command_that_reaches_no_distributor_fails() {
+  Cluster cluster(1);
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("1"));
   s.addresses = {"10.0.0.9:1", "10.0.0.9:2"};
-  const Lab::Result result = lab.ctl(s);
+  const Cluster::Result result = cluster.run_command(s);
   CHECK_EQ(result.status, ConfigClient::kUnreachable);
   s.command = ConfigClientSettings::Command::status;
-  CHECK_EQ(lab.ctl(s).status, ConfigClient::kUnreachable);
+  CHECK_EQ(cluster.run_command(s).status, ConfigClient::kUnreachable);
 }
 
-// One that takes connections and is silent holds up neither the command nor the others.
-void a_distributor_that_hangs() {
-  Lab lab;
-  lab.all_vote();
-  lab.add_gatekeepers(6, {"trail"});
-  lab.net.run(3s);
-  CHECK_EQ(lab.ctl(lab.publishing("trail", patch("1"))).status, ConfigClient::kSuccess);
-  lab.p[2]->running = false;  // stopped; its connections stand
-  ConfigClientSettings s = lab.publishing("trail", patch("2"));
+// A distributor that accepts connections and never answers delays neither the command nor the others.
+void a_hung_distributor_delays_nobody() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.add_gatekeepers(6, {"trail"});
+  cluster.net.run(3s);
+  CHECK_EQ(cluster.run_command(cluster.publish_settings("trail", patch("1"))).status, ConfigClient::kSuccess);
+  cluster.programs[2]->running = false;  // stopped; its connections stay open
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
   s.timeout = 3s;
-  const Lab::Result published = lab.ctl(s);
+  const Cluster::Result published = cluster.run_command(s);
   CHECK_EQ(published.status, ConfigClient::kIncomplete);
   check_has(published.text, address_of(2) + ": no answer in time");
   check_has(published.text, "committed by d1");
   check_has(published.text, "in force at ");
   s.addresses = {address_of(2)};
-  const Lab::Result unknown = lab.ctl(s);
+  const Cluster::Result unknown = cluster.run_command(s);
   CHECK_EQ(unknown.status, ConfigClient::kIncomplete);
   check_has(unknown.text, "not known whether it is in force: look at the status");
-  CHECK_EQ(lab.ctl(lab.asking("trail")).status, ConfigClient::kIncomplete);
-  // Silent for three beats it is given up; gatekeepers count themselves elsewhere.
-  lab.net.run(25s);
-  CHECK(lab.d[0]->counters().of("distributor.peers_lost") > 0);
-  s = lab.publishing("trail", patch("3"));
+  CHECK_EQ(cluster.run_command(cluster.status_settings("trail")).status, ConfigClient::kIncomplete);
+  // After three missed heartbeats its connections are closed, and gatekeepers are counted by other
+  // distributors.
+  cluster.net.run(25s);
+  CHECK(cluster.distributors[0]->counters().of("distributor.peers_lost") > 0);
+  s = cluster.publish_settings("trail", patch("3"));
   s.addresses = {address_of(0), address_of(1)};
-  const Lab::Result without = lab.ctl(s);
+  const Cluster::Result without = cluster.run_command(s);
   CHECK_EQ(without.status, ConfigClient::kSuccess);
   check_has(without.text, "in force at 6 of 6");
-  lab.p[2]->running = true;
-  CHECK(lab.net.run_until([&] { return lab.committed(2, "trail") == lab.committed(0, "trail"); }, 60s));
-  lab.net.run(30s);
-  const Lab::Result all = lab.ctl(lab.asking("trail"));
+  cluster.programs[2]->running = true;
+  CHECK(cluster.net.run_until([&] { return cluster.committed(2, "trail") == cluster.committed(0, "trail"); },
+                              60s));
+  cluster.net.run(30s);
+  const Cluster::Result all = cluster.run_command(cluster.status_settings("trail"));
   CHECK_EQ(all.status, ConfigClient::kSuccess);
   check_has(all.text, "in force at 6 of 6");
 }
 
-// Whoever else listens there.
-void answers_that_can_not_be_read_are_told() {
+// Another program listens at the distributor's address.
+void malformed_answers_are_reported() {
   const std::vector<std::string> answers = {
       "nonsense\n",
       "{}\n{\"re\":3}\n",
@@ -899,10 +919,10 @@
       "{\"re\":\"config\",\"what\":\"publish\",\"ok\":true}\n",
       "{\"re\":\"config\",\"what\":\"publish\",\"ok\":true,\"version\":1,\"digest\":2}\n",
       std::string(kMaxLineBytes + 1, 'x')};
-  std::size_t unread = 0;
+  std::size_t reported = 0;
   for (const std::string& answer : answers) {
-    Lab lab(1);
-    Program& other = lab.net.add([&](Time, const net::Event& event, net::Effects& out) {
+    Cluster cluster(1);
+    Program& other = cluster.net.add([&](Time, const net::Event& event, net::Effects& out) {
       if (std::holds_alternative<net::Started>(event))
         out.push_back(net::Listen{Concern::control, "10.0.0.9:7800"});
       if (const auto* got = std::get_if<net::Received>(&event)) {
@@ -910,135 +930,139 @@
         out.push_back(net::Send{got->conn, answer});
       }
     });
-    lab.net.start(other);
-    for (ConfigClientSettings s :
-         {lab.publishing("trail", patch("1")), lab.asking("trail"), lab.asking("")}) {
+    cluster.net.start(other);
+    for (ConfigClientSettings s : {cluster.publish_settings("trail", patch("1")),
+                                   cluster.status_settings("trail"), cluster.status_settings("")}) {
       s.addresses = {"10.0.0.9:7800"};
       s.timeout = 2s;
-      const Lab::Result result = lab.ctl(s);
+      const Cluster::Result result = cluster.run_command(s);
       CHECK(result.status != ConfigClient::kSuccess);
       CHECK(!result.text.empty());
-      unread += has(result.text, "can't be read") ? 1 : 0;
+      reported += has(result.text, "can't be read") ? 1 : 0;
     }
   }
-  CHECK(unread > 15);
+  CHECK(reported > 15);
 }
 
-void a_gatekeeper_that_is_gone_is_not_heard_of() {
-  Lab lab;
-  lab.all_vote();
-  lab.add_gatekeepers(6, {"trail"});
-  lab.net.run(3s);
-  lab.net.kill(*lab.gatekeepers[2]->program);
-  ConfigClientSettings s = lab.publishing("trail", patch("1"));
+void a_lost_gatekeeper_is_reported_for_its_retention() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.add_gatekeepers(6, {"trail"});
+  cluster.net.run(3s);
+  cluster.net.kill(*cluster.gatekeepers[2]->program);
+  ConfigClientSettings s = cluster.publish_settings("trail", patch("1"));
   s.timeout = 2s;
-  const Lab::Result gone = lab.ctl(s);
-  CHECK_EQ(gone.status, ConfigClient::kIncomplete);
-  check_has(gone.text, "in force at 5 of 5, refused at 0, not heard of 1");
-  const Lab::Result status = lab.ctl(lab.asking("trail"));
+  const Cluster::Result after_loss = cluster.run_command(s);
+  CHECK_EQ(after_loss.status, ConfigClient::kIncomplete);
+  check_has(after_loss.text, "in force at 5 of 5, refused at 0, not heard of 1");
+  const Cluster::Result status = cluster.run_command(cluster.status_settings("trail"));
   CHECK_EQ(status.status, ConfigClient::kIncomplete);
   check_has(status.text, "not heard of:\n  gk3, for ");
-  // One whose distributor ends is attached elsewhere: it is heard of.
-  const auto counts = [&](std::size_t i) { return !lab.d[i]->distributor().lost_gatekeepers().empty(); };
+  // Gatekeepers of a distributor that ends reattach to another one and are not lost.
+  const auto counts = [&](std::size_t i) {
+    return !cluster.distributors[i]->distributor().lost_gatekeepers().empty();
+  };
   CHECK(counts(0) + counts(1) + counts(2) == 1);
-  // one that did not count it: what it had counted is gone with it
+  // A distributor that has not counted the lost gatekeeper: with the one that has, the entry would be lost
+  // too.
   const std::size_t other = counts(0) ? 1 : 0;
-  lab.add_gatekeepers(1, {"trail"});
-  lab.kill(other);
-  lab.net.run(3s);
-  lab.start(other);
-  lab.net.run(3s);
-  check_has(lab.ctl(lab.asking("trail")).text, "in force at 6 of 6, refused at 0, not heard of 1");
-  lab.net.run(11min);
-  const Lab::Result later = lab.ctl(lab.asking("trail"));
+  cluster.add_gatekeepers(1, {"trail"});
+  cluster.kill(other);
+  cluster.net.run(3s);
+  cluster.start(other);
+  cluster.net.run(3s);
+  check_has(cluster.run_command(cluster.status_settings("trail")).text,
+            "in force at 6 of 6, refused at 0, not heard of 1");
+  cluster.net.run(11min);
+  const Cluster::Result later = cluster.run_command(cluster.status_settings("trail"));
   check_has(later.text, "in force at 6 of 6, refused at 0, not heard of 0");
   CHECK_EQ(later.status, ConfigClient::kSuccess);
 }
 
-void many_that_are_gone_are_told_in_several_lines() {
-  Lab lab(2, 600);
-  lab.all_vote();
+void many_lost_gatekeepers_are_reported_in_pages() {
+  Cluster cluster(2, 600);
+  cluster.all_vote();
   const std::string pad(200, 'n');
   for (int i = 0; i < 130; ++i) {
-    Terminal gatekeeper(lab.net, address_of(0));
-    gatekeeper.say(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, true));
-    lab.net.kill(*gatekeeper.program);
+    RawClient gatekeeper(cluster.net, address_of(0));
+    gatekeeper.send(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, true));
+    cluster.net.kill(*gatekeeper.program);
   }
-  // Three of them are with the other one now.
-  std::vector<std::unique_ptr<Terminal>> back;
+  // Three of them reattach to the other distributor.
+  std::vector<std::unique_ptr<RawClient>> back;
   for (int i : {1, 64, 129}) {
-    back.push_back(std::make_unique<Terminal>(lab.net, address_of(1)));
-    back.back()->say(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, false));
+    back.push_back(std::make_unique<RawClient>(cluster.net, address_of(1)));
+    back.back()->send(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, false));
   }
-  check_has(lab.ctl(lab.asking("trail")).text, "not heard of 127");
-  Terminal hand(lab.net, address_of(0));
-  const json first = hand.ask({{"op", "config"}, {"what", "status"}, {"service", "trail"}});
+  check_has(cluster.run_command(cluster.status_settings("trail")).text, "not heard of 127");
+  RawClient operator_(cluster.net, address_of(0));
+  const json first = operator_.request({{"op", "config"}, {"what", "status"}, {"service", "trail"}});
   CHECK(first["more"] == true && first["lost"].size() < 130 && line_of(first).size() <= kMaxLineBytes);
 }
 
-// A gatekeeper that takes what is sent and never answers costs one notice and a few beats.
-void a_client_that_never_reads_costs_little() {
-  Lab lab;
-  lab.all_vote();
-  Terminal mute(lab.net, address_of(0));
-  mute.say(subscribe_line("mute", {{"trail", {}}, {"map", {}}}, true));
-  lab.net.run(1s);
-  mute.program->reads = false;
-  Terminal operator_(lab.net, address_of(1));
+// A gatekeeper that never reads or answers costs one notification and a few heartbeats.
+void a_client_that_never_reads_has_a_bounded_cost() {
+  Cluster cluster;
+  cluster.all_vote();
+  RawClient silent_client(cluster.net, address_of(0));
+  silent_client.send(subscribe_line("mute", {{"trail", {}}, {"map", {}}}, true));
+  cluster.net.run(1s);
+  silent_client.program->reads = false;
+  RawClient operator_(cluster.net, address_of(1));
   for (int i = 0; i < 200; ++i) {
-    operator_.say(
+    operator_.send(
         publish_line(i % 2 == 0 ? "trail" : "map", patch(std::to_string(i) + std::string(2000, 'x'))));
-    lab.net.run(50ms);
+    cluster.net.run(50ms);
   }
-  const auto answers = operator_.take();
+  const auto answers = operator_.take_lines();
   CHECK(std::ranges::count_if(answers, [](const json& a) { return a["ok"] == true; }) > 150);
-  CHECK(lab.net.unread_of(*mute.program) < 2000);
-  CHECK(lab.committed(0, "trail") == lab.committed(1, "trail"));
-  lab.net.run(60s);
-  CHECK(mute.closed);
-  CHECK(lab.d[0]->counters().of("distributor.connections_silent") +
-            lab.d[0]->counters().of("distributor.clients_closed") >
+  CHECK(cluster.net.unread_of(*silent_client.program) < 2000);
+  CHECK(cluster.committed(0, "trail") == cluster.committed(1, "trail"));
+  cluster.net.run(60s);
+  CHECK(silent_client.closed);
+  CHECK(cluster.distributors[0]->counters().of("distributor.connections_silent") +
+            cluster.distributors[0]->counters().of("distributor.clients_closed") >
         0);
 }
 
-void connections_that_say_nothing_go() {
-  Lab lab(1, 16);
-  lab.all_vote();
-  Terminal silent(lab.net, address_of(0));
-  Terminal half(lab.net, address_of(0));
-  Terminal once(lab.net, address_of(0));
-  half.say(std::string("{\"op\":"));
-  once.say(heartbeat_answer_line());
-  lab.net.run(4s);
+void idle_and_excess_connections_are_closed() {
+  Cluster cluster(1, 16);
+  cluster.all_vote();
+  RawClient silent(cluster.net, address_of(0));
+  RawClient half(cluster.net, address_of(0));
+  RawClient once(cluster.net, address_of(0));
+  half.send(std::string("{\"op\":"));
+  once.send(heartbeat_answer_line());
+  cluster.net.run(4s);
   CHECK(silent.closed && half.closed && !once.closed);
-  lab.net.run(20s);
+  cluster.net.run(20s);
   CHECK(once.closed);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.connections_stuck"), 2U);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.connections_silent"), 1U);
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_stuck"), 2U);
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_silent"), 1U);
 
-  // With too many, whoever is no client goes first, then the newest: none that is served.
-  std::vector<std::unique_ptr<Terminal>> clients;
+  // Above the limit a connection that is no client is closed first, else the newest; clients stay.
+  std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 16; ++i) {
-    clients.push_back(std::make_unique<Terminal>(lab.net, address_of(0)));
-    if (i > 0) clients.back()->say(subscribe_line("gk" + std::to_string(i), {{"trail", {}}}, true));
+    clients.push_back(std::make_unique<RawClient>(cluster.net, address_of(0)));
+    if (i > 0) clients.back()->send(subscribe_line("gk" + std::to_string(i), {{"trail", {}}}, true));
   }
-  Terminal next(lab.net, address_of(0));
+  RawClient next(cluster.net, address_of(0));
   CHECK(clients[0]->closed && !next.closed);
-  next.say(subscribe_line("gk0", {{"trail", {}}}, true));
-  Terminal over(lab.net, address_of(0));
+  next.send(subscribe_line("gk0", {{"trail", {}}}, true));
+  RawClient over(cluster.net, address_of(0));
   CHECK(over.closed);
   for (int i = 1; i < 16; ++i) CHECK(!clients[static_cast<std::size_t>(i)]->closed);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.connections_over"), 2U);
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_over"), 2U);
 }
 
-void mistakes_of_operators_are_answered_and_harm_nobody() {
-  Lab lab;
-  lab.all_vote();
-  Terminal hand(lab.net, address_of(0));
-  const auto refused = [&](const json& line, const std::string& why) {
-    const json answer = hand.ask(line);
+void invalid_operator_requests_are_answered_with_errors() {
+  Cluster cluster;
+  cluster.all_vote();
+  RawClient operator_(cluster.net, address_of(0));
+  const auto refused = [&](const json& line, const std::string& reason) {
+    const json answer = operator_.request(line);
     CHECK(answer["ok"] == false);
-    check_has(answer["trouble"].get<std::string>(), why);
+    check_has(answer["trouble"].get<std::string>(), reason);
   };
   refused(publish_line("trail", "[]"), "not a JSON object");
   refused(publish_line("trail", "{"), "not a JSON object");
@@ -1060,84 +1084,85 @@
   refused({{"op", "announce"}}, "'op'");
   refused({{"op", 3}}, "'op'");
   refused(json::object(), "'op'");
-  hand.take();
-  hand.say(std::string("no json\n"));
-  CHECK(hand.lines.at(0)["ok"] == false);
-  hand.say(std::string("[1,2]\n\n  \n"));
-  CHECK_EQ(hand.take().size(), 2U);
-  CHECK(lab.d[0]->counters().of("distributor.malformed") > 10);
-  CHECK(lab.d[0]->counters().of("distributor.publish_refused") >= 6);
-  // A flood of them is one line of the log a second.
-  CHECK(lab.p[0]->logs.size() < 20);
-  // The connection is good all along, and what is published there is taken.
-  CHECK(hand.ask({{"op", "config"}, {"what", "status"}})["ok"] == true);
-  CHECK(hand.ask({{"op", "config"}, {"what", "attached"}, {"names", {"x"}}})["names"].empty());
-  hand.take();
-  hand.say(publish_line("trail", " { \"settings\" : { \"a\" : 1 } } "));
-  CHECK(lab.net.run_until([&] { return !hand.lines.empty(); }, 5s));
-  CHECK(hand.lines[0]["ok"] == true);
-  CHECK_EQ(lab.d[1]->distributor().records().at("trail").committed->content, R"({"settings":{"a":1}})");
+  operator_.take_lines();
+  operator_.send(std::string("no json\n"));
+  CHECK(operator_.lines.at(0)["ok"] == false);
+  operator_.send(std::string("[1,2]\n\n  \n"));
+  CHECK_EQ(operator_.take_lines().size(), 2U);
+  CHECK(cluster.distributors[0]->counters().of("distributor.malformed") > 10);
+  CHECK(cluster.distributors[0]->counters().of("distributor.publish_refused") >= 6);
+  // The log has at most one line per second about them.
+  CHECK(cluster.programs[0]->logs.size() < 20);
+  // The connection stays usable, and a valid publication on it is accepted.
+  CHECK(operator_.request({{"op", "config"}, {"what", "status"}})["ok"] == true);
+  CHECK(operator_.request({{"op", "config"}, {"what", "attached"}, {"names", {"x"}}})["names"].empty());
+  operator_.take_lines();
+  operator_.send(publish_line("trail", " { \"settings\" : { \"a\" : 1 } } "));
+  CHECK(cluster.net.run_until([&] { return !operator_.lines.empty(); }, 5s));
+  CHECK(operator_.lines[0]["ok"] == true);
+  CHECK_EQ(cluster.distributors[1]->distributor().records().at("trail").committed->content,
+           R"({"settings":{"a":1}})");
 
-  // A line without an end, and a client that says what no client says.
-  hand.say(std::string(kMaxLineBytes + 1, 'x'));
-  CHECK(hand.closed);
-  Terminal twice(lab.net, address_of(0));
-  twice.say(subscribe_line("gk", {{"trail", {}}}, true));
-  twice.say(subscribe_line("gk", {{"trail", {}}}, true));
+  // A line above the limit closes the connection, and so does a client's second subscription.
+  operator_.send(std::string(kMaxLineBytes + 1, 'x'));
+  CHECK(operator_.closed);
+  RawClient twice(cluster.net, address_of(0));
+  twice.send(subscribe_line("gk", {{"trail", {}}}, true));
+  twice.send(subscribe_line("gk", {{"trail", {}}}, true));
   CHECK(twice.closed);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.clients_closed"), 1U);
-  // Without an answer to its proposal it can't be told from a distributor; without the key it can do nothing.
-  Terminal forger(lab.net, address_of(0));
-  ServiceConfig forged{"trail", {lab.committed(0, "trail").version + 1, {}}, "{}"};
-  const json answer = forger.ask(propose_line(1, forged));
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.clients_closed"), 1U);
+  // Any client may send a proposal, but one whose digest was not made with the key is rejected.
+  RawClient forger(cluster.net, address_of(0));
+  ServiceConfig forged{"trail", {cluster.committed(0, "trail").version + 1, {}}, "{}"};
+  const json answer = forger.request(propose_line(1, forged));
   CHECK(answer["accepted"] == false);
-  CHECK_EQ(lab.d[0]->counters().of("distributor.unsound"), 1U);
+  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.unsound"), 1U);
 }
 
-void a_service_too_many_is_told_and_all_are_listed_by_pages() {
-  Lab lab(1);
-  lab.all_vote();
-  Terminal hand(lab.net, address_of(0));
+void all_services_are_listed_in_pages() {
+  Cluster cluster(1);
+  cluster.all_vote();
+  RawClient operator_(cluster.net, address_of(0));
   for (int i = 0; i < 250; ++i)
-    CHECK(hand.ask(publish_line("service-" + std::to_string(1000 + i), "{}"))["ok"] == true);
-  const json first = hand.ask({{"op", "config"}, {"what", "status"}});
+    CHECK(operator_.request(publish_line("service-" + std::to_string(1000 + i), "{}"))["ok"] == true);
+  const json first = operator_.request({{"op", "config"}, {"what", "status"}});
   CHECK(first["more"] == true && first["services"].size() == 100);
   CHECK(line_of(first).size() <= kMaxLineBytes);
-  const Lab::Result all = lab.ctl(lab.asking(""));
+  const Cluster::Result all = cluster.run_command(cluster.status_settings(""));
   CHECK_EQ(std::ranges::count(all.text, '\n'), 250);
   CHECK_EQ(all.status, ConfigClient::kSuccess);
 }
 
-void the_end_and_the_counters() {
-  Lab lab;
-  lab.all_vote();
-  lab.net.tell(*lab.p[0], net::CountersRequested{});
-  check_has(lab.p[0]->printed, "distributor.now.standing_voting 1");
-  check_has(lab.p[0]->printed, "distributor.now.peers_up 2");
-  lab.net.tell(*lab.p[0], net::StopRequested{});
-  CHECK(lab.p[0]->status == 0);
+void counters_are_printed_and_a_stop_exits_cleanly() {
+  Cluster cluster;
+  cluster.all_vote();
+  cluster.net.deliver(*cluster.programs[0], net::CountersRequested{});
+  check_has(cluster.programs[0]->printed, "distributor.now.standing_voting 1");
+  check_has(cluster.programs[0]->printed, "distributor.now.peers_up 2");
+  cluster.net.deliver(*cluster.programs[0], net::StopRequested{});
+  CHECK(cluster.programs[0]->status == 0);
 }
 
 }  // namespace
 
 int main() {
-  a_change_is_in_force_everywhere();
-  a_bad_change_is_stopped_and_told();
-  all_go_on_from_their_files();
-  a_restart_while_it_recovers_gives_no_vote();
-  a_file_that_is_no_use_is_told_and_ends_the_program();
-  a_distributor_killed_at_any_effect_forgets_nothing_it_said();
-  a_vote_outlives_whoever_gave_it();
-  two_publishers_at_once();
-  the_small_side_of_a_cut_publishes_nothing_and_comes_back();
-  nobody_to_be_reached();
-  a_distributor_that_hangs();
-  answers_that_can_not_be_read_are_told();
-  a_gatekeeper_that_is_gone_is_not_heard_of();
-  many_that_are_gone_are_told_in_several_lines();
-  a_client_that_never_reads_costs_little();
-  connections_that_say_nothing_go();
-  mistakes_of_operators_are_answered_and_harm_nobody();
-  a_service_too_many_is_told_and_all_are_listed_by_pages();
-  the_end_and_the_counters();
+  a_published_config_becomes_active_everywhere();
+  a_config_that_gatekeepers_reject_is_reported();
+  distributors_resume_from_their_files();
+  a_restart_during_recovery_does_not_grant_a_vote();
+  an_invalid_file_is_logged_and_ends_the_program();
+  a_distributor_killed_at_any_effect_keeps_what_it_acknowledged();
+  a_counted_vote_survives_its_voter();
+  concurrent_publishers_get_distinct_versions();
+  a_partitioned_distributor_catches_up();
+  a_command_that_reaches_no_distributor_fails();
+  a_hung_distributor_delays_nobody();
+  malformed_answers_are_reported();
+  a_lost_gatekeeper_is_reported_for_its_retention();
+  many_lost_gatekeepers_are_reported_in_pages();
+  a_client_that_never_reads_has_a_bounded_cost();
+  idle_and_excess_connections_are_closed();
+  invalid_operator_requests_are_answered_with_errors();
+  all_services_are_listed_in_pages();
+  counters_are_printed_and_a_stop_exits_cleanly();
 }
