--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -64,27 +64,27 @@
     programs_.back()->files = files;
     return *programs_.back();
   }
-  void start(Program& p) { deliver(p, net::Started{}); }
-  void kill(Program& p) {
-    p.running = false;
-    p.timers.clear();
-    if (const auto it = listeners_.find(p.address); it != listeners_.end() && it->second == &p)
+  void start(Program& program) { deliver(program, net::Started{}); }
+  void kill(Program& program) {
+    program.running = false;
+    program.timers.clear();
+    if (const auto it = listeners_.find(program.address); it != listeners_.end() && it->second == &program)
       listeners_.erase(it);
-    for (const auto& [conn, link] : std::exchange(p.links, {})) end(link, true);
+    for (const auto& [conn, link] : std::exchange(program.links, {})) end(link, true);
     drain();
   }
-  void deliver(Program& p, net::Event event) {
-    queue_.push_back({&p, std::move(event), {}});
+  void deliver(Program& program, net::Event event) {
+    queue_.push_back({&program, std::move(event), {}});
     drain();
   }
   void run(Duration span) {
     const Time until = now + span;
     while (true) {
       Program* next = nullptr;
-      for (const auto& p : programs_) {
-        if (p->running && !p->timers.empty() &&
-            (next == nullptr || p->timers.begin()->first < next->timers.begin()->first))
-          next = p.get();
+      for (const auto& program : programs_) {
+        if (program->running && !program->timers.empty() &&
+            (next == nullptr || program->timers.begin()->first < next->timers.begin()->first))
+          next = program.get();
       }
       if (next == nullptr || next->timers.begin()->first > until) break;
       now = std::max(now, next->timers.begin()->first);
@@ -117,9 +117,10 @@
   }
   void heal() { cut_.clear(); }
   // Bytes sent to the program that it has not consumed.
-  std::size_t unread_of(const Program& p) const {
+  std::size_t unread_of(const Program& program) const {
     std::size_t all = 0;
-    for (const auto& [conn, link] : p.links) all += links_[link].unread[side_of(link, p, conn)].size();
+    for (const auto& [conn, link] : program.links)
+      all += links_[link].unread[side_of(link, program, conn)].size();
     return all;
   }
 
@@ -136,8 +137,8 @@
     std::optional<std::size_t> link;  // of a Received event, whose bytes are taken from it at delivery
   };
 
-  int side_of(std::size_t link, const Program& p, ConnId conn) const {
-    return links_[link].ends[0] == &p && links_[link].ids[0] == conn ? 0 : 1;
+  int side_of(std::size_t link, const Program& program, ConnId conn) const {
+    return links_[link].ends[0] == &program && links_[link].ids[0] == conn ? 0 : 1;
   }
   void end(std::size_t link, bool reset) {
     Link& l = links_[link];
@@ -157,84 +158,85 @@
     draining_ = false;
   }
   void handle(PendingEvent& pending) {
-    Program& p = *pending.to;
+    Program& program = *pending.to;
     std::string bytes;
     if (pending.link) {
       Link& l = links_[*pending.link];
       const ConnId conn = std::get<net::Received>(pending.event).conn;
-      if (!p.links.contains(conn) || !p.reads) return;
-      bytes = l.unread[side_of(*pending.link, p, conn)];
+      if (!program.links.contains(conn) || !program.reads) return;
+      bytes = l.unread[side_of(*pending.link, program, conn)];
       if (bytes.empty()) return;
       pending.event = net::Received{conn, bytes};
     }
     // Bytes that the other side sent before it closed have been delivered by now.
-    if (const auto* closed = std::get_if<net::Closed>(&pending.event)) p.links.erase(closed->conn);
+    if (const auto* closed = std::get_if<net::Closed>(&pending.event)) program.links.erase(closed->conn);
     net::Effects effects;
-    p.step(now, pending.event, effects);
+    program.step(now, pending.event, effects);
     for (const net::Effect& effect : effects) {
-      if (!p.running || p.status) break;
-      if (p.killed_after && p.effects >= *p.killed_after) return kill(p);
-      ++p.effects;
-      std::visit([&](const auto& e) { apply_effect(p, e); }, effect);
+      if (!program.running || program.status) break;
+      if (program.killed_after && program.effects >= *program.killed_after) return kill(program);
+      ++program.effects;
+      std::visit([&](const auto& e) { apply_effect(program, e); }, effect);
     }
-    if (p.status) kill(p);
+    if (program.status) kill(program);
   }
 
-  void apply_effect(Program& p, const net::Listen& e) {
-    p.address = e.address;
-    listeners_[e.address] = &p;
+  void apply_effect(Program& program, const net::Listen& e) {
+    program.address = e.address;
+    listeners_[e.address] = &program;
   }
-  void apply_effect(Program& p, const net::Connect& e) {
+  void apply_effect(Program& program, const net::Connect& e) {
     const auto it = listeners_.find(e.address);
-    if (it == listeners_.end() || cut_.contains(e.address) || cut_.contains(p.address)) {
-      queue_.push_back({&p, net::ConnectFailed{e.conn, true}, {}});
+    if (it == listeners_.end() || cut_.contains(e.address) || cut_.contains(program.address)) {
+      queue_.push_back({&program, net::ConnectFailed{e.conn, true}, {}});
       return;
     }
     Program& to = *it->second;
     const ConnId taken{Concern::control, ++to.accepted};
-    links_.push_back({{&p, &to}, {e.conn, taken}, {}});
-    p.links[e.conn] = to.links[taken] = links_.size() - 1;
+    links_.push_back({{&program, &to}, {e.conn, taken}, {}});
+    program.links[e.conn] = to.links[taken] = links_.size() - 1;
     queue_.push_back({&to, net::Accepted{taken}, {}});
-    queue_.push_back({&p, net::Connected{e.conn}, {}});
+    queue_.push_back({&program, net::Connected{e.conn}, {}});
   }
-  void apply_effect(Program& p, const net::Send& e) {
-    const auto it = p.links.find(e.conn);
-    if (it == p.links.end()) return;
+  void apply_effect(Program& program, const net::Send& e) {
+    const auto it = program.links.find(e.conn);
+    if (it == program.links.end()) return;
     Link& l = links_[it->second];
     if (!l.open) return;
-    const int other = 1 - side_of(it->second, p, e.conn);
+    const int other = 1 - side_of(it->second, program, e.conn);
     l.unread[other] += e.bytes;
     queue_.push_back({l.ends[other], net::Received{l.ids[other], {}}, it->second});
   }
-  void apply_effect(Program& p, const net::Consume& e) {
-    const auto it = p.links.find(e.conn);
-    if (it != p.links.end()) links_[it->second].unread[side_of(it->second, p, e.conn)].erase(0, e.count);
+  void apply_effect(Program& program, const net::Consume& e) {
+    const auto it = program.links.find(e.conn);
+    if (it != program.links.end())
+      links_[it->second].unread[side_of(it->second, program, e.conn)].erase(0, e.count);
   }
-  void apply_effect(Program& p, const net::Close& e) {
-    const auto it = p.links.find(e.conn);
-    if (it == p.links.end()) return;
+  void apply_effect(Program& program, const net::Close& e) {
+    const auto it = program.links.find(e.conn);
+    if (it == program.links.end()) return;
     const std::size_t link = it->second;
-    p.links.erase(it);  // the closing side gets no Closed event
+    program.links.erase(it);  // the closing side gets no Closed event
     end(link, false);
   }
-  void apply_effect(Program& p, const net::ArmTimer& e) { p.timers.emplace(e.at, e.key); }
-  void apply_effect(Program& p, const net::WriteFile& e) {
+  void apply_effect(Program& program, const net::ArmTimer& e) { program.timers.emplace(e.at, e.key); }
+  void apply_effect(Program& program, const net::WriteFile& e) {
     CHECK(e.required);  // a vote must not be sent unless it is stored
-    ++p.writes;
-    if (p.files != nullptr) (*p.files)[e.path] = e.text;
+    ++program.writes;
+    if (program.files != nullptr) (*program.files)[e.path] = e.text;
   }
-  void apply_effect(Program& p, const net::ReadFile& e) {
+  void apply_effect(Program& program, const net::ReadFile& e) {
     net::FileRead read{e.path, std::nullopt};
-    if (p.files != nullptr && p.files->contains(e.path)) {
-      read.text = p.files->at(e.path);
+    if (program.files != nullptr && program.files->contains(e.path)) {
+      read.text = program.files->at(e.path);
     } else {
-      ++p.missing_reads;
+      ++program.missing_reads;
     }
-    queue_.push_back({&p, std::move(read), {}});
+    queue_.push_back({&program, std::move(read), {}});
   }
-  void apply_effect(Program& p, const net::Log& e) { p.logs.push_back(e.text); }
-  void apply_effect(Program& p, const net::Print& e) { p.printed += e.text; }
-  void apply_effect(Program& p, const net::Exit& e) { p.status = e.status; }
+  void apply_effect(Program& program, const net::Log& e) { program.logs.push_back(e.text); }
+  void apply_effect(Program& program, const net::Print& e) { program.printed += e.text; }
+  void apply_effect(Program& program, const net::Exit& e) { program.status = e.status; }
   void apply_effect(Program&, const auto&) { CHECK(false); }
 
   std::vector<std::unique_ptr<Program>> programs_;
@@ -959,13 +961,13 @@
   CHECK_EQ(status.status, ConfigClient::kIncomplete);
   check_has(status.text, "not heard of:\n  gk3, for ");
   // Gatekeepers of a distributor that ends reattach to another one and are not lost.
-  const auto counts = [&](std::size_t i) {
+  const auto has_lost_gatekeepers = [&](std::size_t i) {
     return !cluster.distributors[i]->distributor().lost_gatekeepers().empty();
   };
-  CHECK(counts(0) + counts(1) + counts(2) == 1);
+  CHECK(has_lost_gatekeepers(0) + has_lost_gatekeepers(1) + has_lost_gatekeepers(2) == 1);
   // A distributor that has not counted the lost gatekeeper: with the one that has, the entry would be lost
   // too.
-  const std::size_t other = counts(0) ? 1 : 0;
+  const std::size_t other = has_lost_gatekeepers(0) ? 1 : 0;
   cluster.add_gatekeepers(1, {"trail"});
   cluster.kill(other);
   cluster.net.run(3s);
@@ -982,17 +984,17 @@
 void many_lost_gatekeepers_are_reported_in_pages() {
   Cluster cluster(2, 600);
   cluster.all_vote();
-  const std::string pad(200, 'n');
+  const std::string long_name(200, 'n');
   for (int i = 0; i < 130; ++i) {
     RawClient gatekeeper(cluster.net, address_of(0));
-    gatekeeper.send(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, true));
+    gatekeeper.send(subscribe_line(long_name + std::to_string(i), {{"trail", {}}}, true));
     cluster.net.kill(*gatekeeper.program);
   }
   // Three of them reattach to the other distributor.
-  std::vector<std::unique_ptr<RawClient>> back;
+  std::vector<std::unique_ptr<RawClient>> reattached;
   for (int i : {1, 64, 129}) {
-    back.push_back(std::make_unique<RawClient>(cluster.net, address_of(1)));
-    back.back()->send(subscribe_line(pad + std::to_string(i), {{"trail", {}}}, false));
+    reattached.push_back(std::make_unique<RawClient>(cluster.net, address_of(1)));
+    reattached.back()->send(subscribe_line(long_name + std::to_string(i), {{"trail", {}}}, false));
   }
   check_has(cluster.run_command(cluster.status_settings("trail")).text, "not heard of 127");
   RawClient operator_(cluster.net, address_of(0));
--- a/tests/configuration_process_test.cpp
+++ b/tests/configuration_process_test.cpp
@@ -220,7 +220,8 @@
       return reserved.back().port();
     };
     for (Distributor& d : distributors_) d.port = port();
-    for (Gatekeeper& p : gatekeepers_) p.listen = port(), p.control = port(), p.management = port();
+    for (Gatekeeper& gatekeeper : gatekeepers_)
+      gatekeeper.listen = port(), gatekeeper.control = port(), gatekeeper.management = port();
     std::vector<int> real;
     for (std::size_t side = 0; side <= kMaxGatekeepers; ++side) {
       for (const Distributor& d : distributors_) real.push_back(d.port);
@@ -241,7 +242,7 @@
   ~Rig() {
     stopping_ = true;
     watcher_.join();
-    for (Gatekeeper& p : gatekeepers_) p.program.reset();
+    for (Gatekeeper& gatekeeper : gatekeepers_) gatekeeper.program.reset();
     for (Distributor& d : distributors_) d.child.reset();
     std::error_code ignored;
     if (::getenv("GRANITERUN_KEEP") == nullptr) std::filesystem::remove_all(dir_, ignored);
@@ -403,20 +404,21 @@
   }
   bool all_of(const std::function<bool(const View&)>& holds) const {
     const std::lock_guard lock(mutex_);
-    return std::ranges::all_of(
-        gatekeepers_, [&](const Gatekeeper& p) { return !p.program || (p.view.known && holds(p.view)); });
+    return std::ranges::all_of(gatekeepers_, [&](const Gatekeeper& gatekeeper) {
+      return !gatekeeper.program || (gatekeeper.view.known && holds(gatekeeper.view));
+    });
   }
   std::size_t count_of(const std::string& service, std::uint64_t version) const {
     const std::lock_guard lock(mutex_);
-    return static_cast<std::size_t>(std::ranges::count_if(gatekeepers_, [&](const Gatekeeper& p) {
-      const auto it = p.view.services.find(service);
-      return p.program && it != p.view.services.end() && it->second.version == version;
+    return static_cast<std::size_t>(std::ranges::count_if(gatekeepers_, [&](const Gatekeeper& gatekeeper) {
+      const auto it = gatekeeper.view.services.find(service);
+      return gatekeeper.program && it != gatekeeper.view.services.end() && it->second.version == version;
     }));
   }
   std::size_t running() const {
     const std::lock_guard lock(mutex_);
-    return static_cast<std::size_t>(
-        std::ranges::count_if(gatekeepers_, [](const Gatekeeper& p) { return p.program != nullptr; }));
+    return static_cast<std::size_t>(std::ranges::count_if(
+        gatekeepers_, [](const Gatekeeper& gatekeeper) { return gatekeeper.program != nullptr; }));
   }
   // Waits until the version is active at all subscribers of the service.
   void wait_until_all_hold(const std::string& service, std::uint64_t version) {
@@ -532,8 +534,8 @@
     std::string got;
     const auto end = Steady::now() + 2s;
     while (Steady::now() < end) {
-      pollfd p{fd, POLLIN, 0};
-      if (::poll(&p, 1, 100) <= 0) continue;
+      pollfd poll_entry{fd, POLLIN, 0};
+      if (::poll(&poll_entry, 1, 100) <= 0) continue;
       char buffer[65536];
       const ssize_t count = ::recv(fd, buffer, sizeof buffer, 0);
       if (count <= 0) break;
@@ -557,27 +559,27 @@
     while (!stopping_) {
       for (std::size_t g = 0; g < kMaxGatekeepers; ++g) {
         const std::lock_guard lock(mutex_);
-        Gatekeeper& p = gatekeepers_[g];
-        if (!p.program) continue;
-        if (p.control_connection.descriptor() < 0) {
+        Gatekeeper& gatekeeper = gatekeepers_[g];
+        if (!gatekeeper.program) continue;
+        if (gatekeeper.control_connection.descriptor() < 0) {
           Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-          const sockaddr_in address = loopback(p.control);
+          const sockaddr_in address = loopback(gatekeeper.control);
           if (::connect(s.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
             continue;
-          p.control_connection = std::move(s);
+          gatekeeper.control_connection = std::move(s);
         }
-        const json answer =
-            exchange(p.control_connection.descriptor(), "{\"op\":\"configuration\",\"what\":\"held\"}\n");
+        const json answer = exchange(gatekeeper.control_connection.descriptor(),
+                                     "{\"op\":\"configuration\",\"what\":\"held\"}\n");
         if (!answer.contains("services")) {
-          p.control_connection = Socket();
+          gatekeeper.control_connection = Socket();
           continue;
         }
-        update_view(g, p, answer);
+        update_view(g, gatekeeper, answer);
       }
       std::this_thread::sleep_for(10ms);
     }
   }
-  void update_view(std::size_t g, Gatekeeper& p, const json& answer) {
+  void update_view(std::size_t g, Gatekeeper& gatekeeper, const json& answer) {
     std::map<std::string, HeldConfig> all;
     for (const json& one : answer["services"]) {
       HeldConfig held;
@@ -589,20 +591,20 @@
       }
       const std::string service = one.value("service", "");
       if (held.version != 0) check_digest(service, held.version, held.digest);
-      const auto before = p.view.services.find(service);
-      if (before != p.view.services.end() && held.version < before->second.version) {
+      const auto before = gatekeeper.view.services.find(service);
+      if (before != gatekeeper.view.services.end() && held.version < before->second.version) {
         ++regressions_;
         std::cerr << "g" << g << " went back from " << before->second.version << " to " << held.version
                   << "\n";
       }
       all[service] = std::move(held);
     }
-    p.view.services = std::move(all);
+    gatekeeper.view.services = std::move(all);
     const bool ready = answer.value("ready", false);
-    if (ready && !p.view.ready) p.view.at_ready = p.view.services;
-    p.view.ready = ready;
-    p.view.known = true;
-    ++p.view.answers;
+    if (ready && !gatekeeper.view.ready) gatekeeper.view.at_ready = gatekeeper.view.services;
+    gatekeeper.view.ready = ready;
+    gatekeeper.view.known = true;
+    ++gatekeeper.view.answers;
   }
 
   ServerStandIn server_;
@@ -793,65 +795,65 @@
 }
 
 void publication_concurrent_with_a_reload(Rig& rig) {
-  constexpr std::size_t kOne = 6;
-  const std::string kRead = "the configuration was read again";
-  const std::string kKept = "the old configuration is kept";
-  const std::size_t kept_before = count_in(rig.program(kOne).log(), kKept);
+  constexpr std::size_t kReloading = 6;
+  const std::string kReloadedLog = "the configuration was read again";
+  const std::string kKeptLog = "the old configuration is kept";
+  const std::size_t rejected_reloads_before = count_in(rig.program(kReloading).log(), kKeptLog);
   // The journal service that it connects to shows which configuration is active: the published one, else the
   // file's.
-  const json hosts = json::parse(rig.config(kOne).dump())["known"]["entries"][0]["hosts"];
+  const json hosts = json::parse(rig.config(kReloading).dump())["known"]["entries"][0]["hosts"];
   for (const bool reload_first : {true, false}) {
-    lab::JournalStandIn of_file(hosts);
-    lab::JournalStandIn of_document(hosts);
-    json file = rig.config(kOne);
-    file["journal"] = at(of_file.port());
-    const std::size_t read = count_in(rig.program(kOne).log(), kRead);
+    lab::JournalStandIn file_journal(hosts);
+    lab::JournalStandIn published_journal(hosts);
+    json file = rig.config(kReloading);
+    file["journal"] = at(file_journal.port());
+    const std::size_t reloads_before = count_in(rig.program(kReloading).log(), kReloadedLog);
     json content = next_content();
-    content["journal"] = at(of_document.port());
-    rig.hold(kOne, StreamRelay::back, true);
+    content["journal"] = at(published_journal.port());
+    rig.hold(kReloading, StreamRelay::back, true);
     const std::uint64_t version = rig.publish(1, "own-6", content);
-    rig.program(kOne).configure(file.dump());
+    rig.program(kReloading).configure(file.dump());
     if (reload_first) {
-      rig.program(kOne).signal(SIGHUP);
-      rig.hold(kOne, StreamRelay::back, false);
+      rig.program(kReloading).signal(SIGHUP);
+      rig.hold(kReloading, StreamRelay::back, false);
     } else {
-      rig.hold(kOne, StreamRelay::back, false);
-      rig.program(kOne).signal(SIGHUP);
+      rig.hold(kReloading, StreamRelay::back, false);
+      rig.program(kReloading).signal(SIGHUP);
     }
     rig.wait_until_all_hold("own-6", version);
-    CHECK(until([&] { return count_in(rig.program(kOne).log(), kRead) == read + 1; }));
-    CHECK(until([&] { return of_document.connections() == 1; }));
+    CHECK(until([&] { return count_in(rig.program(kReloading).log(), kReloadedLog) == reloads_before + 1; }));
+    CHECK(until([&] { return published_journal.connections() == 1; }));
     // The next published configuration sets no journal, so the new file's one becomes active.
     const std::uint64_t next = rig.publish(1, "own-6", next_content());
     CHECK(next > version);
     rig.wait_until_all_hold("own-6", next);
-    CHECK(until([&] { return of_file.connections() == 1; }));
+    CHECK(until([&] { return file_journal.connections() == 1; }));
     check_fault_occurred("publications concurrent with a reload",
-                         count_in(rig.program(kOne).log(), kRead) - read);
-    rig.program(kOne).configure(rig.config(kOne).dump());
-    rig.program(kOne).signal(SIGHUP);
-    CHECK(until([&] { return count_in(rig.program(kOne).log(), kRead) == read + 2; }));
-    CHECK(until([&] { return of_file.connections() == 0; }));
+                         count_in(rig.program(kReloading).log(), kReloadedLog) - reloads_before);
+    rig.program(kReloading).configure(rig.config(kReloading).dump());
+    rig.program(kReloading).signal(SIGHUP);
+    CHECK(until([&] { return count_in(rig.program(kReloading).log(), kReloadedLog) == reloads_before + 2; }));
+    CHECK(until([&] { return file_journal.connections() == 0; }));
   }
   // A file that is valid by itself, but invalid once the published configuration is merged onto it.
   json content = next_content();
   content["settings"]["familyInfo"]["poolsByClass"] = {{0}, {0}};
   const std::uint64_t version = rig.publish_to_all(2, "own-6", content);
-  const std::size_t read = count_in(rig.program(kOne).log(), kRead);
-  json file = rig.config(kOne);
+  const std::size_t reloads_before = count_in(rig.program(kReloading).log(), kReloadedLog);
+  json file = rig.config(kReloading);
   keep_first_class(file);
-  rig.program(kOne).configure(file.dump());
-  rig.program(kOne).signal(SIGHUP);
-  rig.program(kOne).wait_for_log("with the documents in force over it");
+  rig.program(kReloading).configure(file.dump());
+  rig.program(kReloading).signal(SIGHUP);
+  rig.program(kReloading).wait_for_log("with the documents in force over it");
   check_fault_occurred("files rejected because of the published configuration",
-                       count_in(rig.program(kOne).log(), kKept) - kept_before);
-  const std::uint64_t answers = rig.view(kOne).answers;
-  CHECK(until([&] { return rig.view(kOne).answers > answers + 1; }));
-  CHECK_EQ(rig.held(kOne, "own-6").version, version);
-  rig.check_serves(kOne);
-  rig.program(kOne).configure(rig.config(kOne).dump());
-  rig.program(kOne).signal(SIGHUP);
-  CHECK(until([&] { return count_in(rig.program(kOne).log(), kRead) == read + 1; }));
+                       count_in(rig.program(kReloading).log(), kKeptLog) - rejected_reloads_before);
+  const std::uint64_t answers = rig.view(kReloading).answers;
+  CHECK(until([&] { return rig.view(kReloading).answers > answers + 1; }));
+  CHECK_EQ(rig.held(kReloading, "own-6").version, version);
+  rig.check_serves(kReloading);
+  rig.program(kReloading).configure(rig.config(kReloading).dump());
+  rig.program(kReloading).signal(SIGHUP);
+  CHECK(until([&] { return count_in(rig.program(kReloading).log(), kReloadedLog) == reloads_before + 1; }));
   rig.publish_to_all(2, "own-6", next_content());
 }
 
@@ -909,15 +911,15 @@
   rig.status_of("all", &exit_status);
   CHECK_EQ(exit_status, 0);
   // A patch that the command rejects, and an address without a listener.
-  Command wrong({"config", "publish", "all", "--json-text", R"({"listen":"127.0.0.1:1"})", "--to",
-                 rig.addresses_from(0)});
-  CHECK_EQ(wrong.finish(), 2);
-  const Socket silent(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));  // bound, not listening
+  Command invalid_patch({"config", "publish", "all", "--json-text", R"({"listen":"127.0.0.1:1"})", "--to",
+                         rig.addresses_from(0)});
+  CHECK_EQ(invalid_patch.finish(), 2);
+  const Socket bound_socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));  // bound, not listening
   const sockaddr_in address = loopback(0);
-  CHECK(::bind(silent.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
-  Command nobody(
-      {"config", "publish", "all", "--json-text", next_content().dump(), "--to", at(silent.port())});
-  CHECK_EQ(nobody.finish(), 3);
+  CHECK(::bind(bound_socket.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
+  Command unreachable(
+      {"config", "publish", "all", "--json-text", next_content().dump(), "--to", at(bound_socket.port())});
+  CHECK_EQ(unreachable.finish(), 3);
 }
 
 // A distributor is stopped while the relay holds its messages. The others publish, and after it continues the
@@ -947,9 +949,9 @@
 void partitioned_gatekeepers_catch_up(Rig& rig) {
   const std::vector<std::size_t> cut = {3, 4, 5};
   const std::uint64_t before = rig.publish_to_all(0, "all", next_content());
-  std::map<std::size_t, std::uint64_t> taken;
-  for (const std::size_t g : cut) taken[g] = rig.figure(g, "in_force");
-  const auto bytes = rig.relay().counts().cut.load();
+  std::map<std::size_t, std::uint64_t> activations_before;
+  for (const std::size_t g : cut) activations_before[g] = rig.figure(g, "in_force");
+  const auto dropped_bytes_before = rig.relay().counts().cut.load();
   for (const std::size_t g : cut) rig.cut(g, true);
   std::uint64_t newest = 0;
   for (std::size_t i = 0; i < 10; ++i) {
@@ -958,11 +960,11 @@
   }
   CHECK(until([&] { return rig.count_of("all", newest) == rig.running() - cut.size(); }));
   CHECK_EQ(rig.count_of("all", before), cut.size());
-  CHECK(until([&] { return rig.relay().counts().cut > bytes; }));
-  check_fault_occurred("bytes dropped by the partition", rig.relay().counts().cut - bytes);
+  CHECK(until([&] { return rig.relay().counts().cut > dropped_bytes_before; }));
+  check_fault_occurred("bytes dropped by the partition", rig.relay().counts().cut - dropped_bytes_before);
   for (const std::size_t g : cut) rig.cut(g, false);
   rig.wait_until_all_hold("all", newest);
-  for (const std::size_t g : cut) CHECK_EQ(rig.figure(g, "in_force") - taken[g], 1U);
+  for (const std::size_t g : cut) CHECK_EQ(rig.figure(g, "in_force") - activations_before[g], 1U);
   rig.publish_to_all(1, "all", next_content());
 }
 
