--- a/src/upstream/directory.h
+++ b/src/upstream/directory.h
@@ -1,4 +1,5 @@
-// The setup servers that the list has named: their ids here, by the uid that the journal service gives them.
+// Assigns local server ids to the uids by which the journal service names setup servers, and converts
+// endpoints into the decision module's server entries. An id is never reused.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +15,18 @@
  public:
   explicit Directory(std::vector<std::string> areas) : areas_(std::move(areas)) {}
 
-  ServerId id_of(const std::string& uid) {
+  ServerId find_or_assign_id(const std::string& uid) {
     return ids_.try_emplace(uid, ServerId{static_cast<std::uint32_t>(ids_.size())}).first->second;
   }
-  ServerEntry entry_of(ServerId id, const Endpoint& host) const {
-    const auto area = std::find(areas_.begin(), areas_.end(), host.area);
-    return {id,          Zone{static_cast<std::uint32_t>(area - areas_.begin())},
-            host.pool,   host.state,
-            host.weight, host.started};
+  // The zone is the index of the endpoint's area; an unknown area gets the index after the last one.
+  ServerEntry make_entry(ServerId id, const Endpoint& endpoint) const {
+    const auto area = std::find(areas_.begin(), areas_.end(), endpoint.area);
+    return {id,
+            Zone{static_cast<std::uint32_t>(area - areas_.begin())},
+            endpoint.pool,
+            endpoint.state,
+            endpoint.weight,
+            endpoint.started};
   }
 
  private:
--- a/src/upstream/discovery.h
+++ b/src/upstream/discovery.h
@@ -1,4 +1,7 @@
-// The connection to the journal service: server-sent events that tell how the list of setup servers changes.
+// Watch on the journal service, which is the discovery of setup servers: reads server-sent events (WHATWG
+// HTML) with complete endpoint lists and changes of them. After a reconnect the watch resumes after the last
+// event position that was processed. A malformed event is requested once more and skipped if it is malformed
+// again.
 #pragma once
 
 #include <optional>
@@ -17,37 +20,37 @@
       : address_(std::move(address)), position_(position), counters_(counters) {}
 
   void start(Time now, Outbox& out);
-  // The service is at this address from now on; what it tells carries on where the old one's ended.
+  // Reconnects to the journal service at a new address and resumes after the last processed position.
   void change_address(Time now, const std::string& address, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
-  // The lists that have come since, in order.
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
+  // Returns the endpoint lists received since the last call, in order.
   std::vector<EndpointList> take_updates() { return std::exchange(updates_, {}); }
 
  private:
   void connect(Outbox& out);
   void schedule_reconnect(Time now, Outbox& out);
   void drop_connection(Time now, Outbox& out);
-  void reopen_watch(std::string_view why, Outbox& out);
+  void reopen_watch(std::string_view reason, Outbox& out);
   bool handle_event(const http::ServerSentEvent& event, Outbox& out);
 
   std::string address_;
-  std::uint64_t position_;  // of the last event taken
+  std::uint64_t position_;  // of the last event processed
   Counters& counters_;
-  std::uint32_t connections_ = 0;
-  bool open_ = false;
-  bool waiting_ = false;  // for the time to connect again
+  std::uint32_t connection_number_ = 0;
+  bool connected_ = false;
+  bool reconnect_pending_ = false;  // the reconnect timer is armed
   bool timer_armed_ = false;
   Time last_received_at_{};
   std::optional<http::Head> head_{};
   std::optional<http::Body> body_{};
-  std::string text_{};
-  std::optional<Time> partial_since_{};  // a head or an event has begun and is not whole
-  // The position after which an event could not be read, and was asked for anew.
-  std::optional<std::uint64_t> retried_after_{};
+  std::string event_buffer_{};
+  std::optional<Time> partial_since_{};  // since when a head or event is incomplete
+  // The position after which a malformed event was requested once more.
+  std::optional<std::uint64_t> retried_position_{};
   std::vector<EndpointList> updates_{};
 };
 
--- a/src/upstream/sip_trunk.cpp
+++ b/src/upstream/sip_trunk.cpp
@@ -7,44 +7,45 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kTick = 50ms;
-constexpr std::uint64_t kTickTimer = ~std::uint64_t{0} >> 1;  // apart from those of the transactions
-// So long the end of an attempt that was given up is awaited before the call may go on elsewhere.
+constexpr Duration kTickInterval = 50ms;
+constexpr std::uint64_t kTickTimer = ~std::uint64_t{0} >> 1;  // outside the transactions' timer numbers
+// How long the final response of an abandoned attempt is awaited before the request may be retried elsewhere.
 constexpr Duration kAbandonTimeout = 120ms;
-// A leg that is over is kept for what comes late: a success after that would be a repeat of 64 T1 ago.
+// How long a finished attempt is retained to match late messages. A success that came later would be a
+// retransmission of one sent 64 T1 before.
 constexpr Duration kFinishedRetention = 2 * sip::k64T1;
-constexpr int kNormal = 16;
-// By so much a deadline that is passed on may lie behind the caller's.
+constexpr int kCauseNormalClearing = 16;
+// By how much a deadline that is sent to a server may exceed the caller's.
 constexpr std::chrono::milliseconds kExpiresSlack{150};
 
-// Tells a server how long the caller still waits. Expires counts whole seconds: rounded up it once gave a
-// server up to a second more than the caller had. Where not one second is left it is not written at all; then
-// the CANCEL at the deadline ends the attempt.
-void put_time_left(sip::Message& m, Duration time_left) {
-  const auto left =
+// Sets Expires and Expires-Ms to the time until the caller's deadline. Expires has whole seconds and is
+// rounded down, except within kExpiresSlack: rounded up, it would give the server up to a second more than
+// the caller has. It is omitted where it would be 0; the CANCEL at the deadline then ends the attempt.
+void set_time_left_headers(sip::Message& message, Duration time_left) {
+  const auto ms_left =
       std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::milliseconds>(time_left).count());
-  const auto seconds = (left + kExpiresSlack.count()) / 1000;
-  const auto put = [&m](std::string_view name, const std::string& value) {
-    for (auto& [known, old] : m.headers) {
-      if (known == name) {
-        old = value;
+  const auto seconds = (ms_left + kExpiresSlack.count()) / 1000;
+  const auto set_header = [&message](std::string_view name, const std::string& value) {
+    for (auto& [header, current_value] : message.headers) {
+      if (header == name) {
+        current_value = value;
         return;
       }
     }
-    m.add(std::string(name), value);
+    message.add(std::string(name), value);
   };
   if (seconds > 0) {
-    put("Expires", std::to_string(seconds));
+    set_header("Expires", std::to_string(seconds));
   } else {
-    std::erase_if(m.headers, [](const auto& header) { return header.first == "Expires"; });
+    std::erase_if(message.headers, [](const auto& header) { return header.first == "Expires"; });
   }
-  put("Expires-Ms", std::to_string(left));
+  set_header("Expires-Ms", std::to_string(ms_left));
 }
 
-core::AttemptFinished ended_as(Outcome outcome) {
-  core::AttemptFinished ended;
-  ended.outcome = outcome;
-  return ended;
+core::AttemptFinished finished_with(Outcome outcome) {
+  core::AttemptFinished finished;
+  finished.outcome = outcome;
+  return finished;
 }
 
 Outcome outcome_of(int status) {
@@ -78,46 +79,46 @@
   } else {
     out.net.push_back(net::Bind{net::Concern::trunk, settings_.address});
   }
-  out.arm(net::Concern::trunk, kTickTimer, now + kTick);
+  out.arm(net::Concern::trunk, kTickTimer, now + kTickInterval);
 }
 
 void SipTrunk::handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out) {
-  ServerList told;
-  told.kind = kind;
+  ServerList update;
+  update.kind = kind;
   if (kind != ListKind::changes) {
-    for (auto& [id, host] : endpoints_) host.state = ServerState::terminated;
+    for (auto& [id, endpoint] : endpoints_) endpoint.state = ServerState::terminated;
   }
-  for (const Endpoint& host : list.endpoints) {
-    const ServerId id = directory_.id_of(host.uid);
-    const auto [known, fresh] = endpoints_.try_emplace(id, host);
-    if (!fresh && host.started && known->second.started != host.started)
-      end_established_calls(now, id, host.started, out);
-    known->second = host;
-    told.entries.push_back(directory_.entry_of(id, host));
+  for (const Endpoint& endpoint : list.endpoints) {
+    const ServerId id = directory_.find_or_assign_id(endpoint.uid);
+    const auto [it, inserted] = endpoints_.try_emplace(id, endpoint);
+    if (!inserted && endpoint.started && it->second.started != endpoint.started)
+      end_established_calls(now, id, endpoint.started, out);
+    it->second = endpoint;
+    update.entries.push_back(directory_.make_entry(id, endpoint));
   }
-  out.notify_broker(core::ServersChanged{std::move(told)});
-  for (const auto& [id, host] : endpoints_) {
-    if (host.state == ServerState::terminated) end_established_calls(now, id, {}, out);
+  out.notify_broker(core::ServersChanged{std::move(update)});
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.state == ServerState::terminated) end_established_calls(now, id, {}, out);
   }
-  // What is not written yet is not to reach a server that is to get nothing new.
+  // Withdraws INVITEs that are not written yet, since a server that is not in service must get no new setups.
   if (!settings_.reliable) return;
   for (auto it = attempts_.begin(); it != attempts_.end();) {
-    const auto leg = it++;
-    if (leg->second.state == State::calling && !leg->second.provisional &&
-        endpoints_.at(leg->second.server).state != ServerState::in_service)
-      withdraw_invite(now, leg, out);
+    const auto attempt = it++;
+    if (attempt->second.state == State::calling && !attempt->second.provisional_received &&
+        endpoints_.at(attempt->second.server).state != ServerState::in_service)
+      withdraw_invite(now, attempt, out);
   }
 }
 
 std::size_t SipTrunk::listed() const {
-  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& h) {
-    return h.second.state != ServerState::terminated;
+  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& entry) {
+    return entry.second.state != ServerState::terminated;
   }));
 }
 
 bool SipTrunk::ready() const {
   return std::any_of(endpoints_.begin(), endpoints_.end(),
-                     [](const auto& h) { return h.second.state == ServerState::in_service; });
+                     [](const auto& entry) { return entry.second.state == ServerState::in_service; });
 }
 
 const std::string& SipTrunk::name_of(ServerId server) const {
@@ -126,64 +127,67 @@
   return it == endpoints_.end() ? kUnknown : it->second.uid;
 }
 
-// ---- the runtime's events
+// ---- events of the runtime
 
-void SipTrunk::on(Time, const net::Accepted& e, Outbox&) { transport_.accepted(e.conn.number); }
-void SipTrunk::on(Time now, const net::Connected& e, Outbox& out) {
-  transport_.connected(e.conn.number, out, [this, now](std::uint64_t ticket, std::string text) {
-    return with_time_left(now, ticket, std::move(text));
+void SipTrunk::on(Time, const net::Accepted& event, Outbox&) { transport_.accepted(event.conn.number); }
+void SipTrunk::on(Time now, const net::Connected& event, Outbox& out) {
+  transport_.connected(event.conn.number, out, [this, now](std::uint64_t ticket, std::string text) {
+    return refresh_time_left(now, ticket, std::move(text));
   });
 }
 
-// The text of an INVITE that waited for its connection, with the time that its caller waits from now on.
-std::string SipTrunk::with_time_left(Time now, std::uint64_t ticket, std::string text) {
-  for (auto& [call_id, leg] : attempts_) {
-    if (leg.ticket != ticket) continue;
-    put_time_left(leg.invite, leg.deadline - now);
-    return leg.invite.text();
+// Returns the text of an INVITE that waited for its connection, with the time left updated; `text` for other
+// tickets.
+std::string SipTrunk::refresh_time_left(Time now, std::uint64_t ticket, std::string text) {
+  for (auto& [call_id, attempt] : attempts_) {
+    if (attempt.ticket != ticket) continue;
+    set_time_left_headers(attempt.invite, attempt.deadline - now);
+    return attempt.invite.text();
   }
   return text;
 }
 
-void SipTrunk::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  const std::string peer = transport_.connect_failed(e.conn.number);
-  for (auto& [id, leg] : attempts_) {
-    if (leg.flow.peer == peer && !leg.provisional)
-      finish_attempt(now, leg, ended_as(Outcome::no_connection), out);
+void SipTrunk::on(Time now, const net::ConnectFailed& event, Outbox& out) {
+  const std::string peer = transport_.connect_failed(event.conn.number);
+  for (auto& [id, attempt] : attempts_) {
+    if (attempt.flow.peer == peer && !attempt.provisional_received)
+      finish_attempt(now, attempt, finished_with(Outcome::no_connection), out);
   }
 }
 
-void SipTrunk::on(Time now, const net::Closed& e, Outbox& out) {
-  const std::string peer = transport_.closed(e.conn.number);
-  for (auto& [id, leg] : attempts_) {
-    if (!peer.empty() && leg.flow.peer == peer) finish_attempt(now, leg, ended_as(Outcome::reset), out);
+void SipTrunk::on(Time now, const net::Closed& event, Outbox& out) {
+  const std::string peer = transport_.closed(event.conn.number);
+  for (auto& [id, attempt] : attempts_) {
+    if (!peer.empty() && attempt.flow.peer == peer)
+      finish_attempt(now, attempt, finished_with(Outcome::reset), out);
   }
 }
 
-void SipTrunk::on(Time now, const net::Received& e, Outbox& out) {
-  for (sip::Incoming& incoming : transport_.received(e, out)) handle_message(now, std::move(incoming), out);
+void SipTrunk::on(Time now, const net::Received& event, Outbox& out) {
+  for (sip::Incoming& incoming : transport_.received(event, out))
+    handle_message(now, std::move(incoming), out);
 }
 
-void SipTrunk::on(Time now, const net::Datagram& e, Outbox& out) {
-  handle_message(now, transport_.datagram(e), out);
+void SipTrunk::on(Time now, const net::Datagram& event, Outbox& out) {
+  handle_message(now, transport_.datagram(event), out);
 }
 
-void SipTrunk::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.number != kTickTimer) {
-    for (const sip::TimerExpiry& lapse : transactions_.fired(now, e.key.number, out)) {
-      if (lapse.what != sip::TimerExpiry::What::no_answer) continue;
-      const auto own = by_transaction_.find(lapse.key);  // timer B
-      if (own == by_transaction_.end()) continue;
-      if (UpstreamAttempt* leg = find(own->second))
-        finish_attempt(now, *leg, ended_as(Outcome::timed_out), out);
+void SipTrunk::on(Time now, const net::TimerFired& event, Outbox& out) {
+  if (event.key.number != kTickTimer) {
+    for (const sip::TimerExpiry& expiry : transactions_.fired(now, event.key.number, out)) {
+      if (expiry.what != sip::TimerExpiry::What::no_answer) continue;
+      const auto invite = by_transaction_.find(expiry.key);  // timer B
+      if (invite == by_transaction_.end()) continue;
+      if (UpstreamAttempt* attempt = find_attempt(invite->second))
+        finish_attempt(now, *attempt, finished_with(Outcome::timed_out), out);
     }
     return;
   }
-  out.arm(net::Concern::trunk, kTickTimer, now + kTick);
-  while (const auto call_id = due_.pop_due(now)) {
-    UpstreamAttempt& leg = attempts_.at(*call_id);
-    if (leg.state == State::abandoned && !leg.broker_notified) {
-      finish_attempt(now, leg, ended_as(Outcome::cancelled), out);
+  out.arm(net::Concern::trunk, kTickTimer, now + kTickInterval);
+  while (const auto call_id = state_deadlines_.pop_due(now)) {
+    UpstreamAttempt& attempt = attempts_.at(*call_id);
+    if (attempt.state == State::abandoned && !attempt.broker_notified) {
+      finish_attempt(now, attempt, finished_with(Outcome::cancelled), out);
       continue;
     }
     erase(attempts_.find(*call_id));
@@ -193,148 +197,151 @@
 void SipTrunk::erase(Attempts::iterator it) {
   by_transaction_.erase(it->second.transaction);
   withdrawals_.erase(it->second.ticket);
-  due_.clear(it->first);
+  state_deadlines_.clear(it->first);
   attempts_.erase(it);
 }
 
-// A leg that is given up or over has an end of its own.
-void SipTrunk::enter_state(Time now, UpstreamAttempt& leg, State state) {
-  leg.state = state;
-  leg.state_since = now;
-  const std::string call_id(leg.invite.header("Call-ID"));
-  due_.clear(call_id);
+// Changes the state, and sets the deadline of the states `abandoned` and `finished`, which end by themselves.
+void SipTrunk::enter_state(Time now, UpstreamAttempt& attempt, State state) {
+  attempt.state = state;
+  attempt.state_since = now;
+  const std::string call_id(attempt.invite.header("Call-ID"));
+  state_deadlines_.clear(call_id);
   if (state == State::finished || state == State::abandoned)
-    due_.set(call_id, now + (leg.broker_notified ? kFinishedRetention : kAbandonTimeout) + 1ns);
+    state_deadlines_.set(call_id,
+                         now + (attempt.broker_notified ? kFinishedRetention : kAbandonTimeout) + 1ns);
 }
 
-// ---- the broker's effects
+// ---- effects of the broker
 
-std::string SipTrunk::via() {
+std::string SipTrunk::make_via() {
   return std::string(settings_.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + settings_.address +
          ";branch=" + std::string(sip::kCookie) + ids_.next();
 }
 
-void SipTrunk::apply(Time now, const core::StartAttempt& e, Outbox& out) {
-  const auto host = endpoints_.find(e.server);
-  if (host == endpoints_.end()) return;
-  const core::Request& r = *e.request;
-  const std::string call_id = call_id_of(r, e.attempt);
-  UpstreamAttempt& leg = attempts_[call_id];
-  leg.request = e.request;
-  leg.attempt = e.attempt;
-  leg.server = e.server;
-  leg.state = State::calling;
-  leg.state_since = now;
-  leg.deadline = e.deadline;
-  leg.flow = {settings_.reliable, 0, host->second.address};
-  sip::Message& m = leg.invite;
-  m.method = "INVITE";
-  m.uri = "sip:" + r.number_text + "@" + host->second.address;
-  m.add("Via", via());
-  m.add("Max-Forwards", "70");
-  m.add("From", "<sip:graniterun@" + settings_.address + ">;tag=" + ids_.next());
-  m.add("To", "<" + m.uri + ">");
-  m.add("Call-ID", call_id);
-  m.add("CSeq", "1 INVITE");
-  m.add("Contact", "<sip:graniterun@" + settings_.address + (settings_.reliable ? ";transport=tcp>" : ">"));
-  m.add("Priority-Class", r.class_name);
-  put_time_left(m, e.deadline - now);
-  if (!r.description.empty()) m.add("Content-Type", "application/sdp");
-  m.body = r.description;
+void SipTrunk::apply(Time now, const core::StartAttempt& event, Outbox& out) {
+  const auto endpoint = endpoints_.find(event.server);
+  if (endpoint == endpoints_.end()) return;
+  const core::Request& request = *event.request;
+  const std::string call_id = call_id_of(request, event.attempt);
+  UpstreamAttempt& attempt = attempts_[call_id];
+  attempt.request = event.request;
+  attempt.index = event.attempt;
+  attempt.server = event.server;
+  attempt.state = State::calling;
+  attempt.state_since = now;
+  attempt.deadline = event.deadline;
+  attempt.flow = {settings_.reliable, 0, endpoint->second.address};
+  sip::Message& message = attempt.invite;
+  message.method = "INVITE";
+  message.uri = "sip:" + request.number_text + "@" + endpoint->second.address;
+  message.add("Via", make_via());
+  message.add("Max-Forwards", "70");
+  message.add("From", "<sip:graniterun@" + settings_.address + ">;tag=" + ids_.next());
+  message.add("To", "<" + message.uri + ">");
+  message.add("Call-ID", call_id);
+  message.add("CSeq", "1 INVITE");
+  message.add("Contact",
+              "<sip:graniterun@" + settings_.address + (settings_.reliable ? ";transport=tcp>" : ">"));
+  message.add("Priority-Class", request.class_name);
+  set_time_left_headers(message, event.deadline - now);
+  if (!request.description.empty()) message.add("Content-Type", "application/sdp");
+  message.body = request.description;
   counters_.add("trunk.invites");
-  if (settings_.reliable) leg.ticket = ++last_ticket_;
-  leg.transaction = transactions_.send_request(now, leg.flow, m, out, leg.ticket);
-  by_transaction_.insert_or_assign(leg.transaction, call_id);
+  if (settings_.reliable) attempt.ticket = ++last_ticket_;
+  attempt.transaction = transactions_.send_request(now, attempt.flow, message, out, attempt.ticket);
+  by_transaction_.insert_or_assign(attempt.transaction, call_id);
 }
 
-void SipTrunk::apply(Time now, const core::AbandonAttempt& e, Outbox& out) {
-  const auto it = attempts_.find(call_id_of(*e.request, e.attempt));
+void SipTrunk::apply(Time now, const core::AbandonAttempt& event, Outbox& out) {
+  const auto it = attempts_.find(call_id_of(*event.request, event.attempt));
   if (it == attempts_.end() || it->second.state != State::calling) return;
-  UpstreamAttempt& leg = it->second;
-  enter_state(now, leg, State::abandoned);
-  if (leg.provisional) {
-    cancel(now, leg, out);
-  } else if (leg.flow.reliable) {
+  UpstreamAttempt& attempt = it->second;
+  enter_state(now, attempt, State::abandoned);
+  if (attempt.provisional_received) {
+    send_cancel(now, attempt, out);
+  } else if (attempt.flow.reliable) {
     withdraw_invite(now, it, out);
   } else {
-    // A repeat now could begin at the server what has been given up here.
-    transactions_.stop_retransmitting(leg.invite);
+    // A retransmission could start the abandoned attempt at a server that missed the first INVITE.
+    transactions_.stop_retransmitting(attempt.invite);
   }
 }
 
-// An INVITE that waits for its connection, or for a server that reads nothing, is taken back: written later
-// it would begin an attempt for a caller long gone. Where it is too late the CANCEL waits for a provisional
-// answer.
+// Withdraws an INVITE that waits for its connection or for a server that does not read. Written later, it
+// would start an attempt for a caller that has disconnected. If it is already written, a CANCEL follows the
+// first provisional response.
 void SipTrunk::withdraw_invite(Time now, Attempts::iterator it, Outbox& out) {
-  UpstreamAttempt& leg = it->second;
-  if (transport_.withdraw(leg.flow, leg.ticket, out)) return handle_withdrawn(now, it, out);
-  withdrawals_.insert_or_assign(leg.ticket, it->first);
+  UpstreamAttempt& attempt = it->second;
+  if (transport_.withdraw(attempt.flow, attempt.ticket, out)) return handle_withdrawn(now, it, out);
+  withdrawals_.insert_or_assign(attempt.ticket, it->first);
 }
 
-void SipTrunk::on(Time now, const net::WriteWithdrawn& e, Outbox& out) {
-  const auto asked = withdrawals_.find(e.ticket);
-  if (asked == withdrawals_.end()) return;
-  const auto it = attempts_.find(asked->second);
-  withdrawals_.erase(asked);
+void SipTrunk::on(Time now, const net::WriteWithdrawn& event, Outbox& out) {
+  const auto withdrawal = withdrawals_.find(event.ticket);
+  if (withdrawal == withdrawals_.end()) return;
+  const auto it = attempts_.find(withdrawal->second);
+  withdrawals_.erase(withdrawal);
   if (it != attempts_.end()) handle_withdrawn(now, it, out);
 }
 
 void SipTrunk::handle_withdrawn(Time now, Attempts::iterator it, Outbox& out) {
   counters_.add("trunk.invites_recalled");
   transactions_.forget(it->second.transaction);
-  finish_attempt(now, it->second, ended_as(Outcome::not_sent), out);
+  finish_attempt(now, it->second, finished_with(Outcome::not_sent), out);
   erase(it);
 }
 
-void SipTrunk::apply(Time now, const core::ReleaseServer& e, Outbox& out) {
-  UpstreamAttempt* leg = find(call_id_of(*e.request, e.attempt));
-  if (leg == nullptr || leg->state != State::established) return;
-  leg->broker_notified = true;
-  bye(now, *leg, e.cause, out);
-  enter_state(now, *leg, State::finished);
+void SipTrunk::apply(Time now, const core::ReleaseServer& event, Outbox& out) {
+  UpstreamAttempt* attempt = find_attempt(call_id_of(*event.request, event.attempt));
+  if (attempt == nullptr || attempt->state != State::established) return;
+  attempt->broker_notified = true;
+  send_bye(now, *attempt, event.cause, out);
+  enter_state(now, *attempt, State::finished);
 }
 
-// §9.1: the INVITE's own Via, and its number.
-void SipTrunk::cancel(Time now, UpstreamAttempt& leg, Outbox& out) {
-  if (std::exchange(leg.cancelled, true)) return;
-  sip::Message m;
-  m.method = "CANCEL";
-  m.uri = leg.invite.uri;
+// A CANCEL has the Via and the CSeq number of its INVITE (§9.1).
+void SipTrunk::send_cancel(Time now, UpstreamAttempt& attempt, Outbox& out) {
+  if (std::exchange(attempt.cancel_sent, true)) return;
+  sip::Message message;
+  message.method = "CANCEL";
+  message.uri = attempt.invite.uri;
   for (const char* name : {"Via", "Max-Forwards", "From", "To", "Call-ID"})
-    m.add(name, std::string(leg.invite.header(name)));
-  m.add("CSeq", "1 CANCEL");
+    message.add(name, std::string(attempt.invite.header(name)));
+  message.add("CSeq", "1 CANCEL");
   counters_.add("trunk.cancels");
-  transactions_.send_request(now, leg.flow, m, out);
-}
-
-sip::Message SipTrunk::in_dialog(UpstreamAttempt& leg, const std::string& method, std::uint32_t cseq) {
-  sip::Message m;
-  m.method = method;
-  m.uri = leg.target;
-  m.add("Via", via());
-  m.add("Max-Forwards", "70");
-  for (const std::string& route : leg.routes) m.add("Route", route);
-  m.add("From", std::string(leg.invite.header("From")));
-  m.add("To", leg.remote);
-  m.add("Call-ID", std::string(leg.invite.header("Call-ID")));
-  m.add("CSeq", std::to_string(cseq) + " " + method);
-  return m;
-}
-
-void SipTrunk::bye(Time now, UpstreamAttempt& leg, int cause, Outbox& out) {
-  sip::Message m = in_dialog(leg, "BYE", ++leg.cseq);
-  m.add("Reason", "Q.850;cause=" + std::to_string(cause));
+  transactions_.send_request(now, attempt.flow, message, out);
+}
+
+sip::Message SipTrunk::make_dialog_request(UpstreamAttempt& attempt, const std::string& method,
+                                           std::uint32_t cseq) {
+  sip::Message message;
+  message.method = method;
+  message.uri = attempt.remote_target;
+  message.add("Via", make_via());
+  message.add("Max-Forwards", "70");
+  for (const std::string& route : attempt.route_set) message.add("Route", route);
+  message.add("From", std::string(attempt.invite.header("From")));
+  message.add("To", attempt.remote_to);
+  message.add("Call-ID", std::string(attempt.invite.header("Call-ID")));
+  message.add("CSeq", std::to_string(cseq) + " " + method);
+  return message;
+}
+
+void SipTrunk::send_bye(Time now, UpstreamAttempt& attempt, int cause, Outbox& out) {
+  sip::Message message = make_dialog_request(attempt, "BYE", ++attempt.local_cseq);
+  message.add("Reason", "Q.850;cause=" + std::to_string(cause));
   counters_.add("trunk.byes_out");
-  transactions_.send_request(now, leg.flow, m, out);
+  transactions_.send_request(now, attempt.flow, message, out);
 }
 
-// ---- what servers send
+// ---- messages from servers
 
 void SipTrunk::handle_message(Time now, sip::Incoming incoming, Outbox& out) {
   if (incoming.read.state == sip::ReadState::more) return;
   if (incoming.read.state == sip::ReadState::malformed) {
     counters_.add("trunk.malformed");
-    out.log(net::Level::warning, "a setup server's SIP message is refused: " + incoming.read.error);
+    out.log(net::Level::warning, "malformed SIP message from a setup server: " + incoming.read.error);
     if (incoming.flow.reliable && incoming.read.unrecoverable) {
       out.close({net::Concern::trunk, incoming.flow.conn});
       on(now, net::Closed{{net::Concern::trunk, incoming.flow.conn}, false}, out);
@@ -342,126 +349,132 @@
     return;
   }
   if (incoming.read.message.is_request()) {
-    requested(now, incoming.flow, incoming.read.message, out);
+    handle_request(now, incoming.flow, incoming.read.message, out);
   } else {
-    answered(now, incoming.read.message, out);
+    handle_response(now, incoming.read.message, out);
   }
 }
 
-void SipTrunk::answered(Time now, const sip::Message& m, Outbox& out) {
-  if (transactions_.receive_response(now, m, out).empty()) return;
-  const auto cseq = sip::cseq_of(m);
-  UpstreamAttempt* leg = find(m.header("Call-ID"));
-  if (leg == nullptr || !cseq || cseq->method != "INVITE") return;
-  if (m.status < 200) {
-    leg->provisional = true;
-    if (leg->state == State::abandoned) cancel(now, *leg, out);
+void SipTrunk::handle_response(Time now, const sip::Message& message, Outbox& out) {
+  if (transactions_.receive_response(now, message, out).empty()) return;
+  const auto cseq = sip::cseq_of(message);
+  UpstreamAttempt* attempt = find_attempt(message.header("Call-ID"));
+  if (attempt == nullptr || !cseq || cseq->method != "INVITE") return;
+  if (message.status < 200) {
+    attempt->provisional_received = true;
+    if (attempt->state == State::abandoned) send_cancel(now, *attempt, out);
     return;
   }
-  if (m.status >= 300) {
-    counters_.add("trunk.refusals." + std::to_string(m.status));
-    core::AttemptFinished ended =
-        ended_as(leg->state == State::abandoned ? Outcome::cancelled : outcome_of(m.status));
-    read_rejection(m, ended);
-    if (ended.outcome == Outcome::full && ended.reason == FullReason::none)
-      ended.reason = FullReason::processor;
-    if (m.status == 486 || m.status == 600) ended.reason = FullReason::number_busy;
-    ended.report = report_of(m);
-    if (leg->state == State::calling || leg->state == State::abandoned) finish_attempt(now, *leg, ended, out);
+  if (message.status >= 300) {
+    counters_.add("trunk.refusals." + std::to_string(message.status));
+    core::AttemptFinished finished =
+        finished_with(attempt->state == State::abandoned ? Outcome::cancelled : outcome_of(message.status));
+    read_rejection(message, finished);
+    if (finished.outcome == Outcome::full && finished.reason == FullReason::none)
+      finished.reason = FullReason::processor;
+    if (message.status == 486 || message.status == 600) finished.reason = FullReason::number_busy;
+    finished.report = parse_load_report(message);
+    if (attempt->state == State::calling || attempt->state == State::abandoned)
+      finish_attempt(now, *attempt, finished, out);
     return;
   }
-  // Every success is acknowledged, repeats too; a second dialog out of a fork is ended at once.
-  const std::string remote(m.header("To"));
-  UpstreamAttempt other = *leg;
-  const bool forked =
-      !leg->remote.empty() && sip::parameter(leg->remote, "tag") != sip::parameter(remote, "tag");
-  UpstreamAttempt& dialog = forked ? other : *leg;
-  dialog.remote = remote;
-  const std::string_view contact = m.header("Contact");
-  dialog.target = contact.empty() ? leg->invite.uri : std::string(sip::uri_in(contact));
-  const auto recorded = m.all("Record-Route");
-  dialog.routes.assign(recorded.rbegin(), recorded.rend());
-  transport_.send(dialog.flow, in_dialog(dialog, "ACK", 1).text(), out);
-  if (forked) return bye(now, other, kNormal, out);
+  // Every 2xx is acknowledged, also a retransmitted one; a second dialog from a forked INVITE is ended at
+  // once.
+  const std::string remote_to(message.header("To"));
+  UpstreamAttempt fork_attempt = *attempt;
+  const bool forked = !attempt->remote_to.empty() &&
+                      sip::parameter(attempt->remote_to, "tag") != sip::parameter(remote_to, "tag");
+  UpstreamAttempt& dialog = forked ? fork_attempt : *attempt;
+  dialog.remote_to = remote_to;
+  const std::string_view contact = message.header("Contact");
+  dialog.remote_target = contact.empty() ? attempt->invite.uri : std::string(sip::uri_in(contact));
+  const auto record_routes = message.all("Record-Route");
+  dialog.route_set.assign(record_routes.rbegin(), record_routes.rend());
+  transport_.send(dialog.flow, make_dialog_request(dialog, "ACK", 1).text(), out);
+  if (forked) return send_bye(now, fork_attempt, kCauseNormalClearing, out);
   counters_.add("trunk.answers");
-  if (leg->state == State::calling) {
-    leg->was_established = true;
-    enter_state(now, *leg, State::established);
-    out.notify_broker(core::AttemptEstablished{leg->request->call, leg->attempt, m.body});
-  } else if (!std::exchange(leg->was_established, true)) {
-    // The success crossed our CANCEL, or its connection broke while the INVITE was out: it is acknowledged
-    // and ended, and the call is not tried again where its end has not been told.
+  if (attempt->state == State::calling) {
+    attempt->was_established = true;
+    enter_state(now, *attempt, State::established);
+    out.notify_broker(core::AttemptEstablished{attempt->request->call, attempt->index, message.body});
+  } else if (!std::exchange(attempt->was_established, true)) {
+    // Late success: the response raced the CANCEL, or the connection broke while the INVITE was outstanding.
+    // The call is released at the server. If the broker has no end of the attempt yet, it does not retry the
+    // request.
     counters_.add("trunk.crossed");
-    core::AttemptFinished ended = ended_as(Outcome::cancelled);
-    ended.late_success = true;
-    finish_attempt(now, *leg, ended, out);
-    bye(now, *leg, kNormal, out);
-    enter_state(now, *leg, State::finished);
+    core::AttemptFinished finished = finished_with(Outcome::cancelled);
+    finished.late_success = true;
+    finish_attempt(now, *attempt, finished, out);
+    send_bye(now, *attempt, kCauseNormalClearing, out);
+    enter_state(now, *attempt, State::finished);
   }
 }
 
-void SipTrunk::requested(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out) {
+void SipTrunk::handle_request(Time now, const sip::Flow& flow, const sip::Message& message, Outbox& out) {
   std::string key;
-  if (m.header("Via").empty() || !sip::cseq_of(m)) {
+  if (message.header("Via").empty() || !sip::cseq_of(message)) {
     counters_.add("trunk.malformed");
     return;
   }
-  if (transactions_.receive_request(now, flow, m, key, out) != sip::Transactions::RequestKind::initial)
+  if (transactions_.receive_request(now, flow, message, key, out) != sip::Transactions::RequestKind::initial)
     return;
-  const auto answer = [&](int status) {
-    transactions_.respond(now, key, sip::answer_to(m, status, sip::phrase_of(status), ids_.next()), out);
+  const auto respond = [&](int status) {
+    transactions_.respond(now, key, sip::answer_to(message, status, sip::phrase_of(status), ids_.next()),
+                          out);
   };
-  UpstreamAttempt* leg = find(m.header("Call-ID"));
-  const bool known = leg != nullptr && sip::parameter(m.header("To"), "tag") ==
-                                           sip::parameter(leg->invite.header("From"), "tag");
-  if (m.method == "OPTIONS") return answer(200);
-  if (m.method == "CANCEL") return answer(481);
-  if (!known) return answer(sip::parameter(m.header("To"), "tag").empty() ? 405 : 481);
-  if (m.method != "BYE") return answer(m.method == "INVITE" ? 488 : 501);
-  answer(200);
+  UpstreamAttempt* attempt = find_attempt(message.header("Call-ID"));
+  const bool in_known_dialog =
+      attempt != nullptr &&
+      sip::parameter(message.header("To"), "tag") == sip::parameter(attempt->invite.header("From"), "tag");
+  if (message.method == "OPTIONS") return respond(200);
+  if (message.method == "CANCEL") return respond(481);
+  if (!in_known_dialog) return respond(sip::parameter(message.header("To"), "tag").empty() ? 405 : 481);
+  if (message.method != "BYE") return respond(message.method == "INVITE" ? 488 : 501);
+  respond(200);
   counters_.add("trunk.byes_in");
-  const int cause = cause_in(m.header("Reason"));
-  if (leg->broker_notified) {
-    // Its attempt was over here before the server said that it had stood: the call may still be open.
-    if (!std::exchange(leg->was_established, true))
-      out.notify_broker(core::ServerReleased{leg->request->correlation_id, cause, true});
+  const int cause = parse_q850_cause(message.header("Reason"));
+  if (attempt->broker_notified) {
+    // The attempt ended here before the server reported that it was established; the call may still be open.
+    if (!std::exchange(attempt->was_established, true))
+      out.notify_broker(core::ServerReleased{attempt->request->correlation_id, cause, true});
     return;
   }
-  core::AttemptFinished ended =
-      ended_as(cause == kNormal && leg->was_established ? Outcome::ok : Outcome::reset);
-  ended.late_success =
-      !std::exchange(leg->was_established, true);  // its answer was lost: the callee has been rung
-  ended.cause = cause;
-  ended.report = report_of(m);
-  finish_attempt(now, *leg, ended, out);
+  core::AttemptFinished finished =
+      finished_with(cause == kCauseNormalClearing && attempt->was_established ? Outcome::ok : Outcome::reset);
+  finished.late_success =
+      !std::exchange(attempt->was_established, true);  // its 2xx was lost, but the callee's phone has rung
+  finished.cause = cause;
+  finished.report = parse_load_report(message);
+  finish_attempt(now, *attempt, finished, out);
 }
 
-// ---- small things
+// ---- helpers
 
-void SipTrunk::finish_attempt(Time now, UpstreamAttempt& leg, core::AttemptFinished ended, Outbox& out) {
-  if (leg.broker_notified) return;
+void SipTrunk::finish_attempt(Time now, UpstreamAttempt& attempt, core::AttemptFinished finished,
+                              Outbox& out) {
+  if (attempt.broker_notified) return;
   const bool connection_lost =
-      ended.outcome == Outcome::reset && ended.cause == 0 && leg.state == State::established;
-  if (connection_lost) return;  // a call that stands belongs to no connection
-  leg.broker_notified = true;
-  enter_state(now, leg, leg.state == State::abandoned ? State::abandoned : State::finished);
-  ended.call = leg.request->call;
-  ended.attempt = leg.attempt;
-  out.notify_broker(ended);
+      finished.outcome == Outcome::reset && finished.cause == 0 && attempt.state == State::established;
+  if (connection_lost) return;  // an established call outlives its connection
+  attempt.broker_notified = true;
+  enter_state(now, attempt, attempt.state == State::abandoned ? State::abandoned : State::finished);
+  finished.call = attempt.request->call;
+  finished.attempt = attempt.index;
+  out.notify_broker(finished);
 }
 
-void SipTrunk::end_established_calls(Time now, ServerId server, std::optional<Time> stood_before,
+void SipTrunk::end_established_calls(Time now, ServerId server, std::optional<Time> established_before,
                                      Outbox& out) {
-  for (auto& [id, leg] : attempts_) {
-    if (leg.server != server || leg.state != State::established) continue;
-    if (stood_before && leg.state_since >= *stood_before) continue;
-    core::AttemptFinished ended = ended_as(Outcome::reset);
-    ended.cause = 41;
-    finish_attempt(now, leg, ended, out);
+  for (auto& [id, attempt] : attempts_) {
+    if (attempt.server != server || attempt.state != State::established) continue;
+    if (established_before && attempt.state_since >= *established_before) continue;
+    core::AttemptFinished finished = finished_with(Outcome::reset);
+    finished.cause = 41;
+    finish_attempt(now, attempt, finished, out);
   }
 }
 
-SipTrunk::UpstreamAttempt* SipTrunk::find(std::string_view call_id) {
+SipTrunk::UpstreamAttempt* SipTrunk::find_attempt(std::string_view call_id) {
   const auto it = attempts_.find(call_id);
   return it == attempts_.end() ? nullptr : &it->second;
 }
--- a/src/upstream/sip_trunk.h
+++ b/src/upstream/sip_trunk.h
@@ -1,5 +1,6 @@
-// Setup servers that speak SIP as RFC 3261 has it, over UDP or TCP: a user agent client with transactions and
-// dialogs of its own. It takes the place of SetupServers where the deploy file says so.
+// User agent client of RFC 3261 for setup servers that speak standard SIP over UDP or TCP, with transactions
+// and dialogs of its own. It has the inputs and outputs of SetupServers, which it replaces if the deploy file
+// says so.
 #pragma once
 
 #include <map>
@@ -18,9 +19,9 @@
 namespace graniterun::upstream {
 
 struct SipTrunkSettings {
-  bool reliable{};        // TCP
-  std::string address{};  // from where, and where servers reach us
-  std::uint64_t seed{};
+  bool reliable{};        // TCP instead of UDP
+  std::string address{};  // local ip:port, from which it sends and at which servers reach it
+  std::uint64_t seed{};   // of tags and branches
 };
 
 class SipTrunk {
@@ -29,66 +30,69 @@
 
   void start(Time now, Outbox& out);
   void handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out);
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::WriteWithdrawn& e, Outbox& out);
-  void on(Time now, const net::Datagram& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::WriteWithdrawn& event, Outbox& out);
+  void on(Time now, const net::Datagram& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
 
-  void apply(Time now, const core::StartAttempt& e, Outbox& out);
-  void apply(Time now, const core::AbandonAttempt& e, Outbox& out);
-  void apply(Time now, const core::ReleaseServer& e, Outbox& out);
+  void apply(Time now, const core::StartAttempt& event, Outbox& out);
+  void apply(Time now, const core::AbandonAttempt& event, Outbox& out);
+  void apply(Time now, const core::ReleaseServer& event, Outbox& out);
 
+  // Number of endpoints that are not terminated, including draining ones.
   std::size_t listed() const;
+  // Whether an endpoint is in service.
   bool ready() const;
+  // The endpoint's uid, or "unknown".
   const std::string& name_of(ServerId server) const;
 
  private:
   enum class State { calling, abandoned, established, finished };
   struct UpstreamAttempt {
     std::shared_ptr<const core::Request> request{};
-    int attempt{};
+    int index{};
     ServerId server{};
     State state{};
     Time state_since{};
-    Time deadline{};  // the INVITE's deadline
+    Time deadline{};  // of the INVITE
     sip::Message invite{};
-    std::string transaction{};  // of the INVITE
+    std::string transaction{};  // branch key of the INVITE's transaction
     sip::Flow flow{};
-    bool provisional = false;  // a CANCEL may be sent only after one (§9.1)
-    bool cancelled = false;
-    std::uint64_t ticket{};        // of the INVITE over TCP, which may be recalled
-    bool broker_notified = false;  // the broker knows that the attempt is over
-    bool was_established = false;  // at the server, whether in time or not
-    // The dialog (§12).
-    std::string remote{};  // To, with the server's tag
-    std::string target{};
-    std::vector<std::string> routes{};
-    std::uint32_t cseq = 1;
+    bool provisional_received = false;  // a CANCEL may be sent only after a provisional response (§9.1)
+    bool cancel_sent = false;
+    std::uint64_t ticket{};        // write ticket of an INVITE over TCP, by which it may be withdrawn
+    bool broker_notified = false;  // the broker got the end of the attempt
+    bool was_established = false;  // at the server, also by a late success
+    // Dialog state (§12).
+    std::string remote_to{};  // To header with the server's tag
+    std::string remote_target{};
+    std::vector<std::string> route_set{};
+    std::uint32_t local_cseq = 1;
   };
   using Attempts = std::map<std::string, UpstreamAttempt, std::less<>>;  // by Call-ID
 
   void handle_message(Time now, sip::Incoming incoming, Outbox& out);
-  void answered(Time now, const sip::Message& m, Outbox& out);
-  void requested(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out);
-  void finish_attempt(Time now, UpstreamAttempt& leg, core::AttemptFinished ended, Outbox& out);
-  void cancel(Time now, UpstreamAttempt& leg, Outbox& out);
+  void handle_response(Time now, const sip::Message& message, Outbox& out);
+  void handle_request(Time now, const sip::Flow& flow, const sip::Message& message, Outbox& out);
+  void finish_attempt(Time now, UpstreamAttempt& attempt, core::AttemptFinished finished, Outbox& out);
+  void send_cancel(Time now, UpstreamAttempt& attempt, Outbox& out);
   void withdraw_invite(Time now, Attempts::iterator it, Outbox& out);
-  std::string with_time_left(Time now, std::uint64_t ticket, std::string text);
+  std::string refresh_time_left(Time now, std::uint64_t ticket, std::string text);
   void handle_withdrawn(Time now, Attempts::iterator it, Outbox& out);
   void erase(Attempts::iterator it);
-  sip::Message in_dialog(UpstreamAttempt& leg, const std::string& method, std::uint32_t cseq);
-  void enter_state(Time now, UpstreamAttempt& leg, State state);
-  void bye(Time now, UpstreamAttempt& leg, int cause, Outbox& out);
-  void end_established_calls(Time now, ServerId server, std::optional<Time> stood_before, Outbox& out);
-  UpstreamAttempt* find(std::string_view call_id);
+  sip::Message make_dialog_request(UpstreamAttempt& attempt, const std::string& method, std::uint32_t cseq);
+  void enter_state(Time now, UpstreamAttempt& attempt, State state);
+  void send_bye(Time now, UpstreamAttempt& attempt, int cause, Outbox& out);
+  void end_established_calls(Time now, ServerId server, std::optional<Time> established_before, Outbox& out);
+  UpstreamAttempt* find_attempt(std::string_view call_id);
   std::string call_id_of(const core::Request& request, int attempt) const {
     return request.correlation_id + "-" + std::to_string(attempt) + "@" + settings_.address;
   }
-  std::string via();
+  std::string make_via();
 
   SipTrunkSettings settings_;
   Counters& counters_;
@@ -97,10 +101,10 @@
   sip::Transactions transactions_;
   std::map<ServerId, Endpoint> endpoints_;
   Attempts attempts_;
-  std::unordered_map<std::string, std::string> by_transaction_;  // an INVITE's transaction to its Call-ID
-  std::unordered_map<std::uint64_t, std::string> withdrawals_;   // asked for: the ticket to its Call-ID
+  std::unordered_map<std::string, std::string> by_transaction_;  // Call-ID by INVITE transaction
+  std::unordered_map<std::uint64_t, std::string> withdrawals_;  // Call-ID by ticket of a requested withdrawal
   std::uint64_t last_ticket_ = 0;
-  DeadlineQueue<std::string> due_;  // legs given up long enough, or remembered long enough
+  DeadlineQueue<std::string> state_deadlines_;  // ends of the states `abandoned` and `finished`, by Call-ID
   RandomIdGenerator ids_;
 };
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,6 +1,6 @@
-// What may come between two steps, through the whole reducer and under the test's own clock: closes, stops,
-// lists and timers in the wrong instant. docs/design/crossings.md lists them; runtime_test and
-// crossings_process_test force the same on sockets.
+// Race conditions between closes, stops, endpoint lists and timers, in the whole gatekeeper reducer under a
+// simulated clock. docs/design/crossings.md lists them; runtime_test and crossings_process_test cause the
+// same on sockets.
 #include <nlohmann/json.hpp>
 #include <random>
 
@@ -12,24 +12,24 @@
 
 namespace {
 
-std::size_t invites(Lab& lab, ConnId conn) {
+std::size_t count_invites(Lab& lab, ConnId conn) {
   std::size_t count = 0;
   for (const sip::Message& m : lab.messages(conn)) count += m.method == "INVITE" ? 1 : 0;
   return count;
 }
 
-std::string release(const std::string& id) {
+std::string release_line(const std::string& id) {
   return R"({"type":"release","id":")" + id + R"(","fields":{},"cause":16})" + "\n";
 }
 
-// ---- Client gone
+// ---- Disconnected callers
 
-// The close is known ahead of what stands unread before it: its open set-ups are called off at once, those
-// still to be read are nobody's, and a release among them is heard.
-void a_caller_that_closed_has_gone_whatever_is_left_to_read() {
+// A close is reported ahead of bytes that are unread: open setups are cancelled at once, setups among the
+// unread bytes start nothing, and a release among them is applied.
+void closed_caller_counts_as_disconnected_despite_unread_input() {
   Ready lab;
-  const std::string standing = "00000000000000aa";
-  lab.receive(kCaller, set_up(standing));
+  const std::string established_id = "00000000000000aa";
+  lab.receive(kCaller, set_up(established_id));
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.messages(lab.s0);
   lab.lines(kCaller);
@@ -37,16 +37,17 @@
   CHECK_EQ(lab.invite(lab.s0).header("Call-ID"), kId);
   lab.tell(net::PeerClosed{kCaller});
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "CANCEL");
-  lab.receive(kCaller, set_up("00000000000000bb") + release(standing) + set_up("00000000000000cc"));
+  lab.receive(kCaller,
+              set_up("00000000000000bb") + release_line(established_id) + set_up("00000000000000cc"));
   const auto sent = lab.messages(lab.s0);
   CHECK_EQ(sent.size(), 1U);
   CHECK_EQ(sent[0].method, "BYE");
   lab.tell(net::Closed{kCaller, false});
   lab.pass(3s);
-  CHECK_EQ(invites(lab, lab.s0) + invites(lab, lab.s1), 0U);
+  CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 0U);
 }
 
-std::vector<std::string> released(Lab& lab, ConnId conn) {
+std::vector<std::string> read_released_ids(Lab& lab, ConnId conn) {
   std::vector<std::string> ids;
   for (const jsonl::Message& m : lab.lines(conn)) {
     if (m.type == "release") ids.push_back(m.id);
@@ -54,17 +55,17 @@
   return ids;
 }
 
-// Guards: a request that was read gets its answer, though its caller closed one half or its connection is
-// ended for what came after it. On a connection just accepted as well: nothing was answered on it before. It
-// was closed without a word.
-void what_was_read_is_answered_before_its_connection_ends() {
+// Guards against a close without an answer: a request that was read gets its final answer although its caller
+// half-closed or its connection is closed for malformed or unfinished input after it. The connection is new,
+// so that no answer was sent on it before.
+void requests_that_were_read_are_answered_before_connection_closes() {
   const std::string second = "00000000000000bb";
   for (const std::string_view end : {"half close", "garbage", "half a line for good"}) {
     Ready lab;
     const ConnId fresh{Concern::platform, 7};
     lab.tell(net::Accepted{fresh});
     lab.receive(fresh, set_up(kId, 60'000) + set_up(second, 60'000));
-    CHECK(released(lab, fresh).empty());
+    CHECK(read_released_ids(lab, fresh).empty());
     if (end == "half close") {
       lab.tell(net::PeerClosed{fresh});
     } else if (end == "garbage") {
@@ -73,24 +74,24 @@
       lab.receive(fresh, R"({"type":)");
       lab.pass(20s);
     }
-    CHECK((released(lab, fresh) == std::vector<std::string>{kId, second}));
+    CHECK((read_released_ids(lab, fresh) == std::vector<std::string>{kId, second}));
     CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), fresh), end == "half close" ? 0 : 1);
     lab.pass(70s);
-    CHECK(released(lab, fresh).empty());
-    CHECK_EQ(invites(lab, lab.s0) + invites(lab, lab.s1), 2U);  // those of the beginning
+    CHECK(read_released_ids(lab, fresh).empty());
+    CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 2U);  // only the initial two
   }
-  // What is read only after the half close is answered too, and nothing begins for it.
+  // Requests that are read only after the half-close are answered too, and start no attempt.
   Ready lab;
   lab.tell(net::PeerClosed{kCaller});
   lab.receive(kCaller, set_up() + set_up(second));
-  CHECK((released(lab, kCaller) == std::vector<std::string>{kId, second}));
-  CHECK_EQ(invites(lab, lab.s0) + invites(lab, lab.s1), 0U);
+  CHECK((read_released_ids(lab, kCaller) == std::vector<std::string>{kId, second}));
+  CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 0U);
 }
 
-// Guards: trouble at servers or with other callers frees no request of its final answer. Servers reset, fall
-// silent, answer noise, refuse or answer; other callers send noise and leave. Each set-up of the
-// good caller gets exactly one answer by its deadline.
-void trouble_frees_no_request_of_its_answer() {
+// Guards the final answer of every request against faults of servers and other callers. Servers reset, do not
+// answer, send malformed messages, reject or answer; other callers send malformed lines and disconnect. Each
+// setup of the well-behaved caller gets exactly one final answer by its deadline.
+void every_request_gets_one_final_answer_despite_faults() {
   std::size_t faults = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
@@ -98,7 +99,7 @@
     std::map<std::string, int> answers;
     std::map<std::string, Time> deadlines;
     std::uint32_t last_conn = 100;
-    std::set<ConnId> up{lab.s0, lab.s1};
+    std::set<ConnId> open_conns{lab.s0, lab.s1};
     const auto read_answers = [&] {
       for (const jsonl::Message& m : lab.lines(kCaller)) {
         if (m.type != "answer" && m.type != "release") continue;
@@ -122,22 +123,22 @@
           ++faults;
         } else {
           lab.tell(net::Connected{c.conn});
-          up.insert(c.conn);
+          open_conns.insert(c.conn);
         }
       }
-      for (const ConnId conn : std::set<ConnId>(up)) {
+      for (const ConnId conn : std::set<ConnId>(open_conns)) {
         for (const sip::Message& m : lab.messages(conn)) {
           if (m.method != "INVITE") continue;
-          const auto fate = random() % 6;
-          faults += fate < 4 ? 1 : 0;
-          if (fate == 0) lab.receive(conn, server_answer(m, 504));
-          if (fate == 1) lab.receive(conn, server_answer(m, 503, {}, "Warning-Word: cpu_full\r\n"));
-          if (fate == 2) lab.receive(conn, "noise\r\n\r\n");
-          if (fate >= 4) lab.receive(conn, server_answer(m, 200, "a"));
+          const auto action = random() % 6;
+          faults += action < 4 ? 1 : 0;
+          if (action == 0) lab.receive(conn, server_answer(m, 504));
+          if (action == 1) lab.receive(conn, server_answer(m, 503, {}, "Warning-Word: cpu_full\r\n"));
+          if (action == 2) lab.receive(conn, "noise\r\n\r\n");
+          if (action >= 4) lab.receive(conn, server_answer(m, 200, "a"));
         }
         if (random() % 12 == 0) {
           ++faults;
-          up.erase(conn);
+          open_conns.erase(conn);
           lab.tell(net::Closed{conn, true});
         }
       }
@@ -151,11 +152,11 @@
     lab.pass(3s);
     for (const auto& [id, deadline] : deadlines) CHECK_EQ(answers[id], 1);
   }
-  CHECK(faults > 2000);  // or it proves nothing
+  CHECK(faults > 2000);  // the test must have caused enough faults
 }
 
-// Each of many calls on the one connection is called off, and none of another caller's.
-void all_calls_of_a_closed_connection_are_called_off() {
+// Every call of the closed connection is cancelled, and none of another caller.
+void all_calls_of_a_closed_connection_are_cancelled() {
   Ready lab(1);
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
@@ -163,21 +164,21 @@
   std::string all;
   for (int i = 10; i < 30; ++i) all += set_up("00000000000000" + std::to_string(i));
   lab.receive(kCaller, all);
-  const std::size_t begun = invites(lab, lab.s0);
-  CHECK(begun > 10);
+  const std::size_t invite_count = count_invites(lab, lab.s0);
+  CHECK(invite_count > 10);
   lab.tell(net::PeerClosed{kCaller});
-  std::size_t called_off = 0;
+  std::size_t cancel_count = 0;
   for (const sip::Message& m : lab.messages(lab.s0)) {
     CHECK_EQ(m.method, "CANCEL");
     CHECK(m.header("Call-ID") != "00000000000000ff");
-    ++called_off;
+    ++cancel_count;
   }
-  CHECK_EQ(called_off, begun - 1);
+  CHECK_EQ(cancel_count, invite_count - 1);
 }
 
-// The call waits for the release guard, or for the module's next offer, or for a connection: gone in between,
-// it is not sent when the wait ends. Told by a cancel or a close.
-void no_attempt_begins_for_who_left_while_it_waited() {
+// A call waits for the release guard, the decision module's next decision or a connection, and its caller
+// releases it or disconnects meanwhile: no INVITE is sent when the wait ends.
+void no_attempt_starts_after_caller_leaves_while_waiting() {
   for (const bool by_close : {false, true}) {
     for (const std::string_view wait : {"guard", "offer", "connection"}) {
       Ready lab;
@@ -187,9 +188,9 @@
       }
       lab.receive(kCaller, set_up(kId, 5000));
       if (wait == "guard") {
-        lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 504));  // a reset leaves a trace
+        lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 504));  // a reset starts the release guard
       } else if (wait == "offer") {
-        // Both are full: the call is held and offered again.
+        // Both servers are full: the call is queued and decided on again.
         lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 503, {}, "Warning-Word: cpu_full\r\n"));
         for (const sip::Message& m : lab.messages(lab.s1))
           lab.receive(lab.s1, server_answer(m, 503, {}, "Warning-Word: cpu_full\r\n"));
@@ -200,29 +201,30 @@
       if (by_close) {
         lab.tell(net::Closed{kCaller, false});
       } else {
-        lab.receive(kCaller, release(kId));
+        lab.receive(kCaller, release_line(kId));
       }
-      std::size_t late = 0;
+      std::size_t late_invites = 0;
       for (int i = 0; i < 60; ++i) {
-        for (const ConnId conn : lab.bring_up("127.0.0.1:9000")) late += invites(lab, conn);
+        for (const ConnId conn : lab.bring_up("127.0.0.1:9000")) late_invites += count_invites(lab, conn);
         lab.pass(100ms);
-        late += invites(lab, lab.s0) + invites(lab, lab.s1);
+        late_invites += count_invites(lab, lab.s0) + count_invites(lab, lab.s1);
       }
-      CHECK_EQ(late, 0U);
+      CHECK_EQ(late_invites, 0U);
     }
   }
 }
 
-// An INVITE in the ring of a server that does not read is taken back: written when the server reads again, it
-// began an attempt for a caller long gone. What was in time never ran, so nothing is to be waited for.
-void an_invite_not_written_yet_is_taken_back() {
+// Guards against an attempt for a caller that has left: an INVITE in the send buffer of a server that does
+// not read is withdrawn, since it would be written once the server reads again. The withdrawn attempt never
+// ran, so there is no release guard to wait for.
+void unwritten_invite_is_withdrawn() {
   Ready lab;
   lab.unwritten.insert(lab.s0);
   lab.receive(kCaller, set_up());
   lab.messages(lab.s0);
-  lab.receive(kCaller, release(kId));
-  CHECK(lab.messages(lab.s0).empty());  // no CANCEL for what was never there
-  // The same for one whose server is told draining meanwhile: it goes elsewhere at once.
+  lab.receive(kCaller, release_line(kId));
+  CHECK(lab.messages(lab.s0).empty());  // no CANCEL for an INVITE that was never sent
+  // The same if the server begins to drain meanwhile: the setup is sent to another server at once.
   lab.receive(kCaller, set_up("00000000000000bb"));
   lab.messages(lab.s0);
   const nlohmann::json event = {
@@ -245,11 +247,12 @@
   CHECK_EQ(other.messages(s1).at(0).method, "INVITE");
 }
 
-// ---- Close against request
+// ---- Closes and requests
 
-// The caller's connection closes and its set-up comes again at once on another one: to the server that is the
-// same call, so the first attempt's end and the guard come first. Taken as new, it was out twice.
-void a_set_up_that_comes_again_after_a_close_keeps_the_guard() {
+// Guards against two attempts of one call at a time: the caller's connection closes and its setup is repeated
+// at once on another one. The server sees the same call, so the first attempt must end and the release guard
+// pass first.
+void setup_repeated_after_close_waits_for_release_guard() {
   Ready lab(1);
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
@@ -263,40 +266,40 @@
   lab.receive(lab.s0, server_answer(first, 487));
   lab.messages(lab.s0);  // the ACK
   lab.pass(190ms);
-  CHECK_EQ(invites(lab, lab.s0), 0U);
+  CHECK_EQ(count_invites(lab, lab.s0), 0U);
   lab.pass(60ms);
-  CHECK_EQ(invites(lab, lab.s0), 1U);
+  CHECK_EQ(count_invites(lab, lab.s0), 1U);
 }
 
-// So it is where the first call is over altogether: its guard is kept under its id.
-void an_id_that_comes_again_keeps_the_guard_of_the_call_before() {
+// The release guard also holds after the first call has ended, since it is retained by call id.
+void reused_id_waits_for_release_guard_of_former_call() {
   Ready lab(1);
   lab.receive(kCaller, set_up(kId, 5000));
   const sip::Message first = lab.invite(lab.s0);
-  lab.receive(kCaller, release(kId));
+  lab.receive(kCaller, release_line(kId));
   lab.messages(lab.s0);
   lab.receive(lab.s0, server_answer(first, 487));
   lab.messages(lab.s0);
   lab.receive(kCaller, set_up(kId, 5000));
   lab.pass(190ms);
-  CHECK_EQ(invites(lab, lab.s0), 0U);
+  CHECK_EQ(count_invites(lab, lab.s0), 0U);
   lab.pass(60ms);
-  CHECK_EQ(invites(lab, lab.s0), 1U);
-  // And after its end by the deadline.
+  CHECK_EQ(count_invites(lab, lab.s0), 1U);
+  // The same after an end by the deadline.
   Ready late(1);
   late.receive(kCaller, set_up(kId, 50));
-  CHECK_EQ(invites(late, late.s0), 1U);
+  CHECK_EQ(count_invites(late, late.s0), 1U);
   late.pass(51ms);
   CHECK_EQ(late.messages(late.s0).at(0).method, "CANCEL");
   late.receive(kCaller, set_up(kId, 3000));
   late.pass(190ms);
-  CHECK_EQ(invites(late, late.s0), 0U);
+  CHECK_EQ(count_invites(late, late.s0), 0U);
   late.pass(60ms);
-  CHECK_EQ(invites(late, late.s0), 1U);
+  CHECK_EQ(count_invites(late, late.s0), 1U);
 }
 
-// Idle callers are closed only if nothing has come meanwhile; the runtime looks.
-void an_idle_close_waits_for_what_has_come() {
+// Idle callers are closed by an effect that makes the runtime check for unread input first.
+void idle_caller_is_closed_only_without_unread_input() {
   PlatformConfig config = config_for_tests();
   config.sockets = 90;
   Lab lab(config);
@@ -308,16 +311,16 @@
     lab.pass(1ms);
   }
   CHECK_EQ(lab.closed.size(), 40U - 31U);
-  CHECK_EQ(lab.closed_unread, 0U);  // none by a close that does not look
+  CHECK_EQ(lab.closed_unread, 0U);  // none closed without that check
   lab.pass(16s);
   CHECK_EQ(lab.closed.size(), 40U);
   CHECK_EQ(lab.closed_unread, 0U);
 }
 
-// Where every connection has an open set-up none is closed: who comes next waits at the runtime's door.
-void no_busy_caller_is_closed_for_room() {
+// If every connection has an open setup, none is closed for a new caller, which waits to be accepted.
+void caller_with_open_setup_is_not_closed_for_room() {
   PlatformConfig config = config_for_tests();
-  config.sockets = 12;  // five callers
+  config.sockets = 12;  // enough for five callers
   Lab lab(config);
   for (std::uint32_t i = 1; i <= 7; ++i) {
     const ConnId conn{Concern::platform, i};
@@ -325,16 +328,16 @@
     char id[17];
     std::snprintf(id, sizeof id, "%016x", i);
     lab.receive(conn, set_up(id, 5000, static_cast<int>(i % 2)));
-    CHECK(lab.lines(conn).empty());  // none has its answer
+    CHECK(lab.lines(conn).empty());  // no final answer yet
   }
   CHECK(lab.closed.empty());
 }
 
 // ---- Descriptors
 
-// No descriptor for a connection here is no word of the server: it was taken for its refusal, and after 3 s
-// for its death.
-void a_want_of_descriptors_is_not_the_servers_death() {
+// A connect that fails for lack of a local descriptor says nothing about the server. Treated as a refused
+// connection, it ended the server's established calls after 3 s.
+void descriptor_shortage_is_not_taken_for_server_death() {
   Ready lab(1);
   lab.stand(lab.s0);
   lab.tell(net::Closed{lab.s0, true});
@@ -344,15 +347,16 @@
     lab.pass(100ms);
   }
   CHECK(lab.lines(kCaller).empty());
-  const auto up = lab.bring_up("127.0.0.1:9000");
-  CHECK_EQ(up.size(), 1U);
-  lab.release_is_told_on(up.at(0));
+  const auto conns = lab.bring_up("127.0.0.1:9000");
+  CHECK_EQ(conns.size(), 1U);
+  lab.release_is_told_on(conns.at(0));
 }
 
-// ---- Ready soon
+// ---- Readiness
 
-// Restarted while nothing can be reached: it is ready by its saved list, and stays so.
-void a_restarted_process_is_ready_by_its_saved_list() {
+// A process that restarts while no server is reachable becomes ready with its saved endpoint list, and stays
+// ready.
+void restarted_process_is_ready_with_saved_endpoint_list() {
   PlatformConfig config = config_for_tests();
   config.journal = "127.0.0.1:8500";
   for (const bool refused : {false, true}) {
@@ -367,10 +371,10 @@
       for (const net::Connect& c : std::exchange(lab.connects, {}))
         lab.tell(net::ConnectFailed{c.conn, true});
     } else {
-      lab.pass(550ms);  // whatever time the settings give to a connection
+      lab.pass(550ms);  // independent of the connect timeout in the settings
     }
     CHECK(ready());
-    // A server that is new in the list is no reason to leave callers.
+    // It stays ready: a server that is added to the list later must not turn callers away.
     lab.pass(100ms);
     CHECK(ready());
   }
@@ -378,18 +382,18 @@
 
 // ---- Shutdown
 
-// Whatever still waits when SIGKILL is near is answered, and only then the process ends: it once ended with
-// requests open, and their callers' connections closed without a word.
-void all_are_answered_before_the_end() {
+// Guards against an exit with open requests, whose callers' connections would close without an answer:
+// requests that are still open shortly before SIGKILL are answered, and only then the process exits.
+void open_requests_are_answered_before_exit() {
   Ready lab;
-  lab.receive(kCaller, set_up(kId, 9000));                    // its server hangs
-  lab.receive(kCaller, set_up("00000000000000bb", 9000, 1));  // and so does the other
+  lab.receive(kCaller, set_up(kId, 9000));                    // its server does not answer
+  lab.receive(kCaller, set_up("00000000000000bb", 9000, 1));  // nor does the other server
   lab.messages(lab.s0);
   lab.tell(net::StopRequested{});
   lab.pass(3300ms);
   CHECK(!lab.exit_status);
   CHECK(lab.lines(kCaller).empty());
-  lab.pass(150ms);  // SIGKILL comes 3.7 s after SIGTERM at the soonest
+  lab.pass(150ms);  // SIGKILL comes 3.7 s after SIGTERM at the earliest
   const auto answers = lab.lines(kCaller);
   CHECK_EQ(answers.size(), 2U);
   for (const jsonl::Message& m : answers) {
@@ -400,8 +404,8 @@
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
-// Another customer's deadlines are short, and SIGKILL is as near.
-void short_deadlines_end_it_sooner() {
+// With short caller timeouts SIGKILL comes correspondingly earlier.
+void short_caller_timeouts_shorten_shutdown() {
   PlatformConfig config = config_for_tests();
   for (CallClass& c : config.settings.classes) c.caller_timeout = 800ms;
   Lab lab(config);
@@ -409,17 +413,17 @@
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
   lab.tell(net::StopRequested{});
-  lab.tell(net::StopRequested{});  // a second one changes nothing
+  lab.tell(net::StopRequested{});  // a repeated signal has no effect
   lab.pass(600ms);
-  lab.receive(kCaller, set_up(kId, 9000));  // longer than there is
-  CHECK_EQ(invites(lab, s0), 1U);
+  lab.receive(kCaller, set_up(kId, 9000));  // longer than the time until SIGKILL
+  CHECK_EQ(count_invites(lab, s0), 1U);
   lab.pass(850ms);  // 1.45 of 1.5 s
   CHECK_EQ(lab.lines(kCaller).size(), 1U);
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
-// What has come in the last instant, or is not written yet, puts the end off; not for longer than there is.
-void the_end_waits_for_what_is_unread_or_unwritten() {
+// Unread or unwritten data delays the exit, but not beyond the time limit.
+void exit_waits_for_unread_and_unwritten_data() {
   Ready lab;
   lab.quiet_at_exit = false;
   lab.tell(net::StopRequested{});
@@ -440,8 +444,8 @@
   CHECK_EQ(stuck.exit_status.value_or(-1), 0);
 }
 
-// A line in pieces across SIGTERM, its end coming while requests still may.
-void a_line_in_pieces_across_the_stop_is_served() {
+// A line whose first part comes before SIGTERM, and the rest while requests are still accepted.
+void line_split_across_stop_is_served() {
   Ready lab;
   const std::string line = set_up();
   lab.receive(kCaller, line.substr(0, line.size() / 2));
@@ -456,7 +460,7 @@
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
-void a_stop_before_it_is_ready_ends_it() {
+void stop_before_ready_exits() {
   PlatformConfig config = config_for_tests();
   config.known.clear();
   Lab lab(config);
@@ -466,9 +470,9 @@
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
-// With a successor the old process is given the longest deadline and a little: its open requests are answered
-// within that.
-void an_old_process_answers_before_it_is_killed() {
+// A process that is replaced by a successor has a little more than the longest caller timeout until SIGKILL,
+// and answers its open requests within that time.
+void replaced_process_answers_before_sigkill() {
   PlatformConfig config = config_for_tests();
   config.inherited = 7;
   Lab lab(config);
@@ -478,27 +482,27 @@
   lab.tell(net::StopRequested{});
   lab.pass(5300ms);
   CHECK(lab.lines(kCaller).empty());
-  lab.pass(200ms);  // SIGKILL: 5.7 s at the soonest
+  lab.pass(200ms);  // SIGKILL comes after 5.7 s at the earliest
   CHECK_EQ(lab.lines(kCaller).size(), 1U);
 }
 
-// ---- List gone quiet
+// ---- Discovery watch
 
-struct Listening : Lab {
+struct DiscoveryLab : Lab {
   static PlatformConfig config() {
     PlatformConfig c = config_for_tests();
     c.journal = "127.0.0.1:8500";
     c.known_position = 7;
     return c;
   }
-  Listening() : Lab(config()) {
-    feed = connects.back().conn;
+  DiscoveryLab() : Lab(config()) {
+    watch_conn = connects.back().conn;
     bring_up();
-    CHECK(take(feed).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    CHECK(take(watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
     tell(net::Accepted{kCaller});
   }
-  // How often the service is dialled within the span; each connection comes up, or does not.
-  std::size_t dials(Duration span, bool up = true) {
+  // Number of connects to the journal service within the span; `accept` says whether they succeed.
+  std::size_t count_connects(Duration span, bool accept = true) {
     std::size_t count = 0;
     for (const Time end = now + span; now < end;) {
       pass(50ms);
@@ -508,8 +512,8 @@
           continue;
         }
         ++count;
-        feed = c.conn;
-        if (up) {
+        watch_conn = c.conn;
+        if (accept) {
           tell(net::Connected{c.conn});
         } else {
           tell(net::ConnectFailed{c.conn, false});
@@ -518,11 +522,11 @@
     }
     return count;
   }
-  // It serves on its last list.
-  void still_serves() {
-    const std::string id = "00000000000000a" + std::to_string(++asked);
+  // Checks that calls are served with the last endpoint list.
+  void check_still_serves() {
+    const std::string id = "00000000000000a" + std::to_string(++setups_sent);
     receive(kCaller, set_up(id));
-    std::size_t begun = 0;
+    std::size_t invite_count = 0;
     std::vector<ConnId> servers;
     for (const auto& [conn, bytes] : sent) {
       if (conn.concern == Concern::server) servers.push_back(conn);
@@ -530,19 +534,19 @@
     for (const ConnId conn : servers) {
       for (const sip::Message& m : messages(conn)) {
         if (m.method != "INVITE") continue;
-        ++begun;
+        ++invite_count;
         receive(conn, server_answer(m, 200, "a"));
       }
     }
-    CHECK_EQ(begun, 1U);
+    CHECK_EQ(invite_count, 1U);
   }
-  int asked = 0;
-  ConnId feed{};
+  int setups_sent = 0;
+  ConnId watch_conn{};
 };
 
-const std::string kHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const std::string kResponseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-std::string drained(int position) {
+std::string draining_event(int position) {
   return "id: " + std::to_string(position) + R"(
 data: {"pos":)" +
          std::to_string(position) +
@@ -550,86 +554,89 @@
          "\n\n";
 }
 
-// Comments go on, the event that has begun never ends: asked anew, since what is told meanwhile binds.
-void an_event_that_never_ends_is_given_up() {
-  for (const std::string& begun :
-       {std::string("HTTP/1.1 200 OK\r\nX: "), kHead + "id: 8\ndata: {\"pos\":8,"}) {
-    Listening lab;
-    lab.receive(lab.feed, begun);
-    const ConnId stuck = lab.feed;
-    std::size_t dials = 0;
-    for (int i = 0; i < 25 && dials == 0; ++i) {
-      lab.receive(stuck, begun.starts_with(kHead) ? "\n: still here\n" : "x");
-      dials = lab.dials(100ms);
+// Comments continue inside an event that never ends: the watch reconnects, since later events must take
+// effect.
+void watch_reconnects_on_unfinished_event() {
+  for (const std::string& prefix :
+       {std::string("HTTP/1.1 200 OK\r\nX: "), kResponseHead + "id: 8\ndata: {\"pos\":8,"}) {
+    DiscoveryLab lab;
+    lab.receive(lab.watch_conn, prefix);
+    const ConnId stuck = lab.watch_conn;
+    std::size_t connect_count = 0;
+    for (int i = 0; i < 25 && connect_count == 0; ++i) {
+      lab.receive(stuck, prefix.starts_with(kResponseHead) ? "\n: still here\n" : "x");
+      connect_count = lab.count_connects(100ms);
     }
-    CHECK_EQ(dials, 1U);
-    CHECK(lab.take(lab.feed).find("Last-Event-ID: 7\r\n") != std::string::npos);
-    lab.receive(lab.feed, kHead + drained(8));
+    CHECK_EQ(connect_count, 1U);
+    CHECK(lab.take(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    lab.receive(lab.watch_conn, kResponseHead + draining_event(8));
     lab.receive(kCaller, set_up());
-    CHECK_EQ(invites(lab, ConnId{Concern::server, 1}), 0U);
+    CHECK_EQ(count_invites(lab, ConnId{Concern::server, 1}), 0U);
   }
 }
 
-// One whole event after another is no half one, however long it goes on.
-void a_busy_list_is_not_given_up() {
-  Listening lab;
-  lab.receive(lab.feed, kHead);
+// Complete events in unbroken sequence do not count as one unfinished event.
+void watch_survives_continuous_events() {
+  DiscoveryLab lab;
+  lab.receive(lab.watch_conn, kResponseHead);
   for (int i = 8; i < 48; ++i) {
-    lab.receive(lab.feed, drained(i) + "data: {");  // the next has begun each time
-    CHECK_EQ(lab.dials(100ms), 0U);
-    lab.receive(lab.feed, "}\n\n");
+    lab.receive(lab.watch_conn, draining_event(i) + "data: {");  // the next event begins in the same read
+    CHECK_EQ(lab.count_connects(100ms), 0U);
+    lab.receive(lab.watch_conn, "}\n\n");
   }
 }
 
-void neither_event_nor_comment_is_silence() {
-  Listening lab;
-  lab.receive(lab.feed, kHead);
-  CHECK_EQ(lab.dials(2s), 0U);
-  CHECK_EQ(lab.dials(700ms), 1U);
-  lab.still_serves();
-  // Gone for good: it goes on asking and serving.
-  CHECK(lab.dials(20s, false) >= 10U);
-  lab.still_serves();
+void watch_reconnects_without_events_and_comments() {
+  DiscoveryLab lab;
+  lab.receive(lab.watch_conn, kResponseHead);
+  CHECK_EQ(lab.count_connects(2s), 0U);
+  CHECK_EQ(lab.count_connects(700ms), 1U);
+  lab.check_still_serves();
+  // The service stays unreachable: reconnects continue and calls are served.
+  CHECK(lab.count_connects(20s, false) >= 10U);
+  lab.check_still_serves();
 }
 
-// A spoilt event is asked for again: passed over, the drain in it was never heard. Spoilt once more it is the
-// service's own word, and what follows is heard.
-void a_malformed_event_is_asked_for_again_once() {
+// A malformed event is requested once more, so that a drain in it is not missed. If it is malformed again,
+// the service sent it so: it is skipped and the events after it are processed.
+void malformed_event_is_requested_again_once() {
   for (const char* bad : {"{\"pos\":8,\"hosts\":{\"targets\":[{\"uid\":5}]}}", "no json", "[1]"}) {
-    Listening lab;
-    lab.receive(lab.feed, kHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + drained(9));
-    CHECK_EQ(lab.dials(300ms), 1U);
-    CHECK(lab.take(lab.feed).find("Last-Event-ID: 7\r\n") != std::string::npos);
-    lab.receive(lab.feed, kHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + drained(9));
-    CHECK_EQ(lab.dials(300ms), 0U);
+    DiscoveryLab lab;
+    lab.receive(lab.watch_conn,
+                kResponseHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + draining_event(9));
+    CHECK_EQ(lab.count_connects(300ms), 1U);
+    CHECK(lab.take(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    lab.receive(lab.watch_conn,
+                kResponseHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + draining_event(9));
+    CHECK_EQ(lab.count_connects(300ms), 0U);
     lab.receive(kCaller, set_up());
-    CHECK_EQ(invites(lab, ConnId{Concern::server, 1}), 0U);  // 9 was heard
+    CHECK_EQ(count_invites(lab, ConnId{Concern::server, 1}), 0U);  // event 9 was processed
   }
 }
 
 }  // namespace
 
 int main() {
-  a_caller_that_closed_has_gone_whatever_is_left_to_read();
-  all_calls_of_a_closed_connection_are_called_off();
-  what_was_read_is_answered_before_its_connection_ends();
-  trouble_frees_no_request_of_its_answer();
-  no_attempt_begins_for_who_left_while_it_waited();
-  an_invite_not_written_yet_is_taken_back();
-  a_set_up_that_comes_again_after_a_close_keeps_the_guard();
-  an_id_that_comes_again_keeps_the_guard_of_the_call_before();
-  an_idle_close_waits_for_what_has_come();
-  no_busy_caller_is_closed_for_room();
-  a_want_of_descriptors_is_not_the_servers_death();
-  a_restarted_process_is_ready_by_its_saved_list();
-  all_are_answered_before_the_end();
-  short_deadlines_end_it_sooner();
-  the_end_waits_for_what_is_unread_or_unwritten();
-  a_line_in_pieces_across_the_stop_is_served();
-  a_stop_before_it_is_ready_ends_it();
-  an_old_process_answers_before_it_is_killed();
-  an_event_that_never_ends_is_given_up();
-  a_busy_list_is_not_given_up();
-  neither_event_nor_comment_is_silence();
-  a_malformed_event_is_asked_for_again_once();
+  closed_caller_counts_as_disconnected_despite_unread_input();
+  all_calls_of_a_closed_connection_are_cancelled();
+  requests_that_were_read_are_answered_before_connection_closes();
+  every_request_gets_one_final_answer_despite_faults();
+  no_attempt_starts_after_caller_leaves_while_waiting();
+  unwritten_invite_is_withdrawn();
+  setup_repeated_after_close_waits_for_release_guard();
+  reused_id_waits_for_release_guard_of_former_call();
+  idle_caller_is_closed_only_without_unread_input();
+  caller_with_open_setup_is_not_closed_for_room();
+  descriptor_shortage_is_not_taken_for_server_death();
+  restarted_process_is_ready_with_saved_endpoint_list();
+  open_requests_are_answered_before_exit();
+  short_caller_timeouts_shorten_shutdown();
+  exit_waits_for_unread_and_unwritten_data();
+  line_split_across_stop_is_served();
+  stop_before_ready_exits();
+  replaced_process_answers_before_sigkill();
+  watch_reconnects_on_unfinished_event();
+  watch_survives_continuous_events();
+  watch_reconnects_without_events_and_comments();
+  malformed_event_is_requested_again_once();
 }
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -1,5 +1,5 @@
-// The real program over loopback, with stand-ins for callers, a setup server, the journal service, SIP peers
-// and an OTLP collector.
+// Runs the real gatekeeper program over loopback, with stand-ins for callers, a setup server, the journal
+// service, SIP peers and an OTLP collector.
 #include "world.h"
 
 using namespace graniterun;
@@ -9,9 +9,9 @@
 namespace {
 
 std::string ctl_binary;
-std::string announcer_binary;
+std::string publisher_binary;
 
-void the_platform_is_served_until_it_is_stopped() {
+void platform_calls_are_served_until_stopped() {
   World world;
   world.caller.send(R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                     "\n");
@@ -24,22 +24,23 @@
   CHECK_EQ(world.from_server().method, "ACK");
   CHECK_EQ(json::parse(world.caller.line())["sdp"], "answer");
 
-  // A deadline, with a server that does not answer.
-  const auto began = std::chrono::steady_clock::now();
+  // The deadline passes while the server does not answer.
+  const auto started_at = std::chrono::steady_clock::now();
   world.caller.send(set_up("00000000000000bb", 300));
   CHECK_EQ(world.from_server().method, "INVITE");
-  const json late = json::parse(world.caller.line());
-  const auto took = std::chrono::steady_clock::now() - began;
-  CHECK_EQ(late["type"], "release");
-  CHECK(took >= std::chrono::milliseconds(290) && took < std::chrono::milliseconds(2000));
+  const json deadline_release = json::parse(world.caller.line());
+  const auto elapsed = std::chrono::steady_clock::now() - started_at;
+  CHECK_EQ(deadline_release["type"], "release");
+  CHECK(elapsed >= std::chrono::milliseconds(290) && elapsed < std::chrono::milliseconds(2000));
   CHECK_EQ(world.from_server().method, "CANCEL");
 
-  // What is refused hears of it though it has sent more than is read: a reset took the refusal away.
+  // A caller with an oversized line gets its rejection although unread bytes remain: closing the socket with
+  // unread bytes resets the connection, which would discard the rejection.
   Socket endless = Socket::connected(world.port);
   endless.send(R"({"type":"setup","id":"00000000000000dd","x":")" + std::string(150'000, 'x'));
   CHECK_EQ(json::parse(endless.line())["id"], "00000000000000dd");
   CHECK(endless.ends());
-  // Bad input closes its own connection only.
+  // Malformed input closes only the connection that it came on.
   Socket other = Socket::connected(world.port);
   other.send("what?\n");
   CHECK(other.ends());
@@ -47,15 +48,17 @@
   world.program->signal(SIGUSR1);
   world.program->signal(SIGTERM);
   world.caller.send(set_up("00000000000000cc", 3000));
-  const sip::Message last = world.from_server();
-  CHECK_EQ(last.method, "INVITE");
-  world.answer(last, "486 Busy");
+  const sip::Message last_invite = world.from_server();
+  CHECK_EQ(last_invite.method, "INVITE");
+  world.answer(last_invite, "486 Busy");
   CHECK_EQ(world.from_server().method, "ACK");
   CHECK_EQ(json::parse(world.caller.line())["type"], "release");
   CHECK_EQ(world.program->exit_status(), 0);
   const std::string log = world.program->log();
-  const std::size_t asked = log.find("broker.served 1\n");  // on request, and at the end
-  CHECK(asked != std::string::npos && log.find("broker.served 1\n", asked + 1) != std::string::npos);
+  const std::size_t first_report =
+      log.find("broker.served 1\n");  // reported on SIGUSR1, and again at the exit
+  CHECK(first_report != std::string::npos &&
+        log.find("broker.served 1\n", first_report + 1) != std::string::npos);
   CHECK(log.find("platform.malformed 2\n") != std::string::npos);
 }
 
@@ -68,7 +71,7 @@
          ">\r\nMax-Forwards: 70\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-void sip_is_served_over_udp_and_tcp_and_traced() {
+void sip_calls_over_udp_and_tcp_are_served_and_traced() {
   Socket collector_listener = Socket::bound(SOCK_STREAM);
   const int sip_port = free_port();
   World world({{"sip", {{"udp", at(sip_port)}, {"tcp", at(sip_port)}}},
@@ -96,12 +99,12 @@
     CHECK_EQ(world.from_server().method, "BYE");
   }
 
-  // Both calls and the counters come to the collector.
+  // The collector receives the spans of both calls and the counters.
   Socket collector = collector_listener.accept();
   std::size_t requests = 0;
   std::size_t attempts = 0;
-  bool counted = false;
-  while (requests < 2 || !counted) {
+  bool metric_received = false;
+  while (requests < 2 || !metric_received) {
     const std::string post = collector.message();
     collector.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}");
     const json body = json::parse(post.substr(post.find("\r\n\r\n") + 4));
@@ -109,7 +112,7 @@
       for (const json& metric : body["resourceMetrics"][0]["scopeMetrics"][0]["metrics"]) {
         if (metric["name"] != "broker.served" || metric["sum"]["dataPoints"][0]["asInt"] != "2") continue;
         CHECK_EQ(metric["sum"]["aggregationTemporality"], 2);
-        counted = true;
+        metric_received = true;
       }
       continue;
     }
@@ -123,20 +126,21 @@
   CHECK_EQ(attempts, 2U);
 }
 
-// SIGHUP once ended the program. A call stands, one is open and the journal service moves meanwhile.
-void a_reload_moves_the_journal_and_leaves_calls_alone() {
+// Guards against SIGHUP ending the program or its calls: a call is outstanding while the journal's address
+// changes.
+void reload_moves_journal_and_keeps_calls() {
   World world;
   world.caller.send(set_up("00000000000000aa", 5000));
   const sip::Message invite = world.from_server();
-  world.program->configure("no configuration");  // is not taken over
+  world.program->configure("no configuration");  // is rejected
   world.program->signal(SIGHUP);
   world.program->wait_for_log("the old configuration is kept");
-  Socket moved = Socket::bound(SOCK_STREAM);
-  world.config["journal"] = at(moved.port());
+  Socket new_journal = Socket::bound(SOCK_STREAM);
+  world.config["journal"] = at(new_journal.port());
   world.program->configure(world.config.dump());
   world.program->signal(SIGHUP);
-  Socket feed = moved.accept();
-  CHECK(feed.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
+  Socket watch = new_journal.accept();
+  CHECK(watch.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
   CHECK(world.journal.ends());
   world.answer(invite, "200 OK", "answer");
   CHECK_EQ(json::parse(world.caller.line())["sdp"], "answer");
@@ -145,9 +149,9 @@
   CHECK(world.program->log().find("config.reloads_bad 1\n") != std::string::npos);
 }
 
-// The exit status and what it printed.
-std::pair<int, std::string> ctl(const std::string& words) {
-  FILE* pipe = ::popen((ctl_binary + " gap " + words + " 2>&1").c_str(), "r");
+// Runs `graniterunctl gap`; returns its exit status and output.
+std::pair<int, std::string> run_gap_ctl(const std::string& arguments) {
+  FILE* pipe = ::popen((ctl_binary + " gap " + arguments + " 2>&1").c_str(), "r");
   CHECK(pipe != nullptr);
   std::string text;
   char buffer[4096];
@@ -156,65 +160,67 @@
   return {WEXITSTATUS(status), text};
 }
 
-// Announced through an announcer that is killed afterwards and comes back with its file, and lifted.
-void gaps_are_announced_obeyed_and_lifted() {
+// A gap is announced through the gap publisher, outlives the publisher's kill and restart from its file, and
+// is lifted.
+void gaps_are_published_applied_and_lifted() {
   const std::string control = at(free_port());
-  const std::string holder = at(free_port());
+  const std::string publisher_address = at(free_port());
   const std::string dir = std::string(::getenv("TMPDIR") ? ::getenv("TMPDIR") : "/tmp");
   const std::string file = dir + "/graniterun-gaps-" + std::to_string(::getpid());
   World world({{"control", {{"listen", control}}},
                {"gaps", {{"fleet_size", 1}, {"fleet_index", 0}, {"hot", {{"gaps", 1}}}}}});
-  const auto start_announcer = [&] {
+  const auto start_publisher = [&] {
     const pid_t pid = ::fork();
     if (pid == 0) {
-      ::execl(announcer_binary.c_str(), announcer_binary.c_str(), "--listen", holder.c_str(), "--gatekeeper",
-              control.c_str(), "--file", file.c_str(), nullptr);
+      ::execl(publisher_binary.c_str(), publisher_binary.c_str(), "--listen", publisher_address.c_str(),
+              "--gatekeeper", control.c_str(), "--file", file.c_str(), nullptr);
       ::_exit(127);
     }
     return pid;
   };
-  pid_t announcer = start_announcer();
-  Socket::connected(std::stoi(holder.substr(holder.rfind(':') + 1)));
+  pid_t publisher = start_publisher();
+  Socket::connected(std::stoi(publisher_address.substr(publisher_address.rfind(':') + 1)));
   world.program->wait_for_log("an announcer of gaps is here");
-  const auto [status, text] =
-      ctl("announce hiker --to " + holder + " --number 7f3a9c21e0b4d655 --one-in none --words busy");
+  const auto [status, text] = run_gap_ctl("announce hiker --to " + publisher_address +
+                                          " --number 7f3a9c21e0b4d655 --one-in none --words busy");
   CHECK_EQ(status, 0);
   CHECK(text.find("1 of 1 gatekeepers obey") != std::string::npos);
   world.caller.send(set_up("00000000000000aa", 5000));
-  const json refused = json::parse(world.caller.line());
-  CHECK(refused["cause"] == 42 && refused["fields"]["reason"] == "busy" &&
-        refused["fields"].contains("wait"));
-  ::kill(announcer, SIGKILL);
-  ::waitpid(announcer, nullptr, 0);
-  CHECK_EQ(ctl("list --to " + holder).first, 3);
-  world.caller.send(set_up("00000000000000ab", 5000));  // it holds to its own end
+  const json rejected = json::parse(world.caller.line());
+  CHECK(rejected["cause"] == 42 && rejected["fields"]["reason"] == "busy" &&
+        rejected["fields"].contains("wait"));
+  ::kill(publisher, SIGKILL);
+  ::waitpid(publisher, nullptr, 0);
+  CHECK_EQ(run_gap_ctl("list --to " + publisher_address).first, 3);
+  world.caller.send(set_up("00000000000000ab", 5000));  // the gap stays active without its publisher
   CHECK_EQ(json::parse(world.caller.line())["cause"], 42);
-  announcer = start_announcer();
-  Socket::connected(std::stoi(holder.substr(holder.rfind(':') + 1)));
-  const auto [listed, gaps] = ctl("list --json --to " + holder + "," + control);
+  publisher = start_publisher();
+  Socket::connected(std::stoi(publisher_address.substr(publisher_address.rfind(':') + 1)));
+  const auto [listed, gaps] = run_gap_ctl("list --json --to " + publisher_address + "," + control);
   CHECK_EQ(json::parse(gaps)["targets"][0]["gaps"][0]["id"], "hiker");
   CHECK_EQ(json::parse(gaps)["targets"][1]["gaps"][0]["gapped"], 2);
-  CHECK_EQ(ctl("lift hiker --to " + holder).first, 0);
+  CHECK_EQ(run_gap_ctl("lift hiker --to " + publisher_address).first, 0);
   world.caller.send(set_up("00000000000000ac", 5000));
   const sip::Message invite = world.from_server();
   CHECK_EQ(invite.method, "INVITE");
   world.answer(invite, "200 OK", "answer");
   CHECK_EQ(json::parse(world.caller.line())["type"], "answer");
-  // What is wrong with a call is said in plain words, and nothing is announced.
-  for (const std::string words : {"announce x --number 1 --one-in 5", "announce x --one-in 1s", "announce x",
-                                  "announce x --number 1 --one-in 1s --for 25h", "lift", "burn"}) {
-    const auto [wrong, why] = ctl(words + " --to " + holder);
-    CHECK_EQ(wrong, 2);
-    CHECK(!why.empty());
+  // Invalid arguments are reported with a message and exit status 2, and nothing is announced.
+  for (const std::string arguments :
+       {"announce x --number 1 --one-in 5", "announce x --one-in 1s", "announce x",
+        "announce x --number 1 --one-in 1s --for 25h", "lift", "burn"}) {
+    const auto [exit_code, message] = run_gap_ctl(arguments + " --to " + publisher_address);
+    CHECK_EQ(exit_code, 2);
+    CHECK(!message.empty());
   }
-  ::kill(announcer, SIGKILL);
-  ::waitpid(announcer, nullptr, 0);
+  ::kill(publisher, SIGKILL);
+  ::waitpid(publisher, nullptr, 0);
   ::unlink(file.c_str());
 }
 
-void a_bad_deploy_file_is_one_plain_line() {
-  const Socket taken = Socket::bound(SOCK_STREAM);
-  const json config = {{"listen", at(taken.port())}, {"seed", "1"}, {"settings", settings()}};
+void bad_deploy_file_prints_one_error_line() {
+  const Socket port_owner = Socket::bound(SOCK_STREAM);
+  const json config = {{"listen", at(port_owner.port())}, {"seed", "1"}, {"settings", settings()}};
   for (
       const std::string deploy :
       {R"({"gaps":{}})", R"({"control":{}})", R"({"control":{"listen":"127.0.0.1:1","connections":0}})",
@@ -226,7 +232,7 @@
   }
 }
 
-void a_bad_configuration_is_one_plain_line() {
+void bad_configuration_prints_one_error_line() {
   for (const std::string config :
        {"", "[]", R"({"listen":"127.0.0.1:1"})", R"({"listen":5,"seed":"1","settings":{}})",
         R"({"listen":"127.0.0.1:1","seed":"1","settings":{"az":"x"}})"}) {
@@ -235,8 +241,8 @@
     const std::string log = program.log();
     CHECK(log.starts_with("graniterun: ") && log.find('\n') == log.size() - 1);
   }
-  const Socket taken = Socket::bound(SOCK_STREAM);
-  json config = {{"listen", at(taken.port())}, {"seed", "1"}, {"settings", settings()}};
+  const Socket port_owner = Socket::bound(SOCK_STREAM);
+  json config = {{"listen", at(port_owner.port())}, {"seed", "1"}, {"settings", settings()}};
   Program program(binary, config.dump());
   CHECK_EQ(program.exit_status(), 1);
   CHECK(program.log().starts_with("error: cannot listen on ") &&
@@ -248,11 +254,11 @@
 int main(int, char** argv) {
   binary = argv[1];
   ctl_binary = argv[2];
-  announcer_binary = argv[3];
-  a_bad_configuration_is_one_plain_line();
-  a_bad_deploy_file_is_one_plain_line();
-  gaps_are_announced_obeyed_and_lifted();
-  the_platform_is_served_until_it_is_stopped();
-  a_reload_moves_the_journal_and_leaves_calls_alone();
-  sip_is_served_over_udp_and_tcp_and_traced();
+  publisher_binary = argv[3];
+  bad_configuration_prints_one_error_line();
+  bad_deploy_file_prints_one_error_line();
+  gaps_are_published_applied_and_lifted();
+  platform_calls_are_served_until_stopped();
+  reload_moves_journal_and_keeps_calls();
+  sip_calls_over_udp_and_tcp_are_served_and_traced();
 }
--- a/tests/trunk_test.cpp
+++ b/tests/trunk_test.cpp
@@ -1,4 +1,5 @@
-// Setup servers that speak SIP over UDP and TCP, through the whole reducer; callers are the platform's.
+// Tests SipTrunk through the whole gatekeeper reducer: setup servers that speak standard SIP over UDP or TCP,
+// and a caller of the platform.
 #include "lab.h"
 
 using namespace graniterun;
@@ -10,10 +11,10 @@
 const std::string kServers[] = {"127.0.0.1:9000", "127.0.0.1:9001"};
 
 DeployConfig deploy(const std::string& transport) {
-  DeployConfig d;
-  d.sip_server_transport = transport;
-  d.sip_servers_from = "127.0.0.1:5070";
-  return d;
+  DeployConfig config;
+  config.sip_server_transport = transport;
+  config.sip_servers_from = "127.0.0.1:5070";
+  return config;
 }
 
 struct TrunkLab : Lab {
@@ -21,22 +22,23 @@
       : Lab(config, deploy(transport)) {
     tell(net::Accepted{kCaller});
   }
-  void call(int left = 3000, const std::string& id = "00000000000000aa") {
+  void call(int time_left_ms = 3000, const std::string& id = "00000000000000aa") {
     receive(kCaller, R"({"type":"setup","id":")" + id + R"(","fields":{"class":"voice","left":")" +
-                         std::to_string(left) + R"(","key":"4711","extras":"dest:0"},"sdp":"offer"})" + "\n");
+                         std::to_string(time_left_ms) +
+                         R"(","key":"4711","extras":"dest:0"},"sdp":"offer"})" + "\n");
   }
-  // Its first call is over for the caller's part.
-  void leave(const std::string& how) {
-    if (how == "close") {
+  // Ends the first call from the caller's side.
+  void end_call(const std::string& ending) {
+    if (ending == "close") {
       tell(net::PeerClosed{kCaller});
-    } else if (how == "release") {
+    } else if (ending == "release") {
       receive(kCaller, R"({"type":"release","id":"00000000000000aa","fields":{},"cause":16})"
                        "\n");
     } else {
-      pass(301ms);  // its deadline
+      pass(301ms);  // past its deadline
     }
   }
-  std::vector<std::pair<std::string, sip::Message>> to_servers() {
+  std::vector<std::pair<std::string, sip::Message>> take_datagrams_to_servers() {
     std::vector<std::pair<std::string, sip::Message>> all;
     for (const net::SendDatagram& d : std::exchange(datagrams, {})) {
       CHECK(d.concern == Concern::trunk);
@@ -46,23 +48,23 @@
     }
     return all;
   }
-  sip::Message one(const std::string& peer = kServers[0]) {
-    const auto all = to_servers();
+  sip::Message take_one(const std::string& peer = kServers[0]) {
+    const auto all = take_datagrams_to_servers();
     CHECK_EQ(all.size(), 1U);
     CHECK_EQ(all[0].first, peer);
     return all[0].second;
   }
-  void from(const std::string& peer, const std::string& text) {
+  void receive_from(const std::string& peer, const std::string& text) {
     tell(net::Datagram{Concern::trunk, peer, text});
   }
 };
 
-std::string answer(const sip::Message& request, int status, const std::string& more = {},
+std::string answer(const sip::Message& request, int status, const std::string& extra_headers = {},
                    const std::string& body = {}, const std::string& tag = "st") {
-  sip::Message m = sip::answer_to(request, status, "x", tag);
-  m.body = body;
-  std::string text = m.text();
-  return text.insert(text.find("Content-Length"), more);
+  sip::Message message = sip::answer_to(request, status, "x", tag);
+  message.body = body;
+  std::string text = message.text();
+  return text.insert(text.find("Content-Length"), extra_headers);
 }
 
 std::string bye(const sip::Message& invite) {
@@ -77,62 +79,63 @@
     "Record-Route: <sip:127.0.0.1:9100;lr>\r\nRecord-Route: <sip:127.0.0.1:9101;lr>\r\n"
     "Contact: <sip:s@127.0.0.1:9005>\r\n";
 
-void a_call_stands_and_the_caller_ends_it() {
+void call_is_established_and_released_by_caller() {
   TrunkLab lab;
   lab.call();
-  const sip::Message invite = lab.one();
+  const sip::Message invite = lab.take_one();
   CHECK_EQ(invite.body, "offer");
-  lab.pass(600ms);  // timer A
-  CHECK_EQ(lab.one().text(), invite.text());
-  lab.from(kServers[0], answer(invite, 180));
+  lab.pass(600ms);  // timer A retransmits the INVITE
+  CHECK_EQ(lab.take_one().text(), invite.text());
+  lab.receive_from(kServers[0], answer(invite, 180));
   lab.pass(1s);
-  CHECK(lab.to_servers().empty());
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer"));
-  const sip::Message ack = lab.one();
+  CHECK(lab.take_datagrams_to_servers().empty());
+  lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));
+  const sip::Message ack = lab.take_one();
   CHECK_EQ(ack.method, "ACK");
   CHECK_EQ(ack.uri, "sip:s@127.0.0.1:9005");
   CHECK_EQ(ack.header("Route"), "<sip:127.0.0.1:9101;lr>");
   CHECK_EQ(lab.lines(kCaller).at(0).type, "answer");
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer"));  // the ACK was lost
-  CHECK_EQ(lab.one().method, "ACK");
+  lab.receive_from(kServers[0],
+                   answer(invite, 200, kContact, "answer"));  // retransmitted, as if the ACK was lost
+  CHECK_EQ(lab.take_one().method, "ACK");
   CHECK(lab.lines(kCaller).empty());
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer", "fork"));
-  const auto forked = lab.to_servers();  // a second dialog is ended at once
+  lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer", "fork"));
+  const auto forked = lab.take_datagrams_to_servers();  // a second dialog is ended at once
   CHECK_EQ(forked.size(), 2U);
   CHECK_EQ(forked[1].second.method, "BYE");
   CHECK_EQ(sip::parameter(forked[1].second.header("To"), "tag"), "fork");
-  lab.from(kServers[0], answer(forked[1].second, 200));
+  lab.receive_from(kServers[0], answer(forked[1].second, 200));
   lab.receive(kCaller, R"({"type":"release","id":"00000000000000aa","fields":{},"cause":16})"
                        "\n");
-  const sip::Message end = lab.one();
+  const sip::Message end = lab.take_one();
   CHECK_EQ(end.method, "BYE");
   CHECK_EQ(end.header("CSeq"), "2 BYE");
   CHECK_EQ(sip::parameter(end.header("To"), "tag"), "st");
-  lab.from(kServers[0], answer(end, 200));
+  lab.receive_from(kServers[0], answer(end, 200));
   lab.pass(100s);
-  CHECK(lab.to_servers().empty());
+  CHECK(lab.take_datagrams_to_servers().empty());
 }
 
-void the_server_ends_a_call() {
+void server_releases_call() {
   TrunkLab lab;
   lab.call();
-  const sip::Message invite = lab.one();
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer"));
-  lab.one();
+  const sip::Message invite = lab.take_one();
+  lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));
+  lab.take_one();
   lab.lines(kCaller);
-  lab.from(kServers[0], bye(invite));
-  CHECK_EQ(lab.one().status, 200);
+  lab.receive_from(kServers[0], bye(invite));
+  CHECK_EQ(lab.take_one().status, 200);
   CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
-  lab.from(kServers[0], bye(invite));  // repeated: the same answer, nothing to the caller
-  CHECK_EQ(lab.one().status, 200);
+  lab.receive_from(kServers[0], bye(invite));  // a retransmission gets the same response
+  CHECK_EQ(lab.take_one().status, 200);
   CHECK(lab.lines(kCaller).empty());
 }
 
-void a_refusal_is_acknowledged_and_the_call_goes_elsewhere() {
+void rejection_is_acknowledged_and_call_is_retried_elsewhere() {
   TrunkLab lab;
   lab.call();
-  lab.from(kServers[0], answer(lab.one(), 503));
-  const auto sent = lab.to_servers();
+  lab.receive_from(kServers[0], answer(lab.take_one(), 503));
+  const auto sent = lab.take_datagrams_to_servers();
   CHECK_EQ(sent.size(), 2U);
   CHECK_EQ(sent[0].second.method, "ACK");
   CHECK_EQ(sent[0].second.header("CSeq"), "1 ACK");
@@ -140,38 +143,38 @@
   CHECK_EQ(sent[1].second.method, "INVITE");
 }
 
-void a_success_that_crosses_the_cancel_is_ended() {
+void late_success_is_released() {
   TrunkLab lab;
   lab.call(1000);
-  const sip::Message invite = lab.one();
-  lab.from(kServers[0], answer(invite, 100));
+  const sip::Message invite = lab.take_one();
+  lab.receive_from(kServers[0], answer(invite, 100));
   lab.pass(1s);
-  const sip::Message cancel = lab.one();
+  const sip::Message cancel = lab.take_one();
   CHECK_EQ(cancel.method, "CANCEL");
   CHECK_EQ(cancel.header("Via"), invite.header("Via"));
   CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer"));
-  const auto after = lab.to_servers();
+  lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));
+  const auto after = lab.take_datagrams_to_servers();
   CHECK_EQ(after.size(), 2U);
   CHECK_EQ(after[0].second.method, "ACK");
   CHECK_EQ(after[1].second.method, "BYE");
-  lab.from(kServers[0], answer(cancel, 200));
-  lab.from(kServers[0], answer(after[1].second, 200));
+  lab.receive_from(kServers[0], answer(cancel, 200));
+  lab.receive_from(kServers[0], answer(after[1].second, 200));
   lab.pass(100s);
-  CHECK(lab.to_servers().empty() && lab.lines(kCaller).empty());
+  CHECK(lab.take_datagrams_to_servers().empty() && lab.lines(kCaller).empty());
 }
 
-void no_cancel_before_a_provisional_answer() {
+void no_cancel_before_provisional_response() {
   TrunkLab lab;
   lab.call(300);
-  const sip::Message invite = lab.one();
-  lab.pass(5s);  // nor is the INVITE repeated after it was given up
-  CHECK(lab.to_servers().empty());
-  lab.from(kServers[0], answer(invite, 100));
-  CHECK_EQ(lab.one().method, "CANCEL");
+  const sip::Message invite = lab.take_one();
+  lab.pass(5s);  // an abandoned INVITE is not retransmitted either
+  CHECK(lab.take_datagrams_to_servers().empty());
+  lab.receive_from(kServers[0], answer(invite, 100));
+  CHECK_EQ(lab.take_one().method, "CANCEL");
 }
 
-void a_server_over_tcp_that_refuses_connections() {
+void refused_tcp_connection_fails_over_to_next_server() {
   TrunkLab lab("tcp");
   lab.call();
   CHECK_EQ(lab.connects.size(), 1U);
@@ -179,39 +182,41 @@
   lab.tell(net::ConnectFailed{lab.connects[0].conn, true});
   CHECK_EQ(lab.connects.size(), 2U);
   CHECK_EQ(lab.connects[1].address, kServers[1]);
-  const ConnId up = lab.connects[1].conn;
-  lab.tell(net::Connected{up});
-  const sip::Message invite = lab.messages(up).at(0);
+  const ConnId conn = lab.connects[1].conn;
+  lab.tell(net::Connected{conn});
+  const sip::Message invite = lab.messages(conn).at(0);
   CHECK_EQ(invite.method, "INVITE");
-  lab.receive(up, answer(invite, 200, kContact, "answer"));
-  CHECK_EQ(lab.messages(up).at(0).method, "ACK");
+  lab.receive(conn, answer(invite, 200, kContact, "answer"));
+  CHECK_EQ(lab.messages(conn).at(0).method, "ACK");
   CHECK_EQ(lab.lines(kCaller).at(0).type, "answer");
-  lab.tell(net::Closed{up, true});  // a call that stands belongs to no connection
+  lab.tell(net::Closed{conn, true});  // an established call outlives its connection
   CHECK(lab.lines(kCaller).empty());
 }
 
-// Its success was lost and it got no ACK: it was told 481, and the call hung until its deadline.
-void a_bye_ahead_of_the_answer_ends_the_call() {
+// Guards a server whose 200 response was lost and which releases the call without an ACK: rejecting its BYE
+// with 481 left the call pending until its deadline.
+void bye_before_response_ends_call() {
   TrunkLab lab;
   lab.call();
-  const sip::Message invite = lab.one();
-  lab.from(kServers[0], bye(invite));
-  CHECK_EQ(lab.one().status, 200);
+  const sip::Message invite = lab.take_one();
+  lab.receive_from(kServers[0], bye(invite));
+  CHECK_EQ(lab.take_one().status, 200);
   CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
-  lab.from(kServers[0], answer(invite, 200, kContact, "answer"));  // late after all
-  CHECK_EQ(lab.one().method, "ACK");
+  lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));  // the late 200
+  CHECK_EQ(lab.take_one().method, "ACK");
   lab.pass(5s);
-  CHECK(lab.to_servers().empty() && lab.lines(kCaller).empty());
+  CHECK(lab.take_datagrams_to_servers().empty() && lab.lines(kCaller).empty());
 }
 
-// Its connection broke while the INVITE was out; it stood there and is over, while the call waits here.
-void a_bye_of_an_attempt_that_was_lost_ends_the_call() {
+// Guards against a retry of a released call: the connection breaks while the INVITE is outstanding, the call
+// is established at the server, and its BYE comes on another connection.
+void bye_for_attempt_with_lost_connection_ends_call() {
   TrunkLab lab("tcp");
   lab.call();
-  const ConnId up = lab.connects.at(0).conn;
-  lab.tell(net::Connected{up});
-  const sip::Message invite = lab.messages(up).at(0);
-  lab.tell(net::Closed{up, true});
+  const ConnId conn = lab.connects.at(0).conn;
+  lab.tell(net::Connected{conn});
+  const sip::Message invite = lab.messages(conn).at(0);
+  lab.tell(net::Closed{conn, true});
   const ConnId next{Concern::trunk, 900};
   lab.tell(net::Accepted{next});
   lab.receive(next, bye(invite));
@@ -222,62 +227,63 @@
   CHECK(lab.connects.empty() && lab.lines(kCaller).empty());
 }
 
-const std::vector<std::string> kWays{"close", "release", "deadline"};
+const std::vector<std::string> kEndings{"close", "release", "deadline"};
 
-// Guards: no attempt begins for who has left. The connection is made for up to 2 s, and the INVITE was
-// written when it came up, whoever had left meanwhile. Others' INVITEs that wait there go out.
-void an_invite_that_waits_for_its_connection_is_taken_back() {
-  for (const std::string& how : kWays) {
-    for (const bool another : {false, true}) {
+// Guards against an attempt for a caller that has left. A connect takes up to 2 s, and an INVITE that waits
+// for it must not be written after its caller left. INVITEs of other calls on the same connection are sent.
+void invite_waiting_for_connection_is_withdrawn() {
+  for (const std::string& ending : kEndings) {
+    for (const bool other_call_waits : {false, true}) {
       TrunkLab lab("tcp");
       const ConnId other{Concern::platform, 2};
       lab.call(300);
       CHECK_EQ(lab.connects.size(), 1U);
-      const ConnId up = lab.connects[0].conn;
-      if (another) {
+      const ConnId conn = lab.connects[0].conn;
+      if (other_call_waits) {
         lab.tell(net::Accepted{other});
         lab.receive(other, set_up_line("00000000000000bb"));
         CHECK_EQ(lab.connects.size(), 1U);
       }
       lab.pass(50ms);
-      lab.leave(how);
-      lab.tell(net::Connected{up});
-      const auto sent = lab.messages(up);
-      CHECK_EQ(sent.size(), another ? 1U : 0U);
-      CHECK_EQ(lab.figure("tries"), another ? "1|c" : "0|c");
-      if (another) CHECK(sent[0].header("Call-ID").starts_with("00000000000000bb"));
-      lab.pass(40s);  // and nothing follows when its time would be over
-      for (const sip::Message& m : lab.messages(up))
+      lab.end_call(ending);
+      lab.tell(net::Connected{conn});
+      const auto sent = lab.messages(conn);
+      CHECK_EQ(sent.size(), other_call_waits ? 1U : 0U);
+      CHECK_EQ(lab.figure("tries"), other_call_waits ? "1|c" : "0|c");
+      if (other_call_waits) CHECK(sent[0].header("Call-ID").starts_with("00000000000000bb"));
+      lab.pass(40s);  // nothing follows after the transaction timeout
+      for (const sip::Message& m : lab.messages(conn))
         CHECK(!m.header("Call-ID").starts_with("00000000000000aa"));
     }
   }
 }
 
-// Guards the same where the connection is up and the server reads nothing: the INVITE is in the ring. It is
-// not counted as a try, and no CANCEL follows what was never there.
-void an_invite_not_written_yet_is_taken_back() {
-  for (const std::string& how : kWays) {
+// Guards the same for an open connection whose server does not read: the INVITE is in the send buffer. It is
+// not counted as an attempt and not followed by a CANCEL.
+void unwritten_invite_is_withdrawn() {
+  for (const std::string& ending : kEndings) {
     TrunkLab lab("tcp");
     lab.call(300);
-    const ConnId up = lab.connects.at(0).conn;
-    lab.unwritten.insert(up);
-    lab.tell(net::Connected{up});
-    const sip::Message invite = lab.messages(up).at(0);
+    const ConnId conn = lab.connects.at(0).conn;
+    lab.unwritten.insert(conn);
+    lab.tell(net::Connected{conn});
+    const sip::Message invite = lab.messages(conn).at(0);
     CHECK_EQ(lab.figure("tries"), "1|c");
-    lab.leave(how);
+    lab.end_call(ending);
     CHECK_EQ(lab.figure("tries"), "0|c");
-    CHECK(lab.messages(up).empty());
-    lab.receive(up, answer(invite, 100));  // of nothing that is known here
-    CHECK(lab.messages(up).empty());
-    // The call's id is free again at once: nothing ran, so there is no guard.
-    if (how != "release") continue;
+    CHECK(lab.messages(conn).empty());
+    lab.receive(conn, answer(invite, 100));  // a response to an unknown INVITE
+    CHECK(lab.messages(conn).empty());
+    // The call's id may be reused at once: no attempt ran, so there is no release guard.
+    if (ending != "release") continue;
     lab.call(3000);
-    CHECK_EQ(lab.messages(up).at(0).method, "INVITE");
+    CHECK_EQ(lab.messages(conn).at(0).method, "INVITE");
   }
 }
 
-// Guards the rule on draining servers: what is not written when its server is told draining goes elsewhere.
-void an_invite_to_a_server_that_drains_is_taken_back() {
+// Guards the rule on draining servers: an INVITE that is unwritten when its server begins to drain is sent to
+// another server.
+void invite_to_draining_server_is_withdrawn() {
   for (const bool connected : {false, true}) {
     PlatformConfig config = config_for_tests();
     config.journal = "127.0.0.1:8500";
@@ -288,11 +294,11 @@
     lab.call();
     CHECK_EQ(lab.connects.size(), 1U);
     CHECK_EQ(lab.connects[0].address, kServers[0]);
-    const ConnId up = lab.connects[0].conn;
+    const ConnId conn = lab.connects[0].conn;
     if (connected) {
-      lab.unwritten.insert(up);
-      lab.tell(net::Connected{up});
-      CHECK_EQ(lab.messages(up).size(), 1U);
+      lab.unwritten.insert(conn);
+      lab.tell(net::Connected{conn});
+      CHECK_EQ(lab.messages(conn).size(), 1U);
     }
     lab.receive(
         journal,
@@ -301,69 +307,69 @@
         "\n\n");
     CHECK_EQ(lab.connects.size(), 2U);
     CHECK_EQ(lab.connects[1].address, kServers[1]);
-    if (!connected) lab.tell(net::Connected{up});
-    CHECK(lab.messages(up).empty());
+    if (!connected) lab.tell(net::Connected{conn});
+    CHECK(lab.messages(conn).empty());
     lab.tell(net::Connected{lab.connects[1].conn});
     CHECK_EQ(lab.messages(lab.connects[1].conn).at(0).method, "INVITE");
   }
 }
 
-// Guards RFC 3261 9.1 for what is written, over both transports: not sent again, and called off once and only
-// after a provisional answer.
-void a_written_invite_is_called_off_after_a_provisional_answer() {
-  for (const std::string& how : kWays) {
+// Guards RFC 3261 9.1 for a written INVITE over both transports: it is not retransmitted, and is cancelled
+// once and only after a provisional response.
+void written_invite_is_cancelled_after_provisional_response() {
+  for (const std::string& ending : kEndings) {
     TrunkLab udp;
     udp.call(300);
-    const sip::Message invite = udp.one();
-    udp.leave(how);
+    const sip::Message invite = udp.take_one();
+    udp.end_call(ending);
     udp.pass(5s);
-    CHECK(udp.to_servers().empty());
-    udp.from(kServers[0], answer(invite, 180));
-    CHECK_EQ(udp.one().method, "CANCEL");
-    udp.from(kServers[0], answer(invite, 180));
-    CHECK(udp.to_servers().empty());
+    CHECK(udp.take_datagrams_to_servers().empty());
+    udp.receive_from(kServers[0], answer(invite, 180));
+    CHECK_EQ(udp.take_one().method, "CANCEL");
+    udp.receive_from(kServers[0], answer(invite, 180));
+    CHECK(udp.take_datagrams_to_servers().empty());
 
     TrunkLab tcp("tcp");
     tcp.call(300);
-    const ConnId up = tcp.connects.at(0).conn;
-    tcp.tell(net::Connected{up});
-    const sip::Message written = tcp.messages(up).at(0);
-    tcp.leave(how);
-    CHECK(tcp.messages(up).empty());
-    tcp.receive(up, answer(written, 180));
-    CHECK_EQ(tcp.messages(up).at(0).method, "CANCEL");
-    tcp.receive(up, answer(written, 180));
-    CHECK(tcp.messages(up).empty());
+    const ConnId conn = tcp.connects.at(0).conn;
+    tcp.tell(net::Connected{conn});
+    const sip::Message written = tcp.messages(conn).at(0);
+    tcp.end_call(ending);
+    CHECK(tcp.messages(conn).empty());
+    tcp.receive(conn, answer(written, 180));
+    CHECK_EQ(tcp.messages(conn).at(0).method, "CANCEL");
+    tcp.receive(conn, answer(written, 180));
+    CHECK(tcp.messages(conn).empty());
     CHECK_EQ(tcp.figure("tries"), "1|c");
   }
 }
 
-// Guards the deadline that a server is told: at most what the caller has left, with 0.15 s of slack, in
-// either header, over both transports and after a wait for the connection. Expires was rounded up to whole
-// seconds, and an INVITE that waited for its connection told the time as it was when the wait began.
-void a_server_is_told_no_more_time_than_the_caller_has() {
-  const auto check_time = [](const sip::Message& invite, int left) {
+// Guards the deadline that is sent to a server: at most the caller's time left plus 0.15 s, in either header,
+// over both transports and after a wait for the connection. It fails if Expires is rounded up to whole
+// seconds, or if an INVITE that waited for its connection has the time left at the begin of the wait.
+void time_left_sent_to_server_never_exceeds_the_callers() {
+  const auto check_time = [](const sip::Message& invite, int time_left_ms) {
     const int exact = std::stoi(std::string(invite.header("Expires-Ms")));
-    CHECK(exact <= left + 150 && exact >= left - 150);
+    CHECK(exact <= time_left_ms + 150 && exact >= time_left_ms - 150);
     const std::string expires(invite.header("Expires"));
-    if (left < 850) {
+    if (time_left_ms < 850) {
       CHECK(expires.empty());
       return;
     }
-    CHECK(std::stoi(expires) * 1000 <= left + 150);
-    CHECK(std::stoi(expires) * 1000 > left - 1000);
+    CHECK(std::stoi(expires) * 1000 <= time_left_ms + 150);
+    CHECK(std::stoi(expires) * 1000 > time_left_ms - 1000);
   };
-  for (const int left : {300, 849, 900, 1000, 1001, 1849, 1850, 2400, 2999}) {
+  for (const int time_left_ms : {300, 849, 900, 1000, 1001, 1849, 1850, 2400, 2999}) {
     TrunkLab udp;
-    udp.call(left);
-    check_time(udp.one(), left);
-    for (const int wait : {0, 40, 250}) {
+    udp.call(time_left_ms);
+    check_time(udp.take_one(), time_left_ms);
+    for (const int wait_ms : {0, 40, 250}) {
       TrunkLab tcp("tcp");
-      tcp.call(left);
-      const ConnId up = tcp.connects.at(0).conn;
-      tcp.pass(Duration(std::chrono::milliseconds(wait)));
-      tcp.tell(net::Connected{up});
-      check_time(tcp.messages(up).at(0), left - wait);
+      tcp.call(time_left_ms);
+      const ConnId conn = tcp.connects.at(0).conn;
+      tcp.pass(Duration(std::chrono::milliseconds(wait_ms)));
+      tcp.tell(net::Connected{conn});
+      check_time(tcp.messages(conn).at(0), time_left_ms - wait_ms);
     }
   }
 }
@@ -371,17 +377,17 @@
 }  // namespace
 
 int main() {
-  a_server_is_told_no_more_time_than_the_caller_has();
-  an_invite_that_waits_for_its_connection_is_taken_back();
-  an_invite_not_written_yet_is_taken_back();
-  an_invite_to_a_server_that_drains_is_taken_back();
-  a_written_invite_is_called_off_after_a_provisional_answer();
-  a_bye_ahead_of_the_answer_ends_the_call();
-  a_bye_of_an_attempt_that_was_lost_ends_the_call();
-  a_call_stands_and_the_caller_ends_it();
-  the_server_ends_a_call();
-  a_refusal_is_acknowledged_and_the_call_goes_elsewhere();
-  a_success_that_crosses_the_cancel_is_ended();
-  no_cancel_before_a_provisional_answer();
-  a_server_over_tcp_that_refuses_connections();
+  time_left_sent_to_server_never_exceeds_the_callers();
+  invite_waiting_for_connection_is_withdrawn();
+  unwritten_invite_is_withdrawn();
+  invite_to_draining_server_is_withdrawn();
+  written_invite_is_cancelled_after_provisional_response();
+  bye_before_response_ends_call();
+  bye_for_attempt_with_lost_connection_ends_call();
+  call_is_established_and_released_by_caller();
+  server_releases_call();
+  rejection_is_acknowledged_and_call_is_retried_elsewhere();
+  late_success_is_released();
+  no_cancel_before_provisional_response();
+  refused_tcp_connection_fails_over_to_next_server();
 }
