--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -11,43 +11,45 @@
 
 constexpr Duration kTick = 50ms;
 constexpr Duration kReportInterval = 100ms;
-constexpr Duration kReapInterval = 200ms;
-constexpr Duration kNoDemandReportInterval = 10s;
+constexpr Duration kHotCheckInterval = 200ms;
+// Empty demand reports continue this long after the last demand, so that the publisher's rates fall to zero.
+constexpr Duration kNoDemandReportDuration = 10s;
 constexpr Duration kIdleTimeout = 60s;
-// Slots of the fleet are ceded so far ahead of their time.
+// Slots are ceded up to this long before they begin.
 constexpr Duration kCedeAhead = 1s;
-constexpr std::size_t kMaxDemands = 100;  // in a report
+constexpr std::size_t kMaxDemands = 100;  // in a demand report
 constexpr std::size_t kMaxSlotsInLine = 1024;
-constexpr std::size_t kMaxHotNumbers = 20;  // numbers of a list's answer, the hottest
+constexpr std::size_t kMaxHotNumbers = 20;  // in the answer to "list" and in the gauges: the hottest
 
-std::vector<double> demand_in(const json& line, std::uint32_t fleet_size) {
+// The value of "calls": the rate of calls, per second, at each gatekeeper of the fleet.
+std::vector<double> parse_demand(const json& line, std::uint32_t fleet_size) {
   const auto calls = line.find("calls");
   if (calls == line.end() || !calls->is_array() || calls->size() != fleet_size)
     throw ProtocolError("'calls' is not a list with a number for each gatekeeper");
   std::vector<double> demand;
-  for (const json& one : *calls) {
-    if (!one.is_number() || !(one.get<double>() >= 0.0 && one.get<double>() < 1e9))
+  for (const json& rate : *calls) {
+    if (!rate.is_number() || !(rate.get<double>() >= 0.0 && rate.get<double>() < 1e9))
       throw ProtocolError("'calls' holds what is no number of calls");
-    demand.push_back(one.get<double>());
+    demand.push_back(rate.get<double>());
   }
   return demand;
 }
 
-// A slot and the gatekeeper that had it in turn.
+// Whether it is a list of a slot's number and its owner's fleet index.
 bool is_slot_pair(const json& pair, std::uint32_t fleet_size) {
   return pair.is_array() && pair.size() == 2 && pair[0].is_number_unsigned() &&
          pair[1].is_number_unsigned() && pair[1].get<std::uint64_t>() < fleet_size &&
          pair[0].get<std::uint64_t>() <= 1ULL << 62;
 }
 
-std::vector<SlotOf> slots_in(const json& line, std::uint32_t fleet_size) {
-  const auto given = line.find("slots");
-  if (given == line.end() || !given->is_array() || given->size() > kMaxSlotsInLine)
+std::vector<SlotOf> parse_slots(const json& line, std::uint32_t fleet_size) {
+  const auto pairs = line.find("slots");
+  if (pairs == line.end() || !pairs->is_array() || pairs->size() > kMaxSlotsInLine)
     throw ProtocolError("'slots' is not a list of at most 1024 pairs");
   std::vector<SlotOf> slots;
-  for (const json& one : *given) {
-    if (!is_slot_pair(one, fleet_size)) throw ProtocolError("'slots' holds what is no slot and gatekeeper");
-    slots.push_back({one[0].get<Slot>(), one[1].get<std::uint32_t>()});
+  for (const json& pair : *pairs) {
+    if (!is_slot_pair(pair, fleet_size)) throw ProtocolError("'slots' holds what is no slot and gatekeeper");
+    slots.push_back({pair[0].get<Slot>(), pair[1].get<std::uint32_t>()});
   }
   return slots;
 }
@@ -66,7 +68,7 @@
   if (!settings_.places.empty()) {
     failover_.emplace(settings_.fleet);
     register_->use_failover(&*failover_);
-    register_->set_place_owned(now, false);  // until it has the fleet's port
+    register_->set_place_owned(now, false);  // until this process has bound its fleet port
   }
   if (!settings_.listen) return;
   out.net.push_back(net::Listen{net::Concern::control, *settings_.listen});
@@ -85,17 +87,17 @@
 }
 
 std::vector<Gauge> Control::gauges(Time now) const {
-  std::vector<Gauge> all;
+  std::vector<Gauge> gauges;
   for (const HotNumber& hot : hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{}) {
-    if (all.size() >= kMaxHotNumbers) break;
-    all.push_back({"gaps.hot_number",
-                   "{call}/s",
-                   hot.rate,
-                   {{"number", hot.number},
-                    {"since_unix_ms", std::to_string(to_unix_ms(hot.since))},
-                    {"gapped", hot.gapped ? "true" : "false"}}});
+    if (gauges.size() >= kMaxHotNumbers) break;
+    gauges.push_back({"gaps.hot_number",
+                      "{call}/s",
+                      hot.rate,
+                      {{"number", hot.number},
+                       {"since_unix_ms", std::to_string(to_unix_ms(hot.since))},
+                       {"gapped", hot.gapped ? "true" : "false"}}});
   }
-  return all;
+  return gauges;
 }
 
 // ---- connections
@@ -125,27 +127,27 @@
 }
 
 void Control::on(Time now, const net::Received& event, Outbox& out) {
-  bool whole = false;
+  bool complete = false;
   const auto used = read_lines(
       event.bytes,
       [&](const json& line) {
-        whole = true;
+        complete = true;
         handle_line(now, event.conn, line, out);
       },
-      [&](const json& line, const std::string& trouble) {
-        whole = true;
+      [&](const json& line, const std::string& reason) {
+        complete = true;
         counters_.add("control.malformed");
-        malformed_warning_.line(now, "a control line is refused: " + trouble, out);
-        reply(now, event.conn, line, {{"ok", false}, {"trouble", trouble}}, out);
+        malformed_warning_.line(now, "control line rejected: " + reason, out);
+        reply(now, event.conn, line, {{"ok", false}, {"trouble", reason}}, out);
       });
   if (!used) {
     counters_.add("control.malformed");
-    malformed_warning_.line(now, "a control line is refused: it has no end within 32 KiB", out);
+    malformed_warning_.line(now, "control line rejected: no line feed within 32 KiB, connection closed", out);
     reply(now, event.conn, json::object(), {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}},
           out);
     return close(now, event.conn, out);
   }
-  reaper_.record_input(now, event.conn, whole, *used < event.bytes.size());
+  reaper_.record_input(now, event.conn, complete, *used < event.bytes.size());
   out.net.push_back(net::Consume{event.conn, *used});
 }
 
@@ -159,7 +161,7 @@
     close(now, conn, out);
   }
   if (now - demand_reported_at_ >= kReportInterval) send_demand_report(now, out);
-  if (hot_numbers_ && now - hot_checked_at_ >= kReapInterval) check_hot_numbers(now, out);
+  if (hot_numbers_ && now - hot_checked_at_ >= kHotCheckInterval) check_hot_numbers(now, out);
 }
 
 // ---- lines
@@ -171,11 +173,11 @@
   out.send(conn, line_of(answer));
 }
 
-template <class To>
-void Control::send_to_peers(const json& event, To to, Outbox& out) {
+template <class Predicate>
+void Control::send_to_peers(const json& event, Predicate is_recipient, Outbox& out) {
   const std::string line = line_of(event);
   for (const auto& [conn, peer] : peers_) {
-    if (to(conn, peer)) out.send(conn, line);
+    if (is_recipient(conn, peer)) out.send(conn, line);
   }
 }
 
@@ -194,16 +196,16 @@
   }
   if (op == "demand") return handle_demand(now, conn, line, out);
   if (op == "grant") return handle_grant(now, conn, line);
-  if (const auto other = operations_.find(op); other != operations_.end())
-    return reply(now, conn, line, other->second(now, line, out), out);
+  if (const auto operation = operations_.find(op); operation != operations_.end())
+    return reply(now, conn, line, operation->second(now, line, out), out);
   throw ProtocolError("'op' is not one of announce, list, watch, announcer, synced, demand, grant");
 }
 
-// A publisher says that it is here. Whatever was missed while it was away, or before this program started, is
-// requested.
+// A gap publisher has connected and announced itself. The answer requests its complete register: this
+// gatekeeper may have missed gaps while the publisher was disconnected, or before this process started.
 void Control::handle_publisher(Time now, net::ConnId conn, const json& line, Outbox& out) {
   peers_.at(conn).publisher_incarnation = fingerprint_in(line, "life");
-  publisher_ = conn;  // the latest: an older one may be a connection that died unseen
+  publisher_ = conn;  // the latest: an older one may be half-open
   counters_.add("control.announcers");
   out.log(net::Level::info, "an announcer of gaps is here");
   reply(now, conn, line,
@@ -215,11 +217,11 @@
         out);
 }
 
-// What each gatekeeper of the fleet has to place: slots beyond this one's own need are ceded.
+// The call rate of each gatekeeper of the fleet for one gap: slots beyond this one's own need are ceded.
 void Control::handle_demand(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::optional<std::uint64_t> incarnation = peers_.at(conn).publisher_incarnation;
   if (!incarnation) throw ProtocolError("only an announcer tells of demand");
-  const std::vector<double> demand = demand_in(line, settings_.fleet.size);
+  const std::vector<double> demand = parse_demand(line, settings_.fleet.size);
   if (publisher_ != conn) return;
   const std::string id = text_in(line, "id");
   const std::vector<Slot> slots = register_->cede(now, id, fingerprint_in(line, "mark"), demand, kCedeAhead);
@@ -235,31 +237,31 @@
 
 void Control::handle_grant(Time now, net::ConnId conn, const json& line) {
   if (!peers_.at(conn).publisher_incarnation) throw ProtocolError("only an announcer grants slots");
-  const std::vector<SlotOf> slots = slots_in(line, settings_.fleet.size);
+  const std::vector<SlotOf> slots = parse_slots(line, settings_.fleet.size);
   counters_.add("gaps.slots_granted", slots.size());
   register_->grant(now, text_in(line, "id"), fingerprint_in(line, "mark"), slots);
 }
 
-void Control::set_place_owned(Time now, bool holds) {
-  if (failover_) register_->set_place_owned(now, holds);
+void Control::set_place_owned(Time now, bool owned) {
+  if (failover_) register_->set_place_owned(now, owned);
 }
 
-std::optional<std::uint32_t> Control::place_of(const std::string& name) const {
+std::optional<std::uint32_t> Control::fleet_index_of(const std::string& name) const {
   const auto it = std::lower_bound(settings_.places.begin(), settings_.places.end(), name);
   if (!failover_ || it == settings_.places.end() || *it != name) return std::nullopt;
   return static_cast<std::uint32_t>(it - settings_.places.begin());
 }
 
-void Control::port_released(Time now, const std::string& name, Time asked) {
-  if (const auto place = place_of(name)) failover_->mark_unreachable(now, *place, asked);
+void Control::port_released(Time now, const std::string& name, Time probed_at) {
+  if (const auto index = fleet_index_of(name)) failover_->mark_unreachable(now, *index, probed_at);
 }
 void Control::member_joined(const std::string& name) {
-  if (const auto place = place_of(name)) failover_->mark_alive(*place);
+  if (const auto index = fleet_index_of(name)) failover_->mark_alive(*index);
 }
 std::set<std::string> Control::ports_to_watch(Time now) const {
   std::set<std::string> names;
-  for (const std::uint32_t place : failover_ ? failover_->ports_to_watch(now) : std::vector<std::uint32_t>{})
-    names.insert(settings_.places[place]);
+  for (const std::uint32_t index : failover_ ? failover_->ports_to_watch(now) : std::vector<std::uint32_t>{})
+    names.insert(settings_.places[index]);
   return names;
 }
 
@@ -271,45 +273,45 @@
 }
 
 AnnounceResult Control::store_announcement(Time now, const Announcement& announcement, Outbox& out) {
-  const AnnounceResult taken = register_->announce(now, announcement);
-  counters_.add("gaps." + std::string(to_string(taken)));
-  if (taken != AnnounceResult::accepted && taken != AnnounceResult::conflict_won) return taken;
-  out.log(net::Level::info, (announcement.gap ? "gap " : "the lift of gap ") + announcement.id +
+  const AnnounceResult result = register_->announce(now, announcement);
+  counters_.add("gaps." + std::string(to_string(result)));
+  if (result != AnnounceResult::accepted && result != AnnounceResult::conflict_won) return result;
+  out.log(net::Level::info, (announcement.gap ? "gap stored: " : "lift of gap stored: ") + announcement.id +
                                 ", version " + std::to_string(announcement.version) + " by '" +
-                                announcement.author + "', is taken");
+                                announcement.author + "'");
   send_to_peers(
       {{"event", "gap"},
        {"gatekeeper", settings_.name},
        {"clock", to_unix_ms(now)},
        {"gap", to_json(announcement)}},
       [](net::ConnId, const Peer& peer) { return peer.watching || peer.publisher_incarnation; }, out);
-  return taken;
+  return result;
 }
 
 void Control::handle_announce(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const auto gap = line.find("gap");
   if (gap == line.end()) throw ProtocolError("there is no 'gap'");
   const Announcement announcement = announcement_of(*gap);
-  std::optional<Announcement> before;
-  if (const Announcement* held = register_->find(announcement.id)) before = *held;
+  std::optional<Announcement> previous;
+  if (const Announcement* stored = register_->find(announcement.id)) previous = *stored;
   peers_.at(conn).has_announced = true;
-  const AnnounceResult taken = store_announcement(now, announcement, out);
-  reply(now, conn, line, answer_to_announce(now, announcement, taken, *register_), out);
-  if (taken != AnnounceResult::conflict && taken != AnnounceResult::conflict_won) return;
-  // Both announcers are told, and whoever watches: which connection the other one used is not known for sure.
-  out.log(net::Level::warning,
-          "gap " + announcement.id + ", version " + std::to_string(announcement.version) +
-              ", was announced twice with different contents, by '" + announcement.author + "' and '" +
-              before->author + "': the stricter one holds");
-  const json quarrel = {{"event", "conflict"},
-                        {"gatekeeper", settings_.name},
-                        {"clock", to_unix_ms(now)},
-                        {"id", announcement.id},
-                        {"version", announcement.version},
-                        {"by", {before->author, announcement.author}},
-                        {"held", to_json(*register_->find(announcement.id))}};
+  const AnnounceResult result = store_announcement(now, announcement, out);
+  reply(now, conn, line, answer_to_announce(now, announcement, result, *register_), out);
+  if (result != AnnounceResult::conflict && result != AnnounceResult::conflict_won) return;
+  // The event goes to every connection that watches or has announced something: it is not known which of them
+  // the author of the other announcement used.
+  out.log(net::Level::warning, "conflicting announcements of gap " + announcement.id + ", version " +
+                                   std::to_string(announcement.version) + ", by '" + announcement.author +
+                                   "' and '" + previous->author + "': the stricter one is kept");
+  const json conflict = {{"event", "conflict"},
+                         {"gatekeeper", settings_.name},
+                         {"clock", to_unix_ms(now)},
+                         {"id", announcement.id},
+                         {"version", announcement.version},
+                         {"by", {previous->author, announcement.author}},
+                         {"held", to_json(*register_->find(announcement.id))}};
   send_to_peers(
-      quarrel,
+      conflict,
       [](net::ConnId, const Peer& peer) {
         return peer.watching || peer.has_announced || peer.publisher_incarnation;
       },
@@ -318,69 +320,70 @@
 
 void Control::handle_list(Time now, net::ConnId conn, const json& line, Outbox& out) {
   const std::string after = line.contains("after") ? text_in(line, "after") : "";
-  Page page = page_of(*register_, now, after, true);
-  std::vector<HotNumber> hot = hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{};
-  hot.resize(std::min(hot.size(), kMaxHotNumbers));
+  GapPage page = make_page(*register_, now, after, true);
+  std::vector<HotNumber> hottest = hot_numbers_ ? hot_numbers_->hot(now) : std::vector<HotNumber>{};
+  hottest.resize(std::min(hottest.size(), kMaxHotNumbers));
   reply(now, conn, line,
         {{"ok", true},
          {"digest", fingerprint_text(register_->digest())},
          {"held", register_->size()},
          {"announcer", publisher_.has_value()},
          {"gaps", std::move(page.gaps)},
-         {"hot", to_json(hot)},
+         {"hot", to_json(hottest)},
          {"more", page.more}},
         out);
 }
 
 // ---- time
 
-// What gaps were asked about, for the announcer: it sees where the calls come.
+// Reports to the gap publisher how many calls each gap has checked here since the last report.
 void Control::send_demand_report(Time now, Outbox& out) {
   const Duration span = now - std::exchange(demand_reported_at_, now);
   const auto demands = register_->take_demands(now);
   if (!demands.empty()) demand_seen_at_ = now;
-  // That there are no more is told for a while: silence is no figure.
-  if (!publisher_ || now - demand_seen_at_ > kNoDemandReportInterval) return;
-  json all = json::array();
+  // Reports without demands follow for a while: a missing report would not say that the rate is zero.
+  if (!publisher_ || now - demand_seen_at_ > kNoDemandReportDuration) return;
+  json reported = json::array();
   for (const auto& demand : demands) {
-    if (all.size() >= kMaxDemands) break;
-    all.push_back(
+    if (reported.size() >= kMaxDemands) break;
+    reported.push_back(
         {{"id", demand.id}, {"mark", fingerprint_text(demand.fingerprint)}, {"calls", demand.calls}});
   }
   out.send(*publisher_,
            line_of({{"event", "report"},
                     {"index", settings_.fleet.index},
                     {"span_ms", std::chrono::duration_cast<std::chrono::milliseconds>(span).count()},
-                    {"demands", std::move(all)}}));
+                    {"demands", std::move(reported)}}));
 }
 
 void Control::check_hot_numbers(Time now, Outbox& out) {
   hot_checked_at_ = now;
-  using What = HotNumbers::Change::What;
+  using Kind = HotNumbers::Change::What;
   for (const HotNumbers::Change& change : hot_numbers_->update(now)) {
-    const HotNumber& h = change.number;
-    if (change.what == What::hot || change.what == What::cool) {
-      const bool hot = change.what == What::hot;
+    const HotNumber& hot_number = change.number;
+    if (change.what == Kind::hot || change.what == Kind::cool) {
+      const bool hot = change.what == Kind::hot;
       counters_.add(hot ? "gaps.numbers_hot" : "gaps.numbers_cool");
-      out.log(net::Level::warning, "number " + h.number + (hot ? " has become hot: " : " is hot no more: ") +
-                                       std::to_string(static_cast<int>(h.rate)) + " calls a second");
+      out.log(net::Level::warning, "number " + hot_number.number +
+                                       (hot ? " is hot: " : " is no longer hot: ") +
+                                       std::to_string(static_cast<int>(hot_number.rate)) + " calls a second");
       send_to_peers(
           {{"event", hot ? "hot" : "cool"},
            {"gatekeeper", settings_.name},
            {"clock", to_unix_ms(now)},
-           {"number", to_json(std::vector<HotNumber>{h})[0]}},
+           {"number", to_json(std::vector<HotNumber>{hot_number})[0]}},
           [](net::ConnId, const Peer& peer) { return peer.watching; }, out);
       continue;
     }
     Announcement announcement;
-    announcement.id = "auto-" + h.number.substr(0, kMaxTextLength - 5);
+    announcement.id = "auto-" + hot_number.number.substr(0, kMaxTextLength - 5);
     announcement.version = static_cast<std::uint64_t>(to_unix_ms(now));
     announcement.author = settings_.name;
     announcement.created_at = announcement.start = announcement.end = from_unix_ms(to_unix_ms(now));
-    if (change.what == What::gap) {
+    if (change.what == Kind::gap) {
       announcement.end += settings_.hot_gap_duration;
       Gap gap;
-      gap.criteria.numbers = {h.number};
+      gap.criteria.numbers = {hot_number.number};
       gap.interval = settings_.hot_gap_interval;
       announcement.gap = std::move(gap);
     }
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -1,6 +1,8 @@
-// The control listener of a gatekeeper: JSON lines over TCP, by which operators and the announcer announce
-// and lift call gaps, look at them and watch. It holds the register that new calls are checked against, and
-// the watch for hot numbers. A sub-reducer; docs/ops/gapping.md tells of its lines.
+// Implements the control listener of a gatekeeper: JSON lines over TCP with which operators and the gap
+// publisher announce, lift, list and watch call gaps. Owns the gap register that new calls are checked
+// against and the detection of hot numbers. A sub-reducer: events in, effects into an Outbox.
+// docs/ops/gapping.md documents the lines. On the wire the gap publisher is called "announcer" and its
+// incarnation "life".
 #pragma once
 
 #include <functional>
@@ -23,12 +25,12 @@
  public:
   Control(ControlSettings settings, Counters& counters);
 
-  // Lines of that `op` are answered by another part.
+  // Registers another component as the handler of lines with this `op`; it returns the answer.
   using Operation = std::function<nlohmann::json(Time now, const nlohmann::json& line, Outbox& out)>;
   void add_operation(std::string op, Operation answer) {
     operations_.insert_or_assign(std::move(op), std::move(answer));
   }
-  // An event for those who watch.
+  // Sends an event to all connections that watch.
   void notify_watchers(Time now, nlohmann::json event, Outbox& out);
 
   void start(Time now, Outbox& out);
@@ -39,24 +41,26 @@
 
   call_gapping::Verdict check(Time now, std::string_view number, std::string_view class_name);
   bool ready(Time now) const;
-  // Takes an announcement into the register, wherever it came from, and tells those who watch.
+  // Stores an announcement from any source in the register. If it takes effect, watching connections and gap
+  // publishers are notified.
   call_gapping::AnnounceResult store_announcement(Time now, const call_gapping::Announcement& announcement,
                                                   Outbox& out);
-  // Where the gatekeepers know each other: whether this one holds its place, who of them is gone, who is
-  // back, and whose absence is to be asked for.
-  void set_place_owned(Time now, bool holds);
-  void port_released(Time now, const std::string& name, Time asked);
+  // Slot failover, where the gatekeepers of the fleet know each other: whether this one owns its fleet port,
+  // which member's port refused a probe that was sent at `probed_at`, which member joined, and which members'
+  // ports are to be probed.
+  void set_place_owned(Time now, bool owned);
+  void port_released(Time now, const std::string& name, Time probed_at);
   void member_joined(const std::string& name);
   std::set<std::string> ports_to_watch(Time now) const;
-  // Of each number that is hot: its rate, and since when.
+  // One gauge per hot number: its rate in calls a second, and since when it is hot.
   std::vector<Gauge> gauges(Time now) const;
-  const call_gapping::GapRegister& gaps() const { return *register_; }  // from the start on
+  const call_gapping::GapRegister& gaps() const { return *register_; }  // after start()
 
  private:
   struct Peer {
     bool watching = false;
-    bool has_announced = false;                            // something: it is told of a quarrel
-    std::optional<std::uint64_t> publisher_incarnation{};  // an announcer's
+    bool has_announced = false;                            // sent an announcement: conflicts are sent to it
+    std::optional<std::uint64_t> publisher_incarnation{};  // set where the peer is a gap publisher
   };
 
   void handle_line(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
@@ -66,9 +70,9 @@
   void handle_announce(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void handle_list(Time now, net::ConnId conn, const nlohmann::json& line, Outbox& out);
   void reply(Time now, net::ConnId conn, const nlohmann::json& line, nlohmann::json answer, Outbox& out);
-  std::optional<std::uint32_t> place_of(const std::string& name) const;
-  template <class To>
-  void send_to_peers(const nlohmann::json& event, To to, Outbox& out);
+  std::optional<std::uint32_t> fleet_index_of(const std::string& name) const;
+  template <class Predicate>
+  void send_to_peers(const nlohmann::json& event, Predicate is_recipient, Outbox& out);
   void send_demand_report(Time now, Outbox& out);
   void check_hot_numbers(Time now, Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
@@ -78,12 +82,12 @@
   std::map<std::string, Operation, std::less<>> operations_;
   RateLimitedWarning malformed_warning_;
   downstream::ConnectionReaper reaper_;
-  std::optional<call_gapping::SlotFailover> failover_{};  // where places are known
-  std::optional<call_gapping::GapRegister> register_{};   // from the start on
+  std::optional<call_gapping::SlotFailover> failover_{};  // set where the fleet's members are known
+  std::optional<call_gapping::GapRegister> register_{};   // set by start()
   std::optional<call_gapping::HotNumbers> hot_numbers_{};
   std::map<net::ConnId, Peer> peers_;
-  std::optional<net::ConnId> publisher_{};  // slots are ceded to this one
-  bool synced_ = false;
+  std::optional<net::ConnId> publisher_{};  // latest gap publisher: receives ceded slots
+  bool synced_ = false;                     // a gap publisher has pushed its whole register
   Time started_at_{};
   Time demand_reported_at_{};
   Time hot_checked_at_{};
--- a/src/control/gap_client.cpp
+++ b/src/control/gap_client.cpp
@@ -10,8 +10,8 @@
 
 constexpr Duration kConnectTimeout = 2s;
 
-std::string ms_text(Duration d) {
-  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(d).count()) + " ms";
+std::string ms_text(Duration duration) {
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count()) + " ms";
 }
 
 std::string padded(std::string text, std::size_t width) {
@@ -19,7 +19,7 @@
   return text;
 }
 
-// A gap in a few words, for a person.
+// A gap as text for people; at most three of its numbers, prefixes and classes each.
 std::string describe(const json& gap) {
   if (gap.value("lifted", false)) return "lifted";
   std::string text;
@@ -38,7 +38,7 @@
   return text;
 }
 
-// ---- rows of tables for people
+// ---- rows of the printed tables
 
 std::string gap_row(const json& gap) {
   const bool lifted = gap.value("lifted", false);
@@ -62,30 +62,30 @@
 }
 
 std::string member_row(const json& member) {
-  const auto word = [&member](const char* name) {
+  const auto text = [&member](const char* name) {
     const json value = member.value(name, json(""));
     return value.is_string() ? value.get<std::string>() : value.dump();
   };
-  return "  " + padded(word("name"), 16) + " " + padded(word("state"), 8) + " " +
-         padded("for " + word("since_ms") + " ms", 18) + " " + padded(word("reach"), 15) + " " +
-         padded(word("address"), 22) + " life " + word("life") + "." + word("incarnation") + ", " +
-         word("evidence") + (member.contains("accuser") ? ", says " + word("accuser") : "") + "\n";
+  return "  " + padded(text("name"), 16) + " " + padded(text("state"), 8) + " " +
+         padded("for " + text("since_ms") + " ms", 18) + " " + padded(text("reach"), 15) + " " +
+         padded(text("address"), 22) + " life " + text("life") + "." + text("incarnation") + ", " +
+         text("evidence") + (member.contains("accuser") ? ", says " + text("accuser") : "") + "\n";
 }
 
 }  // namespace
 
 GapClient::GapClient(GapClientSettings settings) : settings_(std::move(settings)) {
   for (const std::string& address : settings_.addresses) {
-    Target t;
-    t.address = address;
-    targets_.push_back(std::move(t));
+    Target target;
+    target.address = address;
+    targets_.push_back(std::move(target));
   }
 }
 
 void GapClient::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   net::dispatch(
-      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
+      event, [&](const auto& value) requires requires { on(now, value, out); } { on(now, value, out); });
   effects = std::move(out.net);
 }
 
@@ -93,13 +93,13 @@
   return conn.number >= 1 && conn.number <= targets_.size() ? &targets_[conn.number - 1] : nullptr;
 }
 
-void GapClient::send(const Target& t, const json& line, Outbox& out) const {
-  const auto number = static_cast<std::uint32_t>(&t - targets_.data()) + 1;
+void GapClient::send(const Target& target, const json& line, Outbox& out) const {
+  const auto number = static_cast<std::uint32_t>(&target - targets_.data()) + 1;
   out.send({net::Concern::control_client, number}, line_of(line));
 }
 
 void GapClient::on(Time now, const net::Started&, Outbox& out) {
-  started_ = now;
+  started_at_ = now;
   for (std::uint32_t i = 0; i < targets_.size(); ++i)
     out.net.push_back(
         net::Connect{{net::Concern::control_client, i + 1}, targets_[i].address, kConnectTimeout});
@@ -107,59 +107,59 @@
     out.arm(net::Concern::process, 0, now + settings_.timeout);
 }
 
-void GapClient::on(Time, const net::Connected& e, Outbox& out) {
-  Target* t = target_of(e.conn);
-  if (t == nullptr) return;
-  t->connected = true;
+void GapClient::on(Time, const net::Connected& event, Outbox& out) {
+  Target* target = target_of(event.conn);
+  if (target == nullptr) return;
+  target->connected = true;
   if (is_fleet_command()) {
-    constexpr const char* kWhat[] = {"members", "view", "leave"};
-    const auto at = static_cast<std::size_t>(settings_.command) -
-                    static_cast<std::size_t>(GapClientSettings::Command::members);
-    send(*t, {{"op", "fleet"}, {"what", kWhat[at]}}, out);
+    constexpr const char* kOperations[] = {"members", "view", "leave"};
+    const auto index = static_cast<std::size_t>(settings_.command) -
+                       static_cast<std::size_t>(GapClientSettings::Command::members);
+    send(*target, {{"op", "fleet"}, {"what", kOperations[index]}}, out);
   } else if (settings_.command == GapClientSettings::Command::announce) {
-    send(*t, {{"op", "announce"}, {"gap", to_json(*settings_.announcement)}}, out);
+    send(*target, {{"op", "announce"}, {"gap", to_json(*settings_.announcement)}}, out);
   } else {
-    send(*t, {{"op", settings_.command == GapClientSettings::Command::list ? "list" : "watch"}}, out);
+    send(*target, {{"op", settings_.command == GapClientSettings::Command::list ? "list" : "watch"}}, out);
   }
 }
 
-void GapClient::fail_target(Time, Target& t, const std::string& why, Outbox& out) {
-  if (t.done) return;
-  t.done = t.failed = true;
-  t.result = why;
+void GapClient::fail_target(Time, Target& target, const std::string& reason, Outbox& out) {
+  if (target.done) return;
+  target.done = target.failed = true;
+  target.result = reason;
   if (settings_.command == GapClientSettings::Command::watch)
-    out.net.push_back(net::Print{
-        settings_.json ? line_of({{"address", t.address}, {"trouble", why}}) : t.address + ": " + why + "\n",
-        true});
+    out.net.push_back(net::Print{settings_.json ? line_of({{"address", target.address}, {"trouble", reason}})
+                                                : target.address + ": " + reason + "\n",
+                                 true});
   finish_if_complete(out);
 }
 
-void GapClient::on(Time now, const net::ConnectFailed& e, Outbox& out) {
-  if (Target* t = target_of(e.conn))
-    fail_target(now, *t, e.refused ? "nobody listens there" : "it does not answer", out);
+void GapClient::on(Time now, const net::ConnectFailed& event, Outbox& out) {
+  if (Target* target = target_of(event.conn))
+    fail_target(now, *target, event.refused ? "nobody listens there" : "it does not answer", out);
 }
 
-void GapClient::on(Time now, const net::Closed& e, Outbox& out) {
-  if (Target* t = target_of(e.conn)) fail_target(now, *t, "it closed the connection", out);
+void GapClient::on(Time now, const net::Closed& event, Outbox& out) {
+  if (Target* target = target_of(event.conn)) fail_target(now, *target, "it closed the connection", out);
 }
 
-void GapClient::on(Time now, const net::Received& e, Outbox& out) {
-  Target* t = target_of(e.conn);
-  if (t == nullptr || finished_) return;
+void GapClient::on(Time now, const net::Received& event, Outbox& out) {
+  Target* target = target_of(event.conn);
+  if (target == nullptr || finished_) return;
   const auto used = read_lines(
-      e.bytes,
+      event.bytes,
       [&](const json& line) {
-        if (!finished_) handle_line(now, *t, line, out);
+        if (!finished_) handle_line(now, *target, line, out);
       },
-      [&](const json&, const std::string& trouble) {
-        fail_target(now, *t, "it answers what can't be read: " + trouble, out);
+      [&](const json&, const std::string& reason) {
+        fail_target(now, *target, "it answers what can't be read: " + reason, out);
       });
-  if (!used) return fail_target(now, *t, "it answers what can't be read", out);
-  out.net.push_back(net::Consume{e.conn, *used});
+  if (!used) return fail_target(now, *target, "it answers what can't be read", out);
+  out.net.push_back(net::Consume{event.conn, *used});
 }
 
-void GapClient::on(Time, const net::TimerFired& e, Outbox& out) {
-  if (e.key.concern == net::Concern::process && !finished_) print_result(out);
+void GapClient::on(Time, const net::TimerFired& event, Outbox& out) {
+  if (event.key.concern == net::Concern::process && !finished_) print_result(out);
 }
 
 void GapClient::on(Time, const net::StopRequested&, Outbox& out) {
@@ -199,19 +199,19 @@
   out.net.push_back(net::Print{text + "\n", true});
 }
 
-// An answer to the announcement, or, from a publisher, that a gatekeeper of its fleet obeys.
+// The answer to the announcement, or from a gap publisher the answer of one gatekeeper of its fleet.
 void GapClient::handle_announce_answer(Time now, Target& target, const std::string& event, const json& line,
                                        Outbox& out) {
   if (event == "obeyed" && text_in(line, "id") == settings_.announcement->id) {
     json obeyed = line;
-    obeyed["after_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(now - started_).count();
+    obeyed["after_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(now - started_at_).count();
     target.obeyed[text_in(line, "address")] = std::move(obeyed);
   }
   if (line.value("re", json("")) == "announce" && event.empty()) {
     target.succeeded = line.value("ok", false);
     target.result = line.value("result", json("refused")).get<std::string>();
     if (line.contains("trouble")) target.result += ": " + text_in(line, "trouble");
-    target.result += " after " + ms_text(now - started_);
+    target.result += " after " + ms_text(now - started_at_);
     if (line.contains("gatekeepers"))
       target.gatekeepers = static_cast<std::size_t>(integer_in(line, "gatekeepers", 0, 4096));
     if (!target.succeeded) target.gatekeepers = 0;
@@ -260,84 +260,86 @@
 }
 
 void GapClient::finish_if_complete(Outbox& out) {
-  if (finished_ || !std::all_of(targets_.begin(), targets_.end(), [](const Target& t) { return t.done; }))
+  if (finished_ ||
+      !std::all_of(targets_.begin(), targets_.end(), [](const Target& target) { return target.done; }))
     return;
   print_result(out);
 }
 
-std::string GapClient::announced_text() const {
-  json all = json::array();
+std::string GapClient::announce_report() const {
+  json entries = json::array();
   std::string text;
-  for (const Target& t : targets_) {
-    const std::string result = t.result.empty() ? "no answer" : t.result;
-    json one = {{"address", t.address}, {"name", t.name}, {"ok", t.succeeded}, {"result", result}};
-    text += padded(t.name, 12) + " " + padded(t.address, 22) + " " + result + "\n";
-    if (t.gatekeepers > 0) {
-      text += "  " + std::to_string(t.obeyed.size()) + " of " + std::to_string(t.gatekeepers) +
+  for (const Target& target : targets_) {
+    const std::string result = target.result.empty() ? "no answer" : target.result;
+    json entry = {
+        {"address", target.address}, {"name", target.name}, {"ok", target.succeeded}, {"result", result}};
+    text += padded(target.name, 12) + " " + padded(target.address, 22) + " " + result + "\n";
+    if (target.gatekeepers > 0) {
+      text += "  " + std::to_string(target.obeyed.size()) + " of " + std::to_string(target.gatekeepers) +
               " gatekeepers obey\n";
-      one["gatekeepers"] = t.gatekeepers;
-      one["obeyed"] = json::array();
+      entry["gatekeepers"] = target.gatekeepers;
+      entry["obeyed"] = json::array();
     }
-    for (const auto& [address, told] : t.obeyed) {
-      text += "  " + padded(told.value("gatekeeper", json("")).get<std::string>(), 12) + " " +
-              padded(address, 22) + " " + told.value("result", json("")).get<std::string>() + " after " +
-              told["after_ms"].dump() + " ms\n";
-      one["obeyed"].push_back({{"address", address},
-                               {"name", told.value("gatekeeper", json(""))},
-                               {"result", told.value("result", json(""))},
-                               {"after_ms", told["after_ms"]}});
+    for (const auto& [address, answer] : target.obeyed) {
+      text += "  " + padded(answer.value("gatekeeper", json("")).get<std::string>(), 12) + " " +
+              padded(address, 22) + " " + answer.value("result", json("")).get<std::string>() + " after " +
+              answer["after_ms"].dump() + " ms\n";
+      entry["obeyed"].push_back({{"address", address},
+                                 {"name", answer.value("gatekeeper", json(""))},
+                                 {"result", answer.value("result", json(""))},
+                                 {"after_ms", answer["after_ms"]}});
     }
-    all.push_back(std::move(one));
+    entries.push_back(std::move(entry));
   }
   return settings_.json ? line_of({{"id", settings_.announcement->id},
                                    {"version", settings_.announcement->version},
-                                   {"targets", std::move(all)}})
+                                   {"targets", std::move(entries)}})
                         : text;
 }
 
-std::string GapClient::listed_text() const {
-  json all = json::array();
+std::string GapClient::list_report() const {
+  json entries = json::array();
   std::string text;
   for (const Target& target : targets_) {
-    json one = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded},
-                {"digest", target.digest},   {"gaps", target.gaps}, {"fleet", target.fleet},
-                {"hot", target.hot}};
-    if (!target.succeeded) one["trouble"] = error_of(target);
+    json entry = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded},
+                  {"digest", target.digest},   {"gaps", target.gaps}, {"fleet", target.fleet},
+                  {"hot", target.hot}};
+    if (!target.succeeded) entry["trouble"] = error_of(target);
     text += target.name + " " + target.address +
             (target.succeeded ? " holds " + target.digest : ": " + error_of(target)) + "\n";
     for (const json& gap : target.gaps) text += gap_row(gap);
     for (const json& hot : target.hot) text += hot_number_row(hot);
     for (const json& gatekeeper : target.fleet) text += gatekeeper_row(gatekeeper);
-    all.push_back(std::move(one));
+    entries.push_back(std::move(entry));
   }
-  return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
+  return settings_.json ? line_of({{"targets", std::move(entries)}}) : text;
 }
 
-std::string GapClient::fleet_text() const {
-  json all = json::array();
+std::string GapClient::fleet_report() const {
+  json entries = json::array();
   std::string text;
   for (const Target& target : targets_) {
-    json one = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded}};
+    json entry = {{"address", target.address}, {"name", target.name}, {"ok", target.succeeded}};
     if (target.succeeded) {
-      one["view"] = target.fleet_answer;
+      entry["view"] = target.fleet_answer;
       text += view_row(target);
       for (const json& member : target.fleet_answer.value("members", json::array()))
         text += member_row(member);
     } else {
-      one["trouble"] = error_of(target);
+      entry["trouble"] = error_of(target);
       text += target.name + " " + target.address + ": " + error_of(target) + "\n";
     }
-    all.push_back(std::move(one));
+    entries.push_back(std::move(entry));
   }
-  return settings_.json ? line_of({{"targets", std::move(all)}}) : text;
+  return settings_.json ? line_of({{"targets", std::move(entries)}}) : text;
 }
 
 std::string GapClient::view_row(const Target& target) {
   const json& view = target.fleet_answer;
-  const auto figure = [&view](const char* name) { return view.value(name, json(0)).dump(); };
+  const auto number = [&view](const char* name) { return view.value(name, json(0)).dump(); };
   return padded(target.name, 12) + " " + padded(target.address, 22) + " " +
-         (view.value("settled", false) ? "settled for " : "NOT settled, for ") + figure("since_ms") +
-         " ms: " + figure("size") + " members, in touch with " + figure("in_touch") + ", digest " +
+         (view.value("settled", false) ? "settled for " : "NOT settled, for ") + number("since_ms") +
+         " ms: " + number("size") + " members, in touch with " + number("in_touch") + ", digest " +
          target.digest + (view.value("member", true) ? "" : ", takes no part itself") +
          (view.value("catching_up", false) ? ", was stopped and catches up" : "") + "\n";
 }
@@ -347,16 +349,16 @@
 }
 
 bool GapClient::all_obey_or_agree() const {
-  bool all = true;
+  bool agree = true;
   std::string digest;
   for (const Target& target : targets_) {
-    all = all && target.succeeded && target.obeyed.size() >= target.gatekeepers;
-    for (const auto& [address, obeyed] : target.obeyed) all = all && obeyed.value("ok", false);
-    for (const json& gatekeeper : target.fleet) all = all && gatekeeper.value("synced", false);
-    if (!digest.empty() && target.digest != digest) all = false;
+    agree = agree && target.succeeded && target.obeyed.size() >= target.gatekeepers;
+    for (const auto& [address, obeyed] : target.obeyed) agree = agree && obeyed.value("ok", false);
+    for (const json& gatekeeper : target.fleet) agree = agree && gatekeeper.value("synced", false);
+    if (!digest.empty() && target.digest != digest) agree = false;
     digest = target.digest;
   }
-  return all;
+  return agree;
 }
 
 bool GapClient::all_are_settled() const {
@@ -367,21 +369,23 @@
 
 void GapClient::print_result(Outbox& out) {
   finished_ = true;
-  const bool any = std::ranges::any_of(targets_, [](const Target& target) { return target.connected; });
-  bool all = all_obey_or_agree();
+  const bool any_reached =
+      std::ranges::any_of(targets_, [](const Target& target) { return target.connected; });
+  bool complete = all_obey_or_agree();
   const auto print = [&out](std::string text) { out.net.push_back(net::Print{std::move(text), true}); };
-  if (settings_.command == GapClientSettings::Command::announce) print(announced_text());
+  if (settings_.command == GapClientSettings::Command::announce) print(announce_report());
   if (settings_.command == GapClientSettings::Command::list) {
-    print(listed_text());
-    if (any && !all && !settings_.json) print("they do NOT all hold the same\n");
+    print(list_report());
+    if (any_reached && !complete && !settings_.json) print("they do NOT all hold the same\n");
   }
   if (is_fleet_command()) {
-    print(fleet_text());
-    all = all && all_are_settled();
-    if (any && !all && !settings_.json) print("they do NOT all hold the same, or are not settled\n");
+    print(fleet_report());
+    complete = complete && all_are_settled();
+    if (any_reached && !complete && !settings_.json)
+      print("they do NOT all hold the same, or are not settled\n");
   }
-  const bool watched = settings_.command == GapClientSettings::Command::watch;
-  out.net.push_back(net::Exit{!any ? kUnreachable : all || watched ? kSuccess : kIncomplete});
+  const bool watching = settings_.command == GapClientSettings::Command::watch;
+  out.net.push_back(net::Exit{!any_reached ? kUnreachable : complete || watching ? kSuccess : kIncomplete});
 }
 
 }  // namespace graniterun::control
--- a/src/control/gap_client.h
+++ b/src/control/gap_client.h
@@ -1,6 +1,6 @@
-// The client half of `graniterunctl gap` and `graniterunctl fleet`: it sends one command to many gatekeepers,
-// or to a gap publisher, at once, and reports what each answered and when. A reducer: the runtime does the
-// I/O. The text and JSON that it prints, and its exit codes, are an interface: tests/golden pins them.
+// Implements `graniterunctl gap` and `graniterunctl fleet`: sends one command to several gatekeepers, or to a
+// gap publisher, in parallel, and reports each answer with its delay. A reducer: the runtime does the I/O.
+// The text and JSON that it prints, and its exit codes, are an interface: tests/golden pins them.
 #pragma once
 
 #include <map>
@@ -14,19 +14,19 @@
 
 struct GapClientSettings {
   enum class Command : std::uint8_t { announce, list, watch, members, view, leave } command{};
-  std::vector<std::string> addresses{};                      // addresses
-  std::optional<call_gapping::Announcement> announcement{};  // a lift too
+  std::vector<std::string> addresses{};                      // control addresses, address:port
+  std::optional<call_gapping::Announcement> announcement{};  // for `announce`: a gap, or its lift
   bool json = false;
-  Duration timeout{std::chrono::seconds(3)};  // for all to obey; of a watch, how long: 0 is for ever
+  Duration timeout{std::chrono::seconds(3)};  // of the command; for `watch` its duration, 0: unlimited
 };
 
 class GapClient {
  public:
   // Exit codes.
-  static constexpr int kSuccess = 0;     // all obey; all could be listed, and hold the same
-  static constexpr int kIncomplete = 1;  // some were not reached, or hold something else
-  static constexpr int kUsage = 2;
-  static constexpr int kUnreachable = 3;  // none was reached
+  static constexpr int kSuccess = 0;      // all gatekeepers obey, or all answered with the same digest
+  static constexpr int kIncomplete = 1;   // some do not obey, did not answer, or have another digest
+  static constexpr int kUsage = 2;        // invalid command line
+  static constexpr int kUnreachable = 3;  // no connection was established
 
   explicit GapClient(GapClientSettings settings);
   void step(Time now, const net::Event& event, net::Effects& effects);
@@ -39,25 +39,25 @@
     bool failed = false;
     bool done = false;
     bool succeeded = false;
-    std::string result{};
-    std::size_t held = 0;
-    std::string digest{};
+    std::string result{};  // text for people: the result, or why it failed
+    std::size_t held = 0;  // number of gaps in its register
+    std::string digest{};  // of its register, or of its view of the fleet
     nlohmann::json gaps = nlohmann::json::array();
     nlohmann::json hot = nlohmann::json::array();
-    // An announcer's fleet: who of it is to obey, and how each answered, by address.
+    // Of a gap publisher: the number of gatekeepers that are to obey, and each one's answer, by address.
     std::size_t gatekeepers = 0;
     std::map<std::string, nlohmann::json> obeyed{};
-    nlohmann::json fleet = nlohmann::json::array();
-    nlohmann::json fleet_answer{};  // of its place in the fleet of gatekeepers
+    nlohmann::json fleet = nlohmann::json::array();  // a gap publisher's gatekeepers, with their states
+    nlohmann::json fleet_answer{};                   // a gatekeeper's view of its fleet
   };
 
-  void on(Time now, const net::Started& e, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
-  void on(Time now, const net::StopRequested& e, Outbox& out);
+  void on(Time now, const net::Started& event, Outbox& out);
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
+  void on(Time now, const net::StopRequested& event, Outbox& out);
 
   void handle_line(Time now, Target& target, const nlohmann::json& line, Outbox& out);
   void print_event(const Target& target, const std::string& event, const nlohmann::json& line,
@@ -66,24 +66,25 @@
                               Outbox& out);
   void handle_list_answer(Target& target, const nlohmann::json& line, Outbox& out);
   void handle_fleet_answer(Target& target, const nlohmann::json& line, Outbox& out);
-  void fail_target(Time now, Target& target, const std::string& why, Outbox& out);
+  void fail_target(Time now, Target& target, const std::string& reason, Outbox& out);
   void finish_if_complete(Outbox& out);
   void print_result(Outbox& out);
-  // Of an announcement: all that are to obey do. Of a list or view: all hold the same.
+  // Announcement: whether all gatekeepers obey. List or fleet view: whether all digests are equal.
   bool all_obey_or_agree() const;
   bool all_are_settled() const;
-  std::string announced_text() const;
-  std::string listed_text() const;
-  std::string fleet_text() const;
+  // The output of an announcement, a list and a fleet command: text, or JSON if `json` is set.
+  std::string announce_report() const;
+  std::string list_report() const;
+  std::string fleet_report() const;
   static std::string view_row(const Target& target);
   static std::string error_of(const Target& target);
   bool is_fleet_command() const { return settings_.command >= GapClientSettings::Command::members; }
   Target* target_of(net::ConnId conn);
-  void send(const Target& t, const nlohmann::json& line, Outbox& out) const;
+  void send(const Target& target, const nlohmann::json& line, Outbox& out) const;
 
   GapClientSettings settings_;
   std::vector<Target> targets_;
-  Time started_{};
+  Time started_at_{};
   bool finished_ = false;
 };
 
--- a/src/control/gap_json.cpp
+++ b/src/control/gap_json.cpp
@@ -10,21 +10,23 @@
 using nlohmann::json;
 using namespace call_gapping;
 
-constexpr std::int64_t kLatest = 4'102'444'800'000;  // the year 2100
+constexpr std::int64_t kMaxUnixMs = 4'102'444'800'000;  // the year 2100
 constexpr std::int64_t kDayMs = 86'400'000;
+// Names of Shape on the wire, in the order of its values.
 constexpr const char* kShapes[] = {"whole", "each", "percent"};
 
+// The texts of an optional list; absent: none.
 std::vector<std::string> texts_in(const json& object, const char* name) {
-  std::vector<std::string> all;
+  std::vector<std::string> texts;
   const auto it = object.find(name);
-  if (it == object.end()) return all;
+  if (it == object.end()) return texts;
   if (!it->is_array() || it->size() > kMaxCriteria)
     throw ProtocolError(std::string("'") + name + "' is not a list of at most 1000 texts");
-  for (const json& one : *it) {
-    if (!one.is_string()) throw ProtocolError(std::string("'") + name + "' holds what is not text");
-    all.push_back(one.get<std::string>());
+  for (const json& element : *it) {
+    if (!element.is_string()) throw ProtocolError(std::string("'") + name + "' holds what is not text");
+    texts.push_back(element.get<std::string>());
   }
-  return all;
+  return texts;
 }
 
 }  // namespace
@@ -34,10 +36,10 @@
 }
 Time from_unix_ms(std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); }
 
-std::string_view to_string(AnnounceResult taken) {
-  constexpr std::string_view kWords[] = {"taken",         "known",   "older", "conflict",
+std::string_view to_string(AnnounceResult result) {
+  constexpr std::string_view kNames[] = {"taken",         "known",   "older", "conflict",
                                          "conflict_over", "refused", "full"};
-  return kWords[static_cast<std::size_t>(taken)];
+  return kNames[static_cast<std::size_t>(result)];
 }
 
 std::string text_in(const json& object, const char* name) {
@@ -47,29 +49,29 @@
   return it->get<std::string>();
 }
 
-std::int64_t integer_in(const json& object, const char* name, std::int64_t least, std::int64_t most) {
+std::int64_t integer_in(const json& object, const char* name, std::int64_t min, std::int64_t max) {
   const auto it = object.find(name);
-  const bool whole = it != object.end() && it->is_number_integer() &&
-                     !(it->is_number_unsigned() && it->get<std::uint64_t>() > std::uint64_t{1} << 62);
-  if (!whole || it->get<std::int64_t>() < least || it->get<std::int64_t>() > most)
-    throw ProtocolError(std::string("'") + name + "' is not a whole number from " + std::to_string(least) +
-                        " to " + std::to_string(most));
+  const bool is_integer = it != object.end() && it->is_number_integer() &&
+                          !(it->is_number_unsigned() && it->get<std::uint64_t>() > std::uint64_t{1} << 62);
+  if (!is_integer || it->get<std::int64_t>() < min || it->get<std::int64_t>() > max)
+    throw ProtocolError(std::string("'") + name + "' is not a whole number from " + std::to_string(min) +
+                        " to " + std::to_string(max));
   return it->get<std::int64_t>();
 }
 
-std::string fingerprint_text(std::uint64_t mark) {
+std::string fingerprint_text(std::uint64_t fingerprint) {
   std::string text(16, '0');
-  for (std::size_t i = 0; i < 16; ++i) text[15 - i] = "0123456789abcdef"[mark >> (4 * i) & 15];
+  for (std::size_t i = 0; i < 16; ++i) text[15 - i] = "0123456789abcdef"[fingerprint >> (4 * i) & 15];
   return text;
 }
 
 std::uint64_t fingerprint_in(const json& object, const char* name) {
   const std::string text = text_in(object, name);
-  std::uint64_t mark = 0;
-  const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), mark, 16);
+  std::uint64_t fingerprint = 0;
+  const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), fingerprint, 16);
   if (text.size() != 16 || error != std::errc{} || stop != text.data() + text.size())
     throw ProtocolError(std::string("'") + name + "' is not 16 hex digits");
-  return mark;
+  return fingerprint;
 }
 
 json to_json(const Announcement& announcement) {
@@ -106,9 +108,9 @@
   announcement.id = text_in(object, "id");
   announcement.version = static_cast<std::uint64_t>(integer_in(object, "version", 1, std::int64_t{1} << 52));
   if (object.contains("by")) announcement.author = text_in(object, "by");
-  announcement.created_at = from_unix_ms(integer_in(object, "made", 0, kLatest));
-  announcement.start = from_unix_ms(integer_in(object, "start", 0, kLatest));
-  announcement.end = from_unix_ms(integer_in(object, "end", 0, kLatest));
+  announcement.created_at = from_unix_ms(integer_in(object, "made", 0, kMaxUnixMs));
+  announcement.start = from_unix_ms(integer_in(object, "start", 0, kMaxUnixMs));
+  announcement.end = from_unix_ms(integer_in(object, "end", 0, kMaxUnixMs));
   if (const auto lifted = object.find("lifted"); lifted != object.end()) {
     if (!lifted->is_boolean()) throw ProtocolError("'lifted' is neither true nor false");
     if (lifted->get<bool>()) return announcement;
@@ -136,10 +138,10 @@
   return announcement;
 }
 
-Page page_of(const GapRegister& held, Time now, std::string_view after, bool counts) {
-  Page page;
+GapPage make_page(const GapRegister& stored, Time now, std::string_view after, bool counts) {
+  GapPage page;
   std::size_t bytes = 0;
-  for (const GapState& state : held.list(now, after, kMaxGapsInPage + 1)) {
+  for (const GapState& state : stored.list(now, after, kMaxGapsInPage + 1)) {
     json gap = to_json(*state.announcement);
     gap["in_force"] = state.in_force;
     if (counts) {
@@ -167,15 +169,15 @@
   return answer;
 }
 
-json to_json(const std::vector<HotNumber>& hot) {
-  json all = json::array();
-  for (const HotNumber& h : hot)
-    all.push_back({{"number", h.number},
-                   {"per_second", std::round(h.rate * 10) / 10},
-                   {"error", std::round(h.error * 10) / 10},
-                   {"since", to_unix_ms(h.since)},
-                   {"gapped", h.gapped}});
-  return all;
+json to_json(const std::vector<HotNumber>& hot_numbers) {
+  json objects = json::array();
+  for (const HotNumber& hot_number : hot_numbers)
+    objects.push_back({{"number", hot_number.number},
+                       {"per_second", std::round(hot_number.rate * 10) / 10},
+                       {"error", std::round(hot_number.error * 10) / 10},
+                       {"since", to_unix_ms(hot_number.since)},
+                       {"gapped", hot_number.gapped}});
+  return objects;
 }
 
 }  // namespace graniterun::control
--- a/src/control/gap_json.h
+++ b/src/control/gap_json.h
@@ -1,5 +1,5 @@
-// Gaps as JSON: the form of the control listener, of the announcer's file and of the command line. Times are
-// Unix milliseconds.
+// Codec of call gaps as JSON lines: the format of the control listener, of the gap publisher's file and of
+// `graniterunctl`. Times are Unix milliseconds. docs/ops/gapping.md documents the lines.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,50 +12,53 @@
 
 namespace graniterun::control {
 
-// Its text is one plain line for whoever sent what can't be used.
+// Input that is not understood. The text is one line without a line feed; it is sent to the peer as
+// "trouble".
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 constexpr std::size_t kMaxLineBytes = 32 * 1024;
-constexpr std::size_t kMaxGapBytes = 24 * 1024;  // as JSON: it has to fit a line with what goes around it
+constexpr std::size_t kMaxGapBytes = 24 * 1024;  // as JSON: fits into a line with its envelope
 
 nlohmann::json to_json(const call_gapping::Announcement& announcement);
 call_gapping::Announcement announcement_of(const nlohmann::json& object);  // throws ProtocolError
 
-// What a list answers with: the gaps after an id, as many as fit a line (kMaxGapsInPage and kMaxGapBytes
-// bytes at most, one at least), and whether there are more. `counts`: with the calls that passed and were
-// gapped.
+// One page of the answer to "list": the gaps whose ids follow `after`, in order of ids, and whether more
+// exist. A page holds at least one gap if there is one, at most kMaxGapsInPage, and fits into a line
+// (kMaxGapBytes). With `counts`, each gap carries the numbers of calls that passed and were gapped.
 constexpr std::size_t kMaxGapsInPage = 200;
-struct Page {
+struct GapPage {
   nlohmann::json gaps = nlohmann::json::array();
   bool more = false;
 };
-Page page_of(const call_gapping::GapRegister& held, Time now, std::string_view after, bool counts);
+GapPage make_page(const call_gapping::GapRegister& stored, Time now, std::string_view after, bool counts);
 
-// The answer to an announcement that was stored with `result`: both to a gatekeeper's operators and to those
-// of a publisher.
+// The answer to an announcement for which GapRegister::announce returned `result`. Gatekeepers and the gap
+// publisher send the same.
 nlohmann::json answer_to_announce(Time now, const call_gapping::Announcement& announcement,
                                   call_gapping::AnnounceResult result,
                                   const call_gapping::GapRegister& stored);
 
 std::int64_t to_unix_ms(Time time);
 Time from_unix_ms(std::int64_t ms);
-std::string_view to_string(call_gapping::AnnounceResult taken);
-nlohmann::json to_json(const std::vector<call_gapping::HotNumber>& hot);
+std::string_view to_string(call_gapping::AnnounceResult result);
+nlohmann::json to_json(const std::vector<call_gapping::HotNumber>& hot_numbers);
 
-// What a value is to be. Each throws ProtocolError with the name where it is not there or is something else.
+// Typed access to the member `name` of an object. Each throws a ProtocolError that names the member if it is
+// absent, of another type or out of range.
 std::string text_in(const nlohmann::json& object, const char* name);
-std::int64_t integer_in(const nlohmann::json& object, const char* name, std::int64_t least,
-                        std::int64_t most);
+std::int64_t integer_in(const nlohmann::json& object, const char* name, std::int64_t min, std::int64_t max);
 std::uint64_t fingerprint_in(const nlohmann::json& object, const char* name);  // 16 hex digits
-std::string fingerprint_text(std::uint64_t mark);
+std::string fingerprint_text(std::uint64_t fingerprint);
 
-// The JSON lines in `bytes`, each handed on as an object; returns how many bytes are used, or nothing where a
-// line is longer than kLineBound. What is no object is told to `bad`, with the reason.
-template <class Take, class Bad>
-std::optional<std::size_t> read_lines(std::string_view bytes, Take take, Bad bad) {
+// Parses the complete lines in `bytes` and calls `handle_object` for each JSON object. A line that is not an
+// object, or for which `handle_object` throws ProtocolError, goes to `handle_error` with the reason. Empty
+// lines are skipped. Returns the number of bytes consumed, or nothing if a line exceeds kMaxLineBytes.
+template <class ObjectHandler, class ErrorHandler>
+std::optional<std::size_t> read_lines(std::string_view bytes, ObjectHandler handle_object,
+                                      ErrorHandler handle_error) {
   std::size_t used = 0;
   while (used < bytes.size()) {
     const std::size_t end = bytes.find('\n', used);
@@ -69,18 +72,19 @@
     if (line.find_first_not_of(" \r\t") == std::string_view::npos) continue;
     const auto object = nlohmann::json::parse(line, nullptr, false);
     if (object.is_discarded() || !object.is_object()) {
-      bad(nlohmann::json::object(), "the line is not a JSON object");
+      handle_error(nlohmann::json::object(), "the line is not a JSON object");
       continue;
     }
     try {
-      take(object);
-    } catch (const ProtocolError& trouble) {
-      bad(object, trouble.what());
+      handle_object(object);
+    } catch (const ProtocolError& error) {
+      handle_error(object, error.what());
     }
   }
   return used;
 }
 
+// The object on one line, with its line feed. Invalid UTF-8 is replaced by U+FFFD.
 inline std::string line_of(const nlohmann::json& object) {
   return object.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
 }
--- a/src/control/gap_publisher.cpp
+++ b/src/control/gap_publisher.cpp
@@ -10,14 +10,14 @@
 constexpr Duration kTick = 50ms;
 constexpr Duration kReconnectDelay = 250ms;
 constexpr Duration kConnectTimeout = 1s;
-constexpr Duration kDigestCheckInterval = 500ms;  // whether a gatekeeper holds the same
-constexpr Duration kSilenceTimeout = 2500ms;      // one that answers nothing for so long is lost
+constexpr Duration kDigestCheckInterval = 500ms;
+constexpr Duration kResponseTimeout = 2500ms;  // a gatekeeper that sends nothing this long is disconnected
 constexpr Duration kIdleTimeout = 60s;
-constexpr Duration kObserverTtl = 30s;          // of gatekeepers' answers
-constexpr Duration kAllocationRetention = 10s;  // a gap that nobody calls for so long is no longer dealt
-constexpr std::size_t kMaxUnacknowledged = 64;  // gaps pushed to a gatekeeper that it has not answered yet
+constexpr Duration kObserverTtl = 30s;
+constexpr Duration kAllocationRetention = 10s;  // after a gap's last demand
+constexpr std::size_t kMaxUnacknowledged = 64;  // pushed gaps that one gatekeeper has not answered yet
 constexpr std::size_t kMaxAllocations = 4096;
-constexpr std::size_t kMaxObservers = 256;
+constexpr std::size_t kMaxObservers = 256;  // observed gap ids, and observers of each
 constexpr std::size_t kMaxSlotsInLine = 1024;
 
 }  // namespace
@@ -27,20 +27,20 @@
       reaper_(settings_.max_connections, kIdleTimeout),
       register_({}, settings_.incarnation, {}) {
   for (const std::string& address : settings_.gatekeepers) {
-    Gatekeeper g;
-    g.address = address;
-    gatekeepers_.push_back(std::move(g));
+    Gatekeeper gatekeeper;
+    gatekeeper.address = address;
+    gatekeepers_.push_back(std::move(gatekeeper));
   }
 }
 
 void GapPublisher::step(Time now, const net::Event& event, net::Effects& effects) {
   Outbox out;
   net::dispatch(
-      event, [&](const auto& one) requires requires { on(now, one, out); } { on(now, one, out); });
+      event, [&](const auto& value) requires requires { on(now, value, out); } { on(now, value, out); });
   effects = std::move(out.net);
 }
 
-// ---- its own file
+// ---- the file of the register
 
 void GapPublisher::on(Time now, const net::Started&, Outbox& out) {
   if (!settings_.file.empty()) {
@@ -50,25 +50,25 @@
   }
 }
 
-// Only with its register loaded does it speak to anyone: an empty one must not look like the whole.
-void GapPublisher::on(Time now, const net::FileRead& e, Outbox& out) {
+// Listens and connects only once the register is loaded: an empty one must not be taken for complete.
+void GapPublisher::on(Time now, const net::FileRead& event, Outbox& out) {
   if (std::exchange(loaded_, true)) return;
-  std::size_t bad = 0;
-  if (e.text) {
+  std::size_t unreadable = 0;
+  if (event.text) {
     const auto used = read_lines(
-        *e.text,
+        *event.text,
         [&](const json& line) {
-          const AnnounceResult taken = register_.announce(now, announcement_of(line));
-          bad += taken == AnnounceResult::rejected || taken == AnnounceResult::full ? 1 : 0;
+          const AnnounceResult result = register_.announce(now, announcement_of(line));
+          unreadable += result == AnnounceResult::rejected || result == AnnounceResult::full ? 1 : 0;
         },
-        [&](const json&, const std::string&) { ++bad; });
-    if (!used || *used != e.text->size()) ++bad;
-    out.log(net::Level::info, settings_.file + ": " + std::to_string(register_.size()) + " gaps are held");
+        [&](const json&, const std::string&) { ++unreadable; });
+    if (!used || *used != event.text->size()) ++unreadable;
+    out.log(net::Level::info, settings_.file + ": " + std::to_string(register_.size()) + " gaps loaded");
   }
-  if (bad > 0) {
-    // It is replaced whole, so this is no torn write: somebody has to look before it is written over.
-    out.log(net::Level::error, settings_.file + " holds " + std::to_string(bad) +
-                                   " lines that can't be read: mend it or move it away");
+  if (unreadable > 0) {
+    // Writes are atomic, so this is no torn write. The file is not overwritten: an operator has to look.
+    out.log(net::Level::error, settings_.file + ": " + std::to_string(unreadable) +
+                                   " unreadable lines: repair the file or move it away");
     out.net.push_back(net::Exit{1});
     return;
   }
@@ -88,86 +88,87 @@
 // ---- gatekeepers
 
 GapPublisher::Gatekeeper* GapPublisher::gatekeeper_of(net::ConnId conn) {
-  for (Gatekeeper& g : gatekeepers_) {
-    if (conn.concern == net::Concern::control_client && g.conn == conn.number) return &g;
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    if (conn.concern == net::Concern::control_client && gatekeeper.conn == conn.number) return &gatekeeper;
   }
   return nullptr;
 }
 
-void GapPublisher::send(const Gatekeeper& g, const json& line, Outbox& out) const {
-  out.send({net::Concern::control_client, g.conn}, line_of(line));
+void GapPublisher::send(const Gatekeeper& gatekeeper, const json& line, Outbox& out) const {
+  out.send({net::Concern::control_client, gatekeeper.conn}, line_of(line));
 }
 
-void GapPublisher::on(Time now, const net::Connected& e, Outbox& out) {
-  Gatekeeper* g = gatekeeper_of(e.conn);
-  if (g == nullptr) return out.close(e.conn);
-  g->connected = true;
-  g->last_received_at = g->digest_requested_at = now;
-  g->unacknowledged = 0;
+void GapPublisher::on(Time now, const net::Connected& event, Outbox& out) {
+  Gatekeeper* gatekeeper = gatekeeper_of(event.conn);
+  if (gatekeeper == nullptr) return out.close(event.conn);
+  gatekeeper->connected = true;
+  gatekeeper->last_received_at = gatekeeper->digest_requested_at = now;
+  gatekeeper->unacknowledged = 0;
   counters_.add("announcer.gatekeepers_reached");
-  send(*g, {{"op", "announcer"}, {"life", fingerprint_text(settings_.incarnation)}}, out);
-  begin_push(now, *g, out);
+  send(*gatekeeper, {{"op", "announcer"}, {"life", fingerprint_text(settings_.incarnation)}}, out);
+  begin_push(now, *gatekeeper, out);
 }
 
-// All that is held is pushed, and what the gatekeeper holds is asked for: it may have heard of gaps while no
-// announcer was there.
-void GapPublisher::begin_push(Time now, Gatekeeper& g, Outbox& out) {
-  g.synced = false;
-  g.pushed_to.clear();
-  g.changed_since_push.clear();
-  send(g, {{"op", "list"}}, out);
-  push_next(now, g, out);
+// Pushes the whole register and requests the gatekeeper's gaps, which may include some that are new here.
+void GapPublisher::begin_push(Time now, Gatekeeper& gatekeeper, Outbox& out) {
+  gatekeeper.synced = false;
+  gatekeeper.last_pushed_id.clear();
+  gatekeeper.changed_since_push.clear();
+  send(gatekeeper, {{"op", "list"}}, out);
+  push_next(now, gatekeeper, out);
 }
 
-// Whether it is still there, and holds the same.
-void GapPublisher::check_gatekeeper(Time now, Gatekeeper& g, Outbox& out) {
-  if (now - g.last_received_at > kSilenceTimeout) {
-    const net::ConnId conn{net::Concern::control_client, g.conn};
-    handle_lost(now, g, out);
+// Disconnects an unresponsive gatekeeper; requests the digest of one that has been pushed everything.
+void GapPublisher::check_gatekeeper(Time now, Gatekeeper& gatekeeper, Outbox& out) {
+  if (now - gatekeeper.last_received_at > kResponseTimeout) {
+    const net::ConnId conn{net::Concern::control_client, gatekeeper.conn};
+    handle_disconnect(now, gatekeeper, out);
     return out.close(conn);
   }
-  if (now - g.digest_requested_at < kDigestCheckInterval || !g.synced || g.unacknowledged > 0) return;
-  g.digest_requested_at = now;
-  send(g, {{"op", "synced"}}, out);
+  if (now - gatekeeper.digest_requested_at < kDigestCheckInterval || !gatekeeper.synced ||
+      gatekeeper.unacknowledged > 0)
+    return;
+  gatekeeper.digest_requested_at = now;
+  send(gatekeeper, {{"op", "synced"}}, out);
 }
 
-void GapPublisher::on(Time now, const net::ConnectFailed& e, Outbox&) {
-  if (Gatekeeper* g = gatekeeper_of(e.conn)) {
-    g->conn = 0;
-    g->next_connect = now + kReconnectDelay;
+void GapPublisher::on(Time now, const net::ConnectFailed& event, Outbox&) {
+  if (Gatekeeper* gatekeeper = gatekeeper_of(event.conn)) {
+    gatekeeper->conn = 0;
+    gatekeeper->next_connect = now + kReconnectDelay;
   }
 }
 
-void GapPublisher::handle_lost(Time now, Gatekeeper& g, Outbox& out) {
-  out.log(net::Level::warning, "gatekeeper " + g.address + " is lost: it will be pushed all when it is back");
+void GapPublisher::handle_disconnect(Time now, Gatekeeper& gatekeeper, Outbox& out) {
+  out.log(net::Level::warning, "gatekeeper " + gatekeeper.address + " disconnected: full push on reconnect");
   counters_.add("announcer.gatekeepers_lost");
-  g.connected = g.synced = false;
-  g.conn = 0;
-  g.next_connect = now + kReconnectDelay;
-}
-
-// In order of ids, so many at a time; what changes behind that place is pushed once more.
-void GapPublisher::push_next(Time now, Gatekeeper& g, Outbox& out) {
-  if (!g.connected) return;
-  while (g.unacknowledged < kMaxUnacknowledged && !g.changed_since_push.empty()) {
-    const std::string id = *g.changed_since_push.begin();
-    g.changed_since_push.erase(g.changed_since_push.begin());
-    if (const Announcement* a = register_.find(id)) {
-      send(g, {{"op", "announce"}, {"gap", to_json(*a)}}, out);
-      ++g.unacknowledged;
+  gatekeeper.connected = gatekeeper.synced = false;
+  gatekeeper.conn = 0;
+  gatekeeper.next_connect = now + kReconnectDelay;
+}
+
+// Pushes by id, at most kMaxUnacknowledged unanswered; gaps that change after their push are pushed again.
+void GapPublisher::push_next(Time now, Gatekeeper& gatekeeper, Outbox& out) {
+  if (!gatekeeper.connected) return;
+  while (gatekeeper.unacknowledged < kMaxUnacknowledged && !gatekeeper.changed_since_push.empty()) {
+    const std::string id = *gatekeeper.changed_since_push.begin();
+    gatekeeper.changed_since_push.erase(gatekeeper.changed_since_push.begin());
+    if (const Announcement* announcement = register_.find(id)) {
+      send(gatekeeper, {{"op", "announce"}, {"gap", to_json(*announcement)}}, out);
+      ++gatekeeper.unacknowledged;
     }
   }
-  if (g.synced || g.unacknowledged >= kMaxUnacknowledged) return;
-  const std::size_t room = kMaxUnacknowledged - g.unacknowledged;
-  const auto next = register_.list(now, g.pushed_to, room);
+  if (gatekeeper.synced || gatekeeper.unacknowledged >= kMaxUnacknowledged) return;
+  const std::size_t room = kMaxUnacknowledged - gatekeeper.unacknowledged;
+  const auto next = register_.list(now, gatekeeper.last_pushed_id, room);
   for (const GapState& state : next) {
-    send(g, {{"op", "announce"}, {"gap", to_json(*state.announcement)}}, out);
-    g.pushed_to = state.announcement->id;
-    ++g.unacknowledged;
+    send(gatekeeper, {{"op", "announce"}, {"gap", to_json(*state.announcement)}}, out);
+    gatekeeper.last_pushed_id = state.announcement->id;
+    ++gatekeeper.unacknowledged;
   }
   if (next.size() < room) {
-    g.synced = true;
-    send(g, {{"op", "synced"}}, out);
+    gatekeeper.synced = true;
+    send(gatekeeper, {{"op", "synced"}}, out);
   }
 }
 
@@ -176,7 +177,7 @@
   if (line.contains("gatekeeper")) gatekeeper.name = text_in(line, "gatekeeper");
   if (line.contains("event")) return handle_gatekeeper_event(now, gatekeeper, line, out);
   const std::string re = line.contains("re") ? text_in(line, "re") : "";
-  if (re == "announcer") return handle_place(gatekeeper, line, out);
+  if (re == "announcer") return handle_fleet_position(gatekeeper, line, out);
   if (re == "synced") return handle_digest(now, gatekeeper, line, out);
   if (re == "list") return handle_gatekeeper_list(now, gatekeeper, line, out);
   if (re == "announce") return handle_announce_answer(now, gatekeeper, line, out);
@@ -190,15 +191,15 @@
   for (const net::ConnId conn : watchers_) out.send(conn, line_of(line));
 }
 
-// Its place in the fleet, by its own settings.
-void GapPublisher::handle_place(Gatekeeper& gatekeeper, const json& line, Outbox& out) const {
+// The size of the fleet and the gatekeeper's index in it, as its settings have them.
+void GapPublisher::handle_fleet_position(Gatekeeper& gatekeeper, const json& line, Outbox& out) const {
   const auto size = static_cast<std::size_t>(integer_in(line, "fleet", 1, 1024));
   const auto last = static_cast<std::int64_t>(size) - 1;
   gatekeeper.index = static_cast<std::uint32_t>(integer_in(line, "index", 0, last));
   if (size == gatekeepers_.size()) return;
-  out.log(net::Level::warning, "gatekeeper " + gatekeeper.address + " is set to a fleet of " +
-                                   std::to_string(size) + ", and " + std::to_string(gatekeepers_.size()) +
-                                   " are pushed to: no slots are dealt to it");
+  out.log(net::Level::warning, "gatekeeper " + gatekeeper.address + " has fleet size " +
+                                   std::to_string(size) + ", expected " +
+                                   std::to_string(gatekeepers_.size()) + ": it gets no slots");
   gatekeeper.index.reset();
 }
 
@@ -223,7 +224,7 @@
   if (gatekeeper.unacknowledged > 0) --gatekeeper.unacknowledged;
   const std::string id = text_in(line, "id");
   const auto version = static_cast<std::uint64_t>(integer_in(line, "version", 1, std::int64_t{1} << 52));
-  // It holds something newer, or stricter: all gatekeepers are to have that.
+  // The gatekeeper holds a newer or stricter version, which goes to all gatekeepers.
   if (line.contains("held")) store_announcement(now, announcement_of(line["held"]), out);
   if (const auto it = observers_.find(id); it != observers_.end()) {
     json obeyed = line;
@@ -238,70 +239,73 @@
 
 // ---- slots
 
-void GapPublisher::handle_demand_report(Time now, Gatekeeper& g, const json& line) {
-  if (!g.index) return;
+void GapPublisher::handle_demand_report(Time now, Gatekeeper& gatekeeper, const json& line) {
+  if (!gatekeeper.index) return;
   const Duration span = std::chrono::milliseconds(integer_in(line, "span_ms", 0, 60'000));
   const auto demands = line.find("demands");
   if (demands == line.end() || !demands->is_array()) throw ProtocolError("a report has no 'demands'");
   const auto size = static_cast<std::uint32_t>(gatekeepers_.size());
-  std::map<std::string, double> asked;
-  for (const json& d : *demands) {
-    const std::string id = text_in(d, "id");
-    const std::uint64_t mark = fingerprint_in(d, "mark");
-    const Announcement* a = register_.find(id);
-    // Slots are those of what all are to hold; a gatekeeper that still has another version waits.
-    if (a == nullptr || !a->gap || a->gap->interval.value_or(0ms) <= 0ms || fingerprint_of(*a) != mark)
+  std::map<std::string, double> calls;
+  for (const json& demand : *demands) {
+    const std::string id = text_in(demand, "id");
+    const std::uint64_t fingerprint = fingerprint_in(demand, "mark");
+    const Announcement* stored = register_.find(id);
+    // Slots belong to the version in the register; a gatekeeper that still has another one is skipped.
+    if (stored == nullptr || !stored->gap || stored->gap->interval.value_or(0ms) <= 0ms ||
+        fingerprint_of(*stored) != fingerprint)
       continue;
     auto it = allocations_.find(id);
-    if (it != allocations_.end() && it->second.fingerprint != mark) {
+    if (it != allocations_.end() && it->second.fingerprint != fingerprint) {
       allocations_.erase(it);
       it = allocations_.end();
     }
     if (it == allocations_.end()) {
       if (allocations_.size() >= kMaxAllocations) continue;
-      const std::uint64_t life = settings_.incarnation;
-      it = allocations_.emplace(id, Allocation{mark, QuotaAllocator(size, *a->gap->interval, life), now})
+      const std::uint64_t incarnation = settings_.incarnation;
+      it = allocations_
+               .emplace(id, Allocation{fingerprint, QuotaAllocator(size, *stored->gap->interval, incarnation),
+                                       now})
                .first;
     }
     it->second.last_demand_at = now;
-    asked[id] = static_cast<double>(integer_in(d, "calls", 0, 1'000'000'000));
+    calls[id] = static_cast<double>(integer_in(demand, "calls", 0, 1'000'000'000));
   }
-  for (auto& [id, deal] : allocations_) {
-    const auto it = asked.find(id);
-    deal.allocator.record_demand(now, *g.index, it == asked.end() ? 0.0 : it->second, span);
+  for (auto& [id, allocation] : allocations_) {
+    const auto it = calls.find(id);
+    allocation.allocator.record_demand(now, *gatekeeper.index, it == calls.end() ? 0.0 : it->second, span);
   }
 }
 
-void GapPublisher::handle_ceded_slots(Time now, Gatekeeper& g, const json& line, Outbox& out) {
+void GapPublisher::handle_ceded_slots(Time now, Gatekeeper& gatekeeper, const json& line, Outbox& out) {
   const std::string id = text_in(line, "id");
   const auto it = allocations_.find(id);
   const auto slots = line.find("slots");
-  if (it == allocations_.end() || !g.index || slots == line.end() || !slots->is_array() ||
+  if (it == allocations_.end() || !gatekeeper.index || slots == line.end() || !slots->is_array() ||
       slots->size() > kMaxSlotsInLine || it->second.fingerprint != fingerprint_in(line, "mark"))
     return;
-  std::vector<Slot> given;
-  for (const json& one : *slots) {
-    if (one.is_number_unsigned()) given.push_back(one.get<Slot>());
+  std::vector<Slot> ceded;
+  for (const json& slot : *slots) {
+    if (slot.is_number_unsigned()) ceded.push_back(slot.get<Slot>());
   }
-  counters_.add("announcer.slots_ceded", given.size());
-  for (const auto& [to, granted] :
-       it->second.allocator.allocate(now, fingerprint_in(line, "life"), *g.index, given)) {
+  counters_.add("announcer.slots_ceded", ceded.size());
+  for (const auto& [index, granted] :
+       it->second.allocator.allocate(now, fingerprint_in(line, "life"), *gatekeeper.index, ceded)) {
     json pairs = json::array();
-    for (const SlotOf& s : granted) pairs.push_back({s.slot, s.owner});
+    for (const SlotOf& slot : granted) pairs.push_back({slot.slot, slot.owner});
     for (const Gatekeeper& other : gatekeepers_) {
-      if (!other.connected || other.index != to) continue;
+      if (!other.connected || other.index != index) continue;
       counters_.add("announcer.slots_granted", granted.size());
       send(other, {{"op", "grant"}, {"id", id}, {"mark", line["mark"]}, {"slots", pairs}}, out);
-      break;  // never to two
+      break;  // a slot is granted to one gatekeeper only, also where two have the same index
     }
   }
 }
 
 // ---- operators
 
-void GapPublisher::on(Time now, const net::Accepted& e, Outbox& out) {
-  operators_.insert(e.conn);
-  reaper_.accepted(now, e.conn);
+void GapPublisher::on(Time now, const net::Accepted& event, Outbox& out) {
+  operators_.insert(event.conn);
+  reaper_.accepted(now, event.conn);
   for (const net::ConnId conn :
        reaper_.excess_connections(now, [this](net::ConnId c) { return watchers_.contains(c); }))
     close(now, conn, out);
@@ -312,12 +316,13 @@
   on(now, net::Closed{conn, false}, out);
 }
 
-void GapPublisher::on(Time now, const net::Closed& e, Outbox& out) {
-  if (Gatekeeper* g = gatekeeper_of(e.conn)) return handle_lost(now, *g, out);
-  reaper_.closed(e.conn);
-  operators_.erase(e.conn);
-  watchers_.erase(e.conn);
-  for (auto& [id, all] : observers_) std::erase_if(all, [&](const Observer& w) { return w.conn == e.conn; });
+void GapPublisher::on(Time now, const net::Closed& event, Outbox& out) {
+  if (Gatekeeper* gatekeeper = gatekeeper_of(event.conn)) return handle_disconnect(now, *gatekeeper, out);
+  reaper_.closed(event.conn);
+  operators_.erase(event.conn);
+  watchers_.erase(event.conn);
+  for (auto& [id, observers] : observers_)
+    std::erase_if(observers, [&](const Observer& observer) { return observer.conn == event.conn; });
 }
 
 void GapPublisher::reply(Time now, net::ConnId conn, const json& line, json answer, Outbox& out) {
@@ -328,56 +333,58 @@
   out.send(conn, line_of(answer));
 }
 
-void GapPublisher::on(Time now, const net::Received& e, Outbox& out) {
-  const bool operators = e.conn.concern == net::Concern::control;
-  if (!operators && gatekeeper_of(e.conn) == nullptr) return;
-  bool whole = false;
+void GapPublisher::on(Time now, const net::Received& event, Outbox& out) {
+  const bool from_operator = event.conn.concern == net::Concern::control;
+  if (!from_operator && gatekeeper_of(event.conn) == nullptr) return;
+  bool complete = false;
   const auto used = read_lines(
-      e.bytes,
+      event.bytes,
       [&](const json& line) {
-        whole = true;
-        if (operators) return handle_operator_line(now, e.conn, line, out);
-        if (Gatekeeper* g = gatekeeper_of(e.conn)) handle_gatekeeper_line(now, *g, line, out);
+        complete = true;
+        if (from_operator) return handle_operator_line(now, event.conn, line, out);
+        if (Gatekeeper* sender = gatekeeper_of(event.conn)) handle_gatekeeper_line(now, *sender, line, out);
       },
-      [&](const json& line, const std::string& trouble) {
-        whole = true;
+      [&](const json& line, const std::string& reason) {
+        complete = true;
         counters_.add("announcer.malformed");
-        malformed_warning_.line(now, "a line is refused: " + trouble, out);
-        if (operators) reply(now, e.conn, line, {{"ok", false}, {"trouble", trouble}}, out);
+        malformed_warning_.line(now, "line rejected: " + reason, out);
+        if (from_operator) reply(now, event.conn, line, {{"ok", false}, {"trouble", reason}}, out);
       });
   if (!used) {
     counters_.add("announcer.malformed");
-    if (operators)
-      reply(now, e.conn, json::object(), {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}},
-            out);
-    return close(now, e.conn, out);
+    if (from_operator)
+      reply(now, event.conn, json::object(),
+            {{"ok", false}, {"trouble", "the line has no end within 32 KiB"}}, out);
+    return close(now, event.conn, out);
   }
-  if (operators) reaper_.record_input(now, e.conn, whole, *used < e.bytes.size());
-  out.net.push_back(net::Consume{e.conn, *used});
-}
-
-// Into the register and the file, and on to every gatekeeper.
-AnnounceResult GapPublisher::store_announcement(Time now, const Announcement& a, Outbox& out) {
-  const AnnounceResult taken = register_.announce(now, a);
-  counters_.add("announcer." + std::string(to_string(taken)));
-  if (taken != AnnounceResult::accepted && taken != AnnounceResult::conflict_won) return taken;
-  out.log(net::Level::info, (a.gap ? "gap " : "the lift of gap ") + a.id + ", version " +
-                                std::to_string(a.version) + " by '" + a.author + "', is taken");
+  if (from_operator) reaper_.record_input(now, event.conn, complete, *used < event.bytes.size());
+  out.net.push_back(net::Consume{event.conn, *used});
+}
+
+// Stores the announcement; if it takes effect, writes the file and pushes it to every gatekeeper.
+AnnounceResult GapPublisher::store_announcement(Time now, const Announcement& announcement, Outbox& out) {
+  const AnnounceResult result = register_.announce(now, announcement);
+  counters_.add("announcer." + std::string(to_string(result)));
+  if (result != AnnounceResult::accepted && result != AnnounceResult::conflict_won) return result;
+  out.log(net::Level::info, (announcement.gap ? "gap stored: " : "lift of gap stored: ") + announcement.id +
+                                ", version " + std::to_string(announcement.version) + " by '" +
+                                announcement.author + "'");
   save(now, out);
-  for (Gatekeeper& g : gatekeepers_) {
-    if (!g.connected) continue;
-    // One that is still being pushed the whole, in order of ids, comes to it by itself.
-    if (g.synced || a.id <= g.pushed_to) g.changed_since_push.insert(a.id);
-    push_next(now, g, out);
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    if (!gatekeeper.connected) continue;
+    // While the whole register is being pushed, ids after the last pushed one follow anyway.
+    if (gatekeeper.synced || announcement.id <= gatekeeper.last_pushed_id)
+      gatekeeper.changed_since_push.insert(announcement.id);
+    push_next(now, gatekeeper, out);
   }
-  return taken;
+  return result;
 }
 
-json GapPublisher::state_of(const Gatekeeper& g) const {
-  return {{"address", g.address},
-          {"name", g.name},
-          {"up", g.connected},
-          {"synced", g.synced && g.unacknowledged == 0}};
+json GapPublisher::state_of(const Gatekeeper& gatekeeper) const {
+  return {{"address", gatekeeper.address},
+          {"name", gatekeeper.name},
+          {"up", gatekeeper.connected},
+          {"synced", gatekeeper.synced && gatekeeper.unacknowledged == 0}};
 }
 
 void GapPublisher::handle_operator_line(Time now, net::ConnId conn, const json& line, Outbox& out) {
@@ -392,7 +399,7 @@
 }
 
 void GapPublisher::handle_operator_list(Time now, net::ConnId conn, const json& line, Outbox& out) {
-  Page page = page_of(register_, now, line.contains("after") ? text_in(line, "after") : "", false);
+  GapPage page = make_page(register_, now, line.contains("after") ? text_in(line, "after") : "", false);
   json fleet = json::array();
   for (const Gatekeeper& gatekeeper : gatekeepers_) fleet.push_back(state_of(gatekeeper));
   reply(now, conn, line,
@@ -409,7 +416,7 @@
   const auto gap = line.find("gap");
   if (gap == line.end()) throw ProtocolError("there is no 'gap'");
   const Announcement announcement = announcement_of(*gap);
-  // Before it is pushed: answers may come within the step.
+  // Registered before the gap is pushed, so that no gatekeeper's answer is missed.
   if (observers_.size() < kMaxObservers || observers_.contains(announcement.id)) {
     auto& observers = observers_[announcement.id];
     if (observers.size() < kMaxObservers)
@@ -426,7 +433,7 @@
     report_conflict(now, announcement, out);
 }
 
-// Each gatekeeper answers once more that it obeys.
+// Pushes an unchanged gap again, so that each gatekeeper confirms once more that it obeys.
 void GapPublisher::push_again(Time now, const std::string& id, Outbox& out) {
   for (Gatekeeper& gatekeeper : gatekeepers_) {
     if (!gatekeeper.connected) continue;
@@ -442,43 +449,44 @@
                          {"id", announcement.id},
                          {"version", announcement.version},
                          {"held", to_json(*register_.find(announcement.id))}};
-  for (const net::ConnId other : operators_) out.send(other, line_of(conflict));
+  for (const net::ConnId conn : operators_) out.send(conn, line_of(conflict));
 }
 
 // ---- time
 
-void GapPublisher::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.concern != net::Concern::control) return;
+void GapPublisher::on(Time now, const net::TimerFired& event, Outbox& out) {
+  if (event.key.concern != net::Concern::control) return;
   out.arm(net::Concern::control, 0, now + kTick);
-  for (Gatekeeper& g : gatekeepers_) {
-    if (g.connected) check_gatekeeper(now, g, out);
-    if (g.conn != 0 || now < g.next_connect) continue;
-    g.conn = ++last_conn_;
-    out.net.push_back(net::Connect{{net::Concern::control_client, g.conn}, g.address, kConnectTimeout});
+  for (Gatekeeper& gatekeeper : gatekeepers_) {
+    if (gatekeeper.connected) check_gatekeeper(now, gatekeeper, out);
+    if (gatekeeper.conn != 0 || now < gatekeeper.next_connect) continue;
+    gatekeeper.conn = ++last_conn_;
+    out.net.push_back(
+        net::Connect{{net::Concern::control_client, gatekeeper.conn}, gatekeeper.address, kConnectTimeout});
   }
   for (const auto& [conn, stuck] :
        reaper_.expired(now, [this](net::ConnId c) { return watchers_.contains(c); }))
     close(now, conn, out);
   for (auto it = observers_.begin(); it != observers_.end();) {
-    std::erase_if(it->second, [now](const Observer& w) { return w.expires_at <= now; });
+    std::erase_if(it->second, [now](const Observer& observer) { return observer.expires_at <= now; });
     it = it->second.empty() ? observers_.erase(it) : std::next(it);
   }
   for (auto it = allocations_.begin(); it != allocations_.end();) {
-    const Announcement* a = register_.find(it->first);
-    if (now - it->second.last_demand_at > kAllocationRetention || a == nullptr || !a->gap) {
+    const Announcement* stored = register_.find(it->first);
+    if (now - it->second.last_demand_at > kAllocationRetention || stored == nullptr || !stored->gap) {
       it = allocations_.erase(it);
       continue;
     }
-    QuotaAllocator& dealer = it->second.allocator;
-    if (a->gap->interval && *a->gap->interval > Duration{})
-      dealer.drop_before((now - a->start) / *a->gap->interval - 1);
-    const std::vector<double> demand = dealer.demand(now);
-    const json told = {{"op", "demand"},
-                       {"id", it->first},
-                       {"mark", fingerprint_text(it->second.fingerprint)},
-                       {"calls", demand}};
-    for (const Gatekeeper& g : gatekeepers_) {
-      if (g.connected && g.index) send(g, told, out);
+    QuotaAllocator& allocator = it->second.allocator;
+    if (stored->gap->interval && *stored->gap->interval > Duration{})
+      allocator.drop_before((now - stored->start) / *stored->gap->interval - 1);
+    const std::vector<double> demand = allocator.demand(now);
+    const json demand_line = {{"op", "demand"},
+                              {"id", it->first},
+                              {"mark", fingerprint_text(it->second.fingerprint)},
+                              {"calls", demand}};
+    for (const Gatekeeper& gatekeeper : gatekeepers_) {
+      if (gatekeeper.connected && gatekeeper.index) send(gatekeeper, demand_line, out);
     }
     ++it;
   }
@@ -486,7 +494,7 @@
 
 void GapPublisher::on(Time now, const net::StopRequested&, Outbox& out) {
   save(now, out);
-  out.log(net::Level::info, settings_.name + " ends");
+  out.log(net::Level::info, settings_.name + " exits");
   out.net.push_back(net::Exit{0});
 }
 
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -14,12 +14,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr const char* kPolicy = "urn:ietf:params:xml:ns:common-policy";
-constexpr const char* kLoad = "urn:ietf:params:xml:ns:load-control";
-constexpr const char* kHow[] = {"rate", "percent", "win"};
+constexpr const char* kPolicyNamespace = "urn:ietf:params:xml:ns:common-policy";
+constexpr const char* kLoadNamespace = "urn:ietf:params:xml:ns:load-control";
+// Element names of LimitKind, in the order of its values.
+constexpr const char* kLimitKinds[] = {"rate", "percent", "win"};
 
-// The name without its prefix: documents choose their own prefixes.
-std::string_view local(const pugi::xml_node& node) {
+// The element's name without its namespace prefix: each document chooses its own prefixes.
+std::string_view local_name(const pugi::xml_node& node) {
   const std::string_view name = node.name();
   const std::size_t colon = name.find(':');
   return colon == std::string_view::npos ? name : name.substr(colon + 1);
@@ -31,16 +32,17 @@
                                          : text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1);
 }
 
-Time time_of(std::string_view text) {
+Time parse_time(std::string_view text) {
   GDateTime* parsed = g_date_time_new_from_iso8601(std::string(text).c_str(), nullptr);
   if (parsed == nullptr)
-    throw LoadControlError("'" + std::string(text.substr(0, 40)) + "' is no date with a time zone");
+    throw LoadControlError("'" + std::string(text.substr(0, 40)) +
+                           "' is not an ISO 8601 time with a time zone");
   const Time time{std::chrono::seconds(g_date_time_to_unix(parsed))};
   g_date_time_unref(parsed);
   return time;
 }
 
-std::string text_of(Time time) {
+std::string format_time(Time time) {
   GDateTime* utc = g_date_time_new_from_unix_utc(
       std::chrono::floor<std::chrono::seconds>(time.time_since_epoch()).count());
   gchar* text = g_date_time_format_iso8601(utc);
@@ -50,16 +52,16 @@
   return result;
 }
 
-double figure_of(std::string_view text) {
+double parse_limit(std::string_view text) {
   text = trimmed(text);
-  const auto figure = number_in<double>(text);
-  if (!figure || !std::isfinite(*figure) || *figure < 0.0 || *figure > 1e6)
-    throw LoadControlError("'" + std::string(text.substr(0, 40)) + "' is no figure from 0 to 1,000,000");
-  return *figure;
+  const auto limit = number_in<double>(text);
+  if (!limit || !std::isfinite(*limit) || *limit < 0.0 || *limit > 1e6)
+    throw LoadControlError("'" + std::string(text.substr(0, 40)) + "' is not a number from 0 to 1,000,000");
+  return *limit;
 }
 
-// RFC 3966: visual separators are not part of the number.
-std::string number_of(std::string_view text) {
+// The number of a tel: URI without its parameters and visual separators (RFC 3966).
+std::string parse_tel_number(std::string_view text) {
   std::string number;
   for (const char c : text.substr(0, text.find(';'))) {
     if (std::string_view("-.() ").find(c) == std::string_view::npos) number += c;
@@ -68,121 +70,123 @@
   return number;
 }
 
-std::string called(std::string_view uri) {
-  if (uri.starts_with("tel:")) return number_of(uri.substr(4));
+// The number that a sip:, sips: or tel: URI names.
+std::string parse_called_number(std::string_view uri) {
+  if (uri.starts_with("tel:")) return parse_tel_number(uri.substr(4));
   const std::size_t scheme = uri.starts_with("sip:") ? 4 : uri.starts_with("sips:") ? 5 : 0;
   const std::size_t at = uri.find('@');
   if (scheme == 0 || at == std::string_view::npos || at <= scheme)
     throw LoadControlError("'" + std::string(uri.substr(0, 60)) +
-                           "' is no sip: URI with a user and no tel: URI");
+                           "' is neither a sip: URI with a user nor a tel: URI");
   return std::string(uri.substr(scheme, at - scheme));
 }
 
-[[noreturn]] void unknown(const pugi::xml_node& node) {
-  throw LoadControlError("<" + std::string(local(node)) + "> is not understood");
+[[noreturn]] void throw_unsupported(const pugi::xml_node& node) {
+  throw LoadControlError("<" + std::string(local_name(node)) + "> is not supported");
 }
 
 void read_to(const pugi::xml_node& to, LoadRule& rule) {
-  for (const pugi::xml_node& one : to.children()) {
-    if (local(one) == "one") {
-      rule.numbers.push_back(called(one.attribute("id").value()));
-    } else if (local(one) == "many-tel" && one.attribute("prefix") && one.first_child().empty()) {
-      rule.prefixes.push_back(number_of(one.attribute("prefix").value()));
+  for (const pugi::xml_node& target : to.children()) {
+    if (local_name(target) == "one") {
+      rule.numbers.push_back(parse_called_number(target.attribute("id").value()));
+    } else if (local_name(target) == "many-tel" && target.attribute("prefix") &&
+               target.first_child().empty()) {
+      rule.prefixes.push_back(parse_tel_number(target.attribute("prefix").value()));
     } else {
-      unknown(one);
+      throw_unsupported(target);
     }
   }
 }
 
 void read_call_identity(const pugi::xml_node& identity, LoadRule& rule) {
   for (const pugi::xml_node& sip : identity.children()) {
-    if (local(sip) != "sip") unknown(sip);
+    if (local_name(sip) != "sip") throw_unsupported(sip);
     for (const pugi::xml_node& side : sip.children())
-      local(side) == "to" ? read_to(side, rule) : unknown(side);
+      local_name(side) == "to" ? read_to(side, rule) : throw_unsupported(side);
   }
 }
 
 void read_validity(const pugi::xml_node& validity, LoadRule& rule) {
-  for (const pugi::xml_node& end : validity.children()) {
-    if (local(end) != "from" && local(end) != "until") unknown(end);
-    std::optional<Time>& which = local(end) == "from" ? rule.from : rule.until;
-    if (which) throw LoadControlError("a validity of several spans is not understood");
-    which = time_of(trimmed(end.child_value()));
+  for (const pugi::xml_node& node : validity.children()) {
+    if (local_name(node) != "from" && local_name(node) != "until") throw_unsupported(node);
+    std::optional<Time>& bound = local_name(node) == "from" ? rule.from : rule.until;
+    if (bound) throw LoadControlError("a <validity> with several spans is not supported");
+    bound = parse_time(trimmed(node.child_value()));
   }
 }
 
 void read_conditions(const pugi::xml_node& conditions, LoadRule& rule) {
   for (const pugi::xml_node& node : conditions.children()) {
-    if (local(node) == "call-identity") {
+    if (local_name(node) == "call-identity") {
       read_call_identity(node, rule);
-    } else if (local(node) == "method") {
-      // Gaps are for calls: one for other requests can't be kept.
+    } else if (local_name(node) == "method") {
+      // Gaps limit calls: a limit on another method can't be enforced.
       if (trimmed(node.child_value()) != "INVITE")
-        throw LoadControlError("only the method INVITE can be held back here");
-    } else if (local(node) == "validity") {
+        throw LoadControlError("only the method INVITE is supported");
+    } else if (local_name(node) == "validity") {
       read_validity(node, rule);
     } else {
-      unknown(node);
+      throw_unsupported(node);
     }
   }
 }
 
 void read_actions(const pugi::xml_node& actions, LoadRule& rule) {
-  int found = 0;
+  int limits = 0;
   for (const pugi::xml_node& accept : actions.children()) {
-    if (local(accept) != "accept") unknown(accept);
-    const std::string_view otherwise = accept.attribute("alt-action").as_string("reject");
-    if (otherwise != "reject") throw LoadControlError("only the alt-action 'reject' can be kept here");
-    for (const pugi::xml_node& how : accept.children()) {
-      const auto known = std::find(std::begin(kHow), std::end(kHow), local(how));
-      if (known == std::end(kHow)) unknown(how);
-      rule.how = static_cast<LoadRule::How>(known - std::begin(kHow));
-      rule.figure = figure_of(how.child_value());
-      ++found;
+    if (local_name(accept) != "accept") throw_unsupported(accept);
+    const std::string_view alternative = accept.attribute("alt-action").as_string("reject");
+    if (alternative != "reject") throw LoadControlError("only the alt-action 'reject' is supported");
+    for (const pugi::xml_node& limit : accept.children()) {
+      const auto kind = std::find(std::begin(kLimitKinds), std::end(kLimitKinds), local_name(limit));
+      if (kind == std::end(kLimitKinds)) throw_unsupported(limit);
+      rule.limit_kind = static_cast<LoadRule::LimitKind>(kind - std::begin(kLimitKinds));
+      rule.figure = parse_limit(limit.child_value());
+      ++limits;
     }
   }
-  if (found != 1) throw LoadControlError("a rule does not say just once what is accepted");
-  if (rule.how == LoadRule::How::percent && rule.figure > 100.0)
-    throw LoadControlError("a percentage is over 100");
+  if (limits != 1) throw LoadControlError("a rule does not have exactly one limit");
+  if (rule.limit_kind == LoadRule::LimitKind::percent && rule.figure > 100.0)
+    throw LoadControlError("a percentage exceeds 100");
 }
 
 }  // namespace
 
 LoadControlDocument read_load_control(std::string_view xml) {
-  if (xml.size() > kLargestDocument) throw LoadControlError("the document is over 12 KiB large");
+  if (xml.size() > kLargestDocument) throw LoadControlError("the document exceeds 12 KiB");
   pugi::xml_document parsed;
-  // Declarations of a document type are not read: nothing in them is expanded.
+  // parse_default skips document type declarations: entities that they declare are not expanded.
   const pugi::xml_parse_result result = parsed.load_buffer(xml.data(), xml.size(), pugi::parse_default);
-  if (!result) throw LoadControlError(std::string("it is no XML: ") + result.description());
+  if (!result) throw LoadControlError(std::string("the document is not XML: ") + result.description());
   const pugi::xml_node root = parsed.document_element();
-  if (local(root) != "ruleset") throw LoadControlError("its root is no <ruleset>");
-  bool speaks_load = false;
+  if (local_name(root) != "ruleset") throw LoadControlError("the root element is not <ruleset>");
+  bool has_load_namespace = false;
   for (const pugi::xml_attribute& attribute : root.attributes())
-    speaks_load = speaks_load || std::string_view(attribute.value()) == kLoad;
-  if (!speaks_load) throw LoadControlError("it does not name the load-control namespace");
+    has_load_namespace = has_load_namespace || std::string_view(attribute.value()) == kLoadNamespace;
+  if (!has_load_namespace) throw LoadControlError("the load-control namespace is not declared");
   LoadControlDocument document;
   document.version = root.attribute("version").as_uint(0);
   if (std::string_view(root.attribute("state").as_string("full")) != "full")
-    throw LoadControlError("only full states are understood");
+    throw LoadControlError("only state=\"full\" is supported");
   for (const pugi::xml_node& node : root.children()) {
-    if (local(node) != "rule") unknown(node);
+    if (local_name(node) != "rule") throw_unsupported(node);
     LoadRule rule;
     rule.id = node.attribute("id").value();
     if (rule.id.empty() || rule.id.size() > 64)
-      throw LoadControlError("a rule's id is empty or over 64 characters long");
-    bool acts = false;
+      throw LoadControlError("a rule's id is empty or exceeds 64 characters");
+    bool has_actions = false;
     for (const pugi::xml_node& part : node.children()) {
-      if (local(part) == "conditions") {
+      if (local_name(part) == "conditions") {
         read_conditions(part, rule);
-      } else if (local(part) == "actions") {
+      } else if (local_name(part) == "actions") {
         read_actions(part, rule);
-        acts = true;
-      } else if (local(part) != "transformations" || !part.first_child().empty()) {
-        unknown(part);
+        has_actions = true;
+      } else if (local_name(part) != "transformations" || !part.first_child().empty()) {
+        throw_unsupported(part);
       }
     }
-    if (!acts) throw LoadControlError("a rule has no <actions>");
-    if (document.rules.size() >= kMaxRules) throw LoadControlError("it has over 200 rules");
+    if (!has_actions) throw LoadControlError("a rule has no <actions>");
+    if (document.rules.size() >= kMaxRules) throw LoadControlError("the document exceeds 200 rules");
     document.rules.push_back(std::move(rule));
   }
   return document;
@@ -191,8 +195,8 @@
 std::string write_load_control(const LoadControlDocument& document) {
   pugi::xml_document out;
   pugi::xml_node root = out.append_child("ruleset");
-  root.append_attribute("xmlns") = kPolicy;
-  root.append_attribute("xmlns:lc") = kLoad;
+  root.append_attribute("xmlns") = kPolicyNamespace;
+  root.append_attribute("xmlns:lc") = kLoadNamespace;
   root.append_attribute("version") = document.version;
   root.append_attribute("state") = "full";
   for (const LoadRule& rule : document.rules) {
@@ -208,15 +212,15 @@
     conditions.append_child("method").text() = "INVITE";
     if (rule.from || rule.until) {
       pugi::xml_node validity = conditions.append_child("validity");
-      if (rule.from) validity.append_child("from").text() = text_of(*rule.from).c_str();
-      if (rule.until) validity.append_child("until").text() = text_of(*rule.until).c_str();
+      if (rule.from) validity.append_child("from").text() = format_time(*rule.from).c_str();
+      if (rule.until) validity.append_child("until").text() = format_time(*rule.until).c_str();
     }
     pugi::xml_node accept = node.append_child("actions").append_child("lc:accept");
     accept.append_attribute("alt-action") = "reject";
-    const std::string name = std::string("lc:") + kHow[static_cast<std::size_t>(rule.how)];
-    char figure[32];
-    const auto [end, error] = std::to_chars(figure, figure + sizeof figure, rule.figure);
-    accept.append_child(name.c_str()).text() = std::string(figure, end).c_str();
+    const std::string name = std::string("lc:") + kLimitKinds[static_cast<std::size_t>(rule.limit_kind)];
+    char digits[32];
+    const auto [end, error] = std::to_chars(digits, digits + sizeof digits, rule.figure);
+    accept.append_child(name.c_str()).text() = std::string(digits, end).c_str();
   }
   std::ostringstream text;
   out.save(text, "", pugi::format_raw);
@@ -237,10 +241,10 @@
   rule.from = announcement.start;
   rule.until = announcement.end;
   if (gap.shape == call_gapping::Shape::percentage) {
-    rule.how = LoadRule::How::percent;
+    rule.limit_kind = LoadRule::LimitKind::percent;
     rule.figure = gap.percent;
   } else {
-    rule.how = LoadRule::How::rate;
+    rule.limit_kind = LoadRule::LimitKind::rate;
     rule.figure = gap.interval ? 1.0 / std::chrono::duration<double>(*gap.interval).count() : 0.0;
   }
   return rule;
@@ -248,11 +252,12 @@
 
 std::vector<call_gapping::Announcement> gaps_of(const LoadControlDocument& document,
                                                 const std::string& neighbour, Time now, Time until) {
-  std::vector<call_gapping::Announcement> all;
+  std::vector<call_gapping::Announcement> gaps;
   for (const LoadRule& rule : document.rules) {
-    if (rule.how == LoadRule::How::win) throw LoadControlError("a window can't be kept here: ask for a rate");
+    if (rule.limit_kind == LoadRule::LimitKind::win)
+      throw LoadControlError("a window (win) is not supported: use a rate");
     if (rule.numbers.empty() && rule.prefixes.empty())
-      throw LoadControlError("rule " + rule.id + " names no called number");
+      throw LoadControlError("rule " + rule.id + " has no called number");
     call_gapping::Announcement announcement;
     announcement.id = ("lc-" + neighbour + "-" + rule.id).substr(0, call_gapping::kMaxTextLength);
     announcement.author = neighbour;
@@ -266,12 +271,12 @@
     call_gapping::Gap gap;
     gap.criteria.numbers = rule.numbers;
     gap.criteria.prefixes = rule.prefixes;
-    if (rule.how == LoadRule::How::percent) {
+    if (rule.limit_kind == LoadRule::LimitKind::percent) {
       gap.shape = call_gapping::Shape::percentage;
       gap.percent = rule.figure;
     } else if (rule.figure > 0.0) {
-      // Rates over 100 a second are held to that: the shortest interval is 10 ms. Those under one a day pass
-      // none.
+      // Rates above 100 a second become 100 a second, the shortest interval being 10 ms. Rates below one a
+      // day become a gap that no call passes.
       const double interval = 1.0 / rule.figure;
       if (interval < 86'400.0)
         gap.interval =
@@ -279,11 +284,11 @@
                                std::chrono::duration_cast<Duration>(std::chrono::duration<double>(interval)));
     }
     announcement.gap = std::move(gap);
-    if (const std::string trouble = call_gapping::find_error(announcement, now); !trouble.empty())
-      throw LoadControlError("rule " + rule.id + ": " + trouble);
-    all.push_back(std::move(announcement));
+    if (const std::string error = call_gapping::find_error(announcement, now); !error.empty())
+      throw LoadControlError("rule " + rule.id + ": " + error);
+    gaps.push_back(std::move(announcement));
   }
-  return all;
+  return gaps;
 }
 
 }  // namespace graniterun::control
--- a/src/control/load_control.h
+++ b/src/control/load_control.h
@@ -1,6 +1,6 @@
-// Load-control documents of RFC 7200 (application/load-control+xml), and call gaps as their rules. A document
-// that is not understood as a whole is refused as a whole: half of what a neighbour asks for is not what it
-// asks for.
+// Codec of load-control documents (RFC 7200, application/load-control+xml) and their conversion from and to
+// call gaps. A document that contains anything unsupported is rejected as a whole: applying a part of it
+// would enforce something other than what the neighbour requests.
 #pragma once
 
 #include <optional>
@@ -13,24 +13,25 @@
 
 namespace graniterun::control {
 
+// A document, or a rule of it, that can't be applied; the text is one line.
 class LoadControlError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct LoadRule {
-  enum class How : std::uint8_t {
-    rate,     // calls a second that are accepted
-    percent,  // of the calls are accepted
-    win,      // calls that may be unanswered at a time
+  enum class LimitKind : std::uint8_t {
+    rate,     // accepted calls a second
+    percent,  // accepted share of the calls
+    win,      // window: calls that may be unanswered at a time
   };
   std::string id{};
-  std::vector<std::string> numbers{};   // called: users of sip: URIs, tel: numbers without their separators
-  std::vector<std::string> prefixes{};  // of tel: numbers
+  std::vector<std::string> numbers{};   // called numbers: users of sip: URIs, tel: numbers without separators
+  std::vector<std::string> prefixes{};  // of called tel: numbers
   std::optional<Time> from{};
   std::optional<Time> until{};
-  How how{};
-  double figure{};
+  LimitKind limit_kind{};
+  double figure{};  // the limit, in the unit of `limit_kind`
   bool operator==(const LoadRule&) const = default;
 };
 
@@ -41,16 +42,17 @@
 };
 
 constexpr std::size_t kMaxRules = 200;
-constexpr std::size_t kLargestDocument = 12 * 1024;  // bytes: it has to fit a SIP message
+constexpr std::size_t kLargestDocument = 12 * 1024;  // bytes: it must fit into a SIP message
 
 LoadControlDocument read_load_control(std::string_view xml);  // throws LoadControlError
 std::string write_load_control(const LoadControlDocument& document);
 
-// What neighbours are told of a gap; nothing where a rule can't say it: a gap for each number apart or for a
-// class, and one that lets all pass.
+// The rule that neighbours receive for a gap. Nothing where RFC 7200 has no equivalent: a gap per called
+// number, a gap for a call class, a lift, and an interval of 0, which lets all calls pass.
 std::optional<LoadRule> rule_of(const call_gapping::Announcement& announcement);
-// The gaps that a neighbour's document stands for, from now until `until` at the latest. Throws
-// LoadControlError where a rule can't be kept here: a window, or one without a called number.
+// The gaps equivalent to a neighbour's document, each ending at `until` at the latest. Throws
+// LoadControlError for a rule that can't be enforced here: a window, a rule without a called number, or an
+// invalid gap.
 std::vector<call_gapping::Announcement> gaps_of(const LoadControlDocument& document,
                                                 const std::string& neighbour, Time now, Time until);
 
--- a/src/control/settings.h
+++ b/src/control/settings.h
@@ -1,4 +1,4 @@
-// What the deploy file says of the control listener and of call gaps.
+// Settings of the control listener and of call gaps, as read from the deploy file.
 #pragma once
 
 #include <optional>
@@ -11,18 +11,20 @@
 namespace graniterun::control {
 
 struct ControlSettings {
-  std::optional<std::string> listen{};  // none: it is off
+  std::optional<std::string> listen{};  // address:port; absent: the listener is off
   std::size_t max_connections = 32;
   call_gapping::Fleet fleet{};
-  std::vector<std::string>
-      places{};               // names of the fleet's gatekeepers in order; empty: they don't know each other
-  Duration publisher_wait{};  // the program is not ready before it has the register, or so long has passed
+  // Names of the fleet's gatekeepers, sorted; the position is the fleet index. Empty: they don't know each
+  // other, and there is no slot failover.
+  std::vector<std::string> places{};
+  // Maximum time after the start that readiness waits for a gap publisher to push its register.
+  Duration publisher_wait{};
   std::optional<call_gapping::HotSettings> hot{};
-  Duration hot_gap_interval{std::chrono::seconds(1)};  // of the gaps that are announced by itself
+  Duration hot_gap_interval{std::chrono::seconds(1)};  // of gaps that this process announces for hot numbers
   Duration hot_gap_duration{std::chrono::minutes(15)};
-  std::string name{};
-  std::uint64_t seed{};
-  Duration max_retry_after{};  // that callers heed
+  std::string name{};          // of this gatekeeper, in answers and events
+  std::uint64_t seed{};        // of the register's random numbers
+  Duration max_retry_after{};  // longest retry-after that callers respect; 0: 2 s
 };
 
 }  // namespace graniterun::control
--- a/tests/command_line_forms.sh
+++ b/tests/command_line_forms.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The programs' verbs, options and exit codes: what operators' scripts rest on.
+# Checks the verbs, options and exit codes of the programs, which operators' scripts depend on.
+# command_line_forms.sh GATEKEEPER CTL PUBLISHER DISTRIBUTOR
 set -u
 gatekeeper=$1
 ctl=$2
@@ -7,19 +8,19 @@
 distributor=$4
 failed=0
 
-# expect STATUS COMMAND...: runs the command and compares its exit code.
+# expect STATUS COMMAND...: runs the command and checks its exit code.
 expect() {
-  local wanted=$1
+  local expected=$1
   shift
   env -u GRANITERUN_CONTROL -u GRANITERUN_DISTRIBUTORS -u RELAY_CONFIG "$@" > /dev/null 2>&1 < /dev/null
   local status=$?
-  if [ "$status" -ne "$wanted" ]; then
-    echo "exit code $status, not $wanted: $*"
+  if [ "$status" -ne "$expected" ]; then
+    echo "exit code $status, not $expected: $*"
     failed=1
   fi
 }
 
-# expect_options OPTIONS -- COMMAND...: each option stands in the command's help.
+# expect_options OPTIONS -- COMMAND...: checks that the command's help lists each option.
 expect_options() {
   local options=()
   while [ "$1" != "--" ]; do
@@ -51,22 +52,22 @@
 expect_options --listen --gatekeeper --file --name -- "$publisher"
 expect_options --listen --peer --dir --key-file --name --advertise --connections --bytes-per-second -- "$distributor"
 
-# Nobody listens on the discard port of loopback.
-nobody=127.0.0.1:9
+# Connections to the discard port of the loopback interface are refused.
+unreachable=127.0.0.1:9
 expect 2 "$ctl"
 expect 2 "$ctl" gap
-expect 2 "$ctl" gap announce x --to "$nobody"
-expect 2 "$ctl" gap announce x --to "$nobody" --number 1 --one-in 5
-expect 2 "$ctl" gap announce x --to "$nobody" --number 1 --one-in 1s --cause 16
-expect 2 "$ctl" config publish x --to "$nobody"
-expect 2 "$ctl" config publish x --to "$nobody" --json-text '[]'
-expect 2 "$ctl" config status 'no name' --to "$nobody"
-expect 3 "$ctl" gap announce x --to "$nobody" --number 1 --one-in 1s
-expect 3 "$ctl" gap lift x --to "$nobody"
-expect 3 "$ctl" gap list --to "$nobody"
-expect 3 "$ctl" fleet members --to "$nobody"
-expect 3 "$ctl" config publish x --to "$nobody" --json-text '{}'
-expect 3 "$ctl" config status --to "$nobody"
+expect 2 "$ctl" gap announce x --to "$unreachable"
+expect 2 "$ctl" gap announce x --to "$unreachable" --number 1 --one-in 5
+expect 2 "$ctl" gap announce x --to "$unreachable" --number 1 --one-in 1s --cause 16
+expect 2 "$ctl" config publish x --to "$unreachable"
+expect 2 "$ctl" config publish x --to "$unreachable" --json-text '[]'
+expect 2 "$ctl" config status 'no name' --to "$unreachable"
+expect 3 "$ctl" gap announce x --to "$unreachable" --number 1 --one-in 1s
+expect 3 "$ctl" gap lift x --to "$unreachable"
+expect 3 "$ctl" gap list --to "$unreachable"
+expect 3 "$ctl" fleet members --to "$unreachable"
+expect 3 "$ctl" config publish x --to "$unreachable" --json-text '{}'
+expect 3 "$ctl" config status --to "$unreachable"
 expect 0 "$ctl" --help
 expect 106 "$publisher"
 expect 106 "$distributor"
