--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -21,8 +21,8 @@
 
 template <class Number>
 bool parse(std::string_view text, Number& value, int base = 10) {
-  const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  return error == std::errc{} && stop == text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
+  return error == std::errc{} && end == text.data() + text.size();
 }
 
 }  // namespace
@@ -34,9 +34,9 @@
   std::string_view rest = bytes.substr(0, end + 2);
   bool first = true;
   while (!rest.empty()) {
-    const std::size_t stop = rest.find("\r\n");
-    const std::string_view line = rest.substr(0, stop);
-    rest.remove_prefix(stop + 2);
+    const std::size_t line_end = rest.find("\r\n");
+    const std::string_view line = rest.substr(0, line_end);
+    rest.remove_prefix(line_end + 2);
     if (first) {
       first = false;
       if (!line.starts_with("HTTP/1.") || line.size() < 12 || !parse(line.substr(9, 3), head.status))
@@ -67,40 +67,41 @@
       const std::size_t part = take_plain(rest, body);
       used += part;
       if (part == 0) break;
-    } else if (chunk_ > 0) {
+    } else if (chunk_remaining_ > 0) {
       used += take_chunk(rest, body);
     } else {
-      const std::size_t stop = rest.find("\r\n");
-      if (stop == std::string_view::npos) {
+      const std::size_t line_end = rest.find("\r\n");
+      if (line_end == std::string_view::npos) {
         if (rest.size() > 256) return std::nullopt;
         break;
       }
-      used += stop + 2;
-      if (!take_chunk_line(rest.substr(0, stop))) return std::nullopt;
+      used += line_end + 2;
+      if (!take_chunk_line(rest.substr(0, line_end))) return std::nullopt;
     }
   }
   return used;
 }
 
 std::size_t Body::take_plain(std::string_view rest, std::string& body) {
-  const std::size_t part = left_ ? std::min(*left_, rest.size()) : rest.size();
+  const std::size_t part = remaining_ ? std::min(*remaining_, rest.size()) : rest.size();
   body.append(rest.substr(0, part));
-  if (left_) {
-    *left_ -= part;
-    if (*left_ == 0) done_ = true;
+  if (remaining_) {
+    *remaining_ -= part;
+    if (*remaining_ == 0) done_ = true;
   }
   return part;
 }
 
 std::size_t Body::take_chunk(std::string_view rest, std::string& body) {
-  const std::size_t part = std::min(chunk_, rest.size());
+  const std::size_t part = std::min(chunk_remaining_, rest.size());
   body.append(rest.substr(0, part));
-  chunk_ -= part;
-  chunk_end_ = chunk_ == 0;
+  chunk_remaining_ -= part;
+  chunk_end_ = chunk_remaining_ == 0;
   return part;
 }
 
-// The line behind a chunk, of a trailer, or with a chunk's size.
+// Handles the empty line after a chunk, a trailer line, or a line with a chunk's size. Returns false if
+// malformed.
 bool Body::take_chunk_line(std::string_view line) {
   if (chunk_end_) {
     chunk_end_ = false;
@@ -110,8 +111,8 @@
     done_ = line.empty();
     return true;
   }
-  if (!parse(strip(line.substr(0, line.find(';'))), chunk_, 16)) return false;
-  trailer_ = chunk_ == 0;
+  if (!parse(strip(line.substr(0, line.find(';'))), chunk_remaining_, 16)) return false;
+  trailer_ = chunk_remaining_ == 0;
   return true;
 }
 
@@ -121,7 +122,7 @@
   std::size_t at = 0;
   while (true) {
     const std::size_t end = text.find('\n', at);
-    if (end == std::string::npos) return std::nullopt;  // the event is not whole: leave it
+    if (end == std::string::npos) return std::nullopt;  // the event is not complete yet
     std::string_view line = std::string_view(text).substr(at, end - at);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     at = end + 1;
@@ -142,7 +143,7 @@
       if (!event.data.empty()) event.data += '\n';
       event.data += value;
       any = true;
-    } else if (colon == 0 && !any) {  // a comment on its own: nothing waits for an empty line
+    } else if (colon == 0 && !any) {  // a comment outside an event: dropped without waiting for an empty line
       text.erase(0, at);
       at = 0;
     }
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 answers, whole or as a stream of server-sent events: incremental, bounded readers.
+// Incremental, bounded readers of HTTP/1.1 responses (RFC 9112) and of server-sent events in their bodies
+// (WHATWG HTML, server-sent events). They keep no input: the caller passes what it has received so far.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +10,24 @@
 namespace graniterun::http {
 
 constexpr std::size_t kHeadBound = 16 * 1024;
-constexpr std::size_t kEventBound = 1024 * 1024;  // a whole list of servers
+constexpr std::size_t kEventBound = 1024 * 1024;  // fits a complete endpoint list
 
 struct Head {
   int status{};
   bool chunked{};
   bool closes{};
   std::optional<std::size_t> length{};
-  std::size_t size{};  // of the head itself
+  std::size_t size{};  // bytes of the head
 };
 enum class HeadState { whole, more, malformed };
 HeadState read_head(std::string_view bytes, Head& head);
 
-// Takes a body off the wire: as it is, or out of its chunks.
+// Decodes a response body, plain or chunked.
 class Body {
  public:
-  explicit Body(const Head& head) : chunked_(head.chunked), left_(head.length) {}
-  // Appends what is body of `bytes` and returns how many bytes are dealt with; none if malformed.
+  explicit Body(const Head& head) : chunked_(head.chunked), remaining_(head.length) {}
+  // Appends the decoded part of `bytes` to `body` and returns how many bytes it consumed; nullopt if
+  // malformed.
   std::optional<std::size_t> take(std::string_view bytes, std::string& body);
   bool done() const { return done_; }
 
@@ -35,9 +37,9 @@
   bool take_chunk_line(std::string_view line);
 
   bool chunked_;
-  std::optional<std::size_t> left_;
-  std::size_t chunk_ = 0;   // bytes left of the chunk
-  bool chunk_end_ = false;  // a line end is due after a chunk
+  std::optional<std::size_t> remaining_;
+  std::size_t chunk_remaining_ = 0;
+  bool chunk_end_ = false;  // the line end after a chunk comes next
   bool trailer_ = false;
   bool done_ = false;
 };
@@ -46,7 +48,8 @@
   std::string id{};
   std::string data{};
 };
-// Takes one whole event off `text`; comments and unknown fields are passed over.
+// Removes one complete event from the front of `text` and returns it; nullopt if there is none. Comments and
+// unknown fields are skipped.
 std::optional<ServerSentEvent> take_event(std::string& text);
 
 }  // namespace graniterun::http
--- a/src/codec/jsonl.cpp
+++ b/src/codec/jsonl.cpp
@@ -10,17 +10,17 @@
 
 using nlohmann::json;
 
-// The id in a line that is not JSON, so that its call can be refused by name.
-std::string id_in(std::string_view line) {
-  constexpr std::string_view kMark = "\"id\":\"";
-  const std::size_t at = line.find(kMark);
+// Finds the id in a line that is not JSON, so that the rejection can name its call. Empty if there is none.
+std::string find_id(std::string_view line) {
+  constexpr std::string_view kIdPrefix = "\"id\":\"";
+  const std::size_t at = line.find(kIdPrefix);
   if (at == std::string_view::npos) return {};
-  const std::string_view id = line.substr(at + kMark.size(), 16);
+  const std::string_view id = line.substr(at + kIdPrefix.size(), 16);
   return is_id(id) ? std::string(id) : std::string();
 }
 
-// Reads a parsed line; returns what is wrong with it.
-std::string take_object(const json& object, Message& m) {
+// Converts a parsed line into `m`; returns the error, empty if there is none.
+std::string read_object(const json& object, Message& m) {
   if (!object.is_object()) return "the line is not an object";
   const auto id = object.find("id");
   if (id != object.end() && id->is_string() && is_id(id->get_ref<const std::string&>())) m.id = *id;
@@ -69,20 +69,20 @@
   for (const auto& [name, value] : fields) object["fields"][name] = value;
   if (cause) object["cause"] = *cause;
   if (description) object["sdp"] = *description;
-  // What is not UTF-8 must not end the program.
+  // Bytes that are not UTF-8 are replaced; with the default handler dump() would throw.
   return object.dump(-1, ' ', false, json::error_handler_t::replace) + '\n';
 }
 
 ReadResult read(std::string_view bytes) {
   ReadResult result;
-  const std::size_t end = bytes.substr(0, kLineBound).find('\n');
+  const std::size_t end = bytes.substr(0, kMaxLineBytes).find('\n');
   if (end == std::string_view::npos) {
-    if (bytes.size() < kLineBound) {
+    if (bytes.size() < kMaxLineBytes) {
       result.state = ReadState::more;
       return result;
     }
     result.state = ReadState::malformed;
-    result.message.id = id_in(bytes.substr(0, kLineBound));
+    result.message.id = find_id(bytes.substr(0, kMaxLineBytes));
     result.error = "the line is over 16 KiB";
     result.unrecoverable = true;
     return result;
@@ -95,14 +95,14 @@
     rest.used += result.used;
     return rest;
   }
-  // Nesting is bounded: the parser's stack must not be.
+  // Bounds the nesting of the line: the recursive parser would overflow its stack.
   const auto depth = std::count_if(line.begin(), line.end(), [](char c) { return c == '{' || c == '['; });
   const json object = depth > 64 ? json(json::value_t::discarded) : json::parse(line, nullptr, false);
   if (object.is_discarded()) {
     result.error = "the line is not JSON";
-    result.message.id = id_in(line);
+    result.message.id = find_id(line);
   } else {
-    result.error = take_object(object, result.message);
+    result.error = read_object(object, result.message);
   }
   if (!result.error.empty()) result.state = ReadState::malformed;
   return result;
--- a/src/codec/sip.cpp
+++ b/src/codec/sip.cpp
@@ -29,7 +29,7 @@
   });
 }
 
-// Takes the next line off `text`, without its end.
+// Removes the next line from the front of `text` and returns it without its line end.
 std::string_view take_line(std::string_view& text) {
   const std::size_t end = text.find('\n');
   std::string_view line = text.substr(0, end);
@@ -60,10 +60,10 @@
   return {};
 }
 
-// The first line and the headers, up to the empty line. Goes on after what is malformed, so that a refusal
-// can name the transaction.
+// Reads the first line and the headers up to the empty line and returns the first error. Goes on after an
+// error, so that a rejection can name the transaction.
 std::string read_head(std::string_view head, Message& m) {
-  std::string trouble = read_first_line(take_line(head), m);
+  std::string error = read_first_line(take_line(head), m);
   while (!head.empty()) {
     const std::string_view line = take_line(head);
     if (line.empty()) break;
@@ -74,12 +74,12 @@
     const std::size_t colon = line.find(':');
     const std::string_view name = trim(line.substr(0, colon));
     if (colon == std::string_view::npos || !is_token(name)) {
-      if (trouble.empty()) trouble = "a header line has no name";
+      if (error.empty()) error = "a header line has no name";
       continue;
     }
     m.add(std::string(full_name(name)), std::string(trim(line.substr(colon + 1))));
   }
-  return trouble;
+  return error;
 }
 
 std::size_t head_end(std::string_view bytes) {
@@ -89,10 +89,10 @@
                   lf == std::string_view::npos ? lf : lf + 2);
 }
 
-ReadResult malformed(ReadResult result, std::string trouble, bool lost) {
+ReadResult malformed(ReadResult result, std::string error, bool unrecoverable) {
   result.state = ReadState::malformed;
-  result.error = std::move(trouble);
-  result.unrecoverable = lost;
+  result.error = std::move(error);
+  result.unrecoverable = unrecoverable;
   return result;
 }
 
@@ -151,7 +151,7 @@
 }
 
 std::string_view parameter(std::string_view value, std::string_view name) {
-  const std::size_t bracket = value.find('>');  // parameters inside <> belong to the URI
+  const std::size_t bracket = value.find('>');  // parameters inside <> are those of the URI
   if (bracket != std::string_view::npos) value.remove_prefix(bracket + 1);
   for (std::size_t at = value.find(';'); at != std::string_view::npos; at = value.find(';')) {
     value.remove_prefix(at + 1);
@@ -189,11 +189,11 @@
   return uri.substr(0, uri.find_first_of(";?>"));
 }
 
-bool may_begin(std::string_view bytes) {
+bool may_begin_message(std::string_view bytes) {
   while (!bytes.empty() && (bytes.front() == '\r' || bytes.front() == '\n')) bytes.remove_prefix(1);
-  constexpr std::string_view kAnswer = "SIP/2.0 ";
-  const std::size_t part = std::min(bytes.size(), kAnswer.size());
-  if (bytes.substr(0, part) == kAnswer.substr(0, part)) return true;
+  constexpr std::string_view kStatusLineStart = "SIP/2.0 ";
+  const std::size_t part = std::min(bytes.size(), kStatusLineStart.size());
+  if (bytes.substr(0, part) == kStatusLineStart.substr(0, part)) return true;
   const std::size_t space = std::min(bytes.find(' '), bytes.size());
   const std::string_view method = bytes.substr(0, space);
   if (!std::all_of(method.begin(), method.end(), [](unsigned char c) { return std::isupper(c); }))
@@ -208,34 +208,35 @@
   std::size_t skipped = 0;
   while (skipped < bytes.size() && (bytes[skipped] == '\r' || bytes[skipped] == '\n')) ++skipped;
   const std::string_view rest = bytes.substr(skipped);
-  const std::size_t head = head_end(rest.substr(0, kMessageBound));
+  const std::size_t head = head_end(rest.substr(0, kMaxMessageBytes));
   if (head == std::string_view::npos) {
     result.used = skipped;
-    if (rest.size() >= kMessageBound) {
-      read_head(rest.substr(0, kMessageBound), result.message);
+    if (rest.size() >= kMaxMessageBytes) {
+      read_head(rest.substr(0, kMaxMessageBytes), result.message);
       return malformed(std::move(result), "the headers are over 16 KiB", true);
     }
     result.state = ReadState::more;
     return result;
   }
-  std::string trouble = read_head(rest.substr(0, head), result.message);
+  std::string error = read_head(rest.substr(0, head), result.message);
   const auto lengths = result.message.all("Content-Length");
-  // Over a stream the length is what parts messages: without it nothing after this one can be read.
+  // In a stream only the length separates messages: without it nothing after this message can be read.
   if (lengths.empty()) return malformed(std::move(result), "there is no Content-Length", true);
   const auto length = number_in<std::size_t>(lengths.front());
   const bool differ =
       std::any_of(lengths.begin(), lengths.end(), [&](auto l) { return l != lengths.front(); });
   if (!length || differ) return malformed(std::move(result), "the Content-Length is not a number", true);
-  if (*length > kMessageBound - head) return malformed(std::move(result), "the message is over 16 KiB", true);
+  if (*length > kMaxMessageBytes - head)
+    return malformed(std::move(result), "the message is over 16 KiB", true);
   if (rest.size() < head + *length) {
     result.used = skipped;
     result.state = ReadState::more;
     return result;
   }
   result.used = skipped + head + *length;
-  if (!trouble.empty()) return malformed(std::move(result), std::move(trouble), false);
+  if (!error.empty()) return malformed(std::move(result), std::move(error), false);
   result.message.body = rest.substr(head, *length);
-  if (!may_begin(rest.substr(head + *length))) {
+  if (!may_begin_message(rest.substr(head + *length))) {
     result.complete = true;
     return malformed(std::move(result), "the Content-Length does not fit the message", true);
   }
@@ -254,9 +255,10 @@
     return result;
   }
   const std::size_t head = std::min(head_end(rest), rest.size());
-  std::string trouble = read_head(rest.substr(0, head), result.message);
-  if (rest.size() > kMessageBound) return malformed(std::move(result), "the message is over 16 KiB", false);
-  if (!trouble.empty()) return malformed(std::move(result), std::move(trouble), false);
+  std::string error = read_head(rest.substr(0, head), result.message);
+  if (rest.size() > kMaxMessageBytes)
+    return malformed(std::move(result), "the message is over 16 KiB", false);
+  if (!error.empty()) return malformed(std::move(result), std::move(error), false);
   std::string_view body = rest.substr(head);
   if (const std::string_view value = result.message.header("Content-Length"); !value.empty()) {
     const auto length = number_in<std::size_t>(value);
--- a/src/downstream/connection_reaper.h
+++ b/src/downstream/connection_reaper.h
@@ -1,5 +1,7 @@
-// Which of a front's connections are to go: those that say nothing, or nothing whole, and the one idle
-// longest where there are too many. Callers must find room whoever else keeps connections open.
+// Selects the connections that a front end closes: those whose current message is not complete in time, those
+// idle beyond the idle timeout, and, above the connection limit, those idle longest. Connections that are
+// kept open without use must not take the room of callers. Inputs: accepts, closes and received input; the
+// owner closes what is selected.
 #pragma once
 
 #include <algorithm>
@@ -15,80 +17,86 @@
 
 class ConnectionReaper {
  public:
-  // `idle`: a connection on which nothing is open is closed after so long without a word; none: it is kept.
-  // `door`: whether who comes beyond some more waits outside until there is room. Then nobody is closed who
-  // is busy, or has just come and may be about to ask; else there are never more than `most`.
-  ConnectionReaper(std::size_t most, std::optional<Duration> idle, bool door = false)
-      : max_connections_(most), idle_(idle), queue_when_full_(door) {}
+  // `idle_timeout`: maximum time without a complete message on a connection with no open request; without a
+  // value, idle connections stay open. `queue_when_full`: connections well beyond the limit wait in the
+  // listen queue until there is room; then no connection is closed that is busy, or is new and may be about
+  // to send its first message. Without it, there are never more than `max_connections`.
+  ConnectionReaper(std::size_t max_connections, std::optional<Duration> idle_timeout,
+                   bool queue_when_full = false)
+      : max_connections_(max_connections), idle_timeout_(idle_timeout), queue_when_full_(queue_when_full) {}
 
   void accepted(Time now, net::ConnId conn) { open_[conn] = {now, false, false, now}; }
   void closed(net::ConnId conn) { open_.erase(conn); }
-  // Something came in; `whole`: a message among it; `half`: one that has begun and is not whole is left.
-  void record_input(Time now, net::ConnId conn, bool whole, bool half) {
+  // Records received input. `complete`: it completed at least one message; `partial`: it ends within a
+  // message.
+  void record_input(Time now, net::ConnId conn, bool complete, bool partial) {
     const auto it = open_.find(conn);
     if (it == open_.end()) return;
-    if (whole) {
+    if (complete) {
       it->second.partial_since.reset();
       it->second.last_active_at = now;
       it->second.has_sent = true;
     }
-    it->second.partial = half;
-    if (half && !it->second.partial_since) it->second.partial_since = now;
+    it->second.partial = partial;
+    if (partial && !it->second.partial_since) it->second.partial_since = now;
   }
-  // A message has begun on it and is not whole.
+  // Whether the input received so far ends within a message.
   bool has_partial_message(net::ConnId conn) const {
     const auto it = open_.find(conn);
     return it != open_.end() && it->second.partial;
   }
-  // Where there are too many, those to close: the ones idle longest. `busy` tells whether something is open
-  // on a connection.
+  // The connections to close above the limit: those idle longest. `busy(conn)` returns whether a connection
+  // has an open request or call.
   template <class Busy>
   std::vector<net::ConnId> excess_connections(Time now, Busy busy) const {
     if (open_.size() <= max_connections_) return {};
     std::vector<std::pair<Time, net::ConnId>> idle;
-    for (const auto& [conn, c] : open_) {
-      const bool just_come = queue_when_full_ && !c.has_sent && now - c.last_active_at < kFirstMessageGrace;
-      if (!just_come && !busy(conn)) idle.emplace_back(c.last_active_at, conn);
+    for (const auto& [conn, state] : open_) {
+      const bool is_new =
+          queue_when_full_ && !state.has_sent && now - state.last_active_at < kFirstMessageGrace;
+      if (!is_new && !busy(conn)) idle.emplace_back(state.last_active_at, conn);
     }
     std::ranges::sort(idle);
     if (idle.size() > open_.size() - max_connections_) idle.resize(open_.size() - max_connections_);
-    std::vector<net::ConnId> going;
-    going.reserve(idle.size());
-    for (const auto& [active, conn] : idle) going.push_back(conn);
-    // All are busy: the newest has to go.
-    if (going.empty() && !queue_when_full_) going.push_back(std::prev(open_.end())->first);
-    return going;
+    std::vector<net::ConnId> to_close;
+    to_close.reserve(idle.size());
+    for (const auto& [last_active_at, conn] : idle) to_close.push_back(conn);
+    // If all are busy, the newest is closed.
+    if (to_close.empty() && !queue_when_full_) to_close.push_back(std::prev(open_.end())->first);
+    return to_close;
   }
   struct Expired {
     net::ConnId conn;
-    bool stuck{};  // a message that is not whole in time; else it is idle
+    bool message_timed_out{};  // its current message is not complete in time; otherwise it is idle
   };
   template <class Busy>
   std::vector<Expired> expired(Time now, Busy busy) const {
-    std::vector<Expired> all;
-    for (const auto& [conn, c] : open_) {
-      const bool stuck = c.partial_since && now - *c.partial_since > kMessageTimeout;
-      if (stuck || (idle_ && now - c.last_active_at > *idle_ && !busy(conn))) all.push_back({conn, stuck});
+    std::vector<Expired> expired;
+    for (const auto& [conn, state] : open_) {
+      const bool message_timed_out = state.partial_since && now - *state.partial_since > kMessageTimeout;
+      if (message_timed_out || (idle_timeout_ && now - state.last_active_at > *idle_timeout_ && !busy(conn)))
+        expired.push_back({conn, message_timed_out});
     }
-    return all;
+    return expired;
   }
 
  private:
-  // A first message, and each that has begun, is whole within so long: who sends none is owed a close within
-  // 3 s.
+  // Maximum time from the accept to the first complete message, and from the first byte of a message to its
+  // last. A connection that sends nothing must be closed within 3 s.
   static constexpr Duration kMessageTimeout = std::chrono::milliseconds(2200);
-  // A caller that connects asks at once, and is let in later than it has connected.
+  // Time after the accept in which a connection without a message is not closed for room. A caller sends its
+  // first request at once, but may be accepted later than it connected.
   static constexpr Duration kFirstMessageGrace = std::chrono::milliseconds(200);
-  struct Open {
-    std::optional<Time> partial_since;  // for the message to be whole
-    bool partial = false;               // of one, some has come
-    bool has_sent = false;              // a whole message has come
-    Time last_active_at{};              // when the last whole message came
+  struct ConnectionState {
+    std::optional<Time> partial_since;  // first byte of the partial message, or the accept
+    bool partial = false;               // the input ends within a message
+    bool has_sent = false;              // has sent a complete message
+    Time last_active_at{};              // last complete message, or the accept
   };
   std::size_t max_connections_;
-  std::optional<Duration> idle_;
+  std::optional<Duration> idle_timeout_;
   bool queue_when_full_;
-  std::map<net::ConnId, Open> open_;
+  std::map<net::ConnId, ConnectionState> open_;
 };
 
 }  // namespace graniterun::downstream
--- a/src/downstream/load_control.h
+++ b/src/downstream/load_control.h
@@ -1,7 +1,9 @@
-// The load-control event package of RFC 7200 over the SIP front (RFC 6665): as notifier, SIP neighbours that
-// subscribe are told which numbers are gapped, so that they stop such calls before they come here; as
-// subscriber, what a neighbour asks for is held as gaps of our own, for no longer than its subscription.
-// Bounded: kMaxSubscriptions each way; a subscription ends by itself.
+// The load-control event package (RFC 7200) on the SIP front end, over SIP events (RFC 6665). As notifier it
+// sends the active call gaps to the SIP neighbours that subscribe, so that they reject such calls at the
+// source. As subscriber it subscribes at the configured neighbours and announces the rules of their documents
+// as gaps of this gatekeeper, for no longer than the subscription lasts. Inputs: SUBSCRIBE, NOTIFY, responses
+// and ticks; output: SIP requests and gap announcements. It accepts at most kMaxSubscriptions; each one
+// expires.
 #pragma once
 
 #include <functional>
@@ -20,7 +22,7 @@
 
 namespace graniterun::downstream {
 
-// The register of gaps, as far as neighbours have to do with it.
+// Access to the gap register: its gaps, a digest that changes with them, and announcements to it.
 struct GapSource {
   std::function<std::vector<call_gapping::GapState>(Time)> gaps{};
   std::function<std::uint64_t()> digest{};
@@ -28,9 +30,9 @@
 };
 
 struct LoadControlSettings {
-  std::optional<std::string> udp{};  // our addresses
+  std::optional<std::string> udp{};  // local addresses, host:port
   std::optional<std::string> tcp{};
-  std::vector<std::string> neighbours{};  // whose load control is asked for, address:port
+  std::vector<std::string> neighbours{};  // SIP servers to subscribe at, address:port
   std::uint64_t seed{};
 };
 
@@ -40,52 +42,54 @@
 
   LoadControl(LoadControlSettings settings, sip::Transactions& transactions, Counters& counters);
 
-  void source(GapSource source) { source_ = std::move(source); }
-  // Requests of the two methods, in a transaction that has no answer yet.
-  void subscribed(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
-                  Outbox& out);
-  void notified(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  // The answer to a request of ours, or that none came.
-  void answered(Time now, const std::string& transaction, const sip::Message& m, Outbox& out);
-  void unanswered(Time now, const std::string& transaction);
+  void set_gap_source(GapSource source) { source_ = std::move(source); }
+  // Handles a SUBSCRIBE or NOTIFY whose server transaction `key` has no response yet.
+  void handle_subscribe(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+                        Outbox& out);
+  void handle_notify(Time now, const std::string& key, const sip::Message& m, Outbox& out);
+  // Handles a response to a SUBSCRIBE or NOTIFY sent from here; other transactions are ignored.
+  void handle_response(Time now, const std::string& transaction, const sip::Message& m, Outbox& out);
+  // Handles the timeout of such a request (timer F).
+  void handle_request_timeout(Time now, const std::string& transaction);
+  // Expires subscriptions, sends NOTIFYs after a change of the gaps, and refreshes own subscriptions.
   void tick(Time now, Outbox& out);
 
  private:
   struct Dialog {
     std::string call_id{};
-    std::string local{};   // From of our requests
-    std::string remote{};  // To of our requests
+    std::string local{};   // From of requests sent from here
+    std::string remote{};  // To of requests sent from here
     std::string target{};
     std::vector<std::string> routes{};
     std::uint32_t cseq = 0;
     std::uint32_t remote_cseq = 0;
     sip::Flow flow{};
   };
-  struct Subscription {  // a neighbour's, to us
+  struct Subscription {  // accepted from a neighbour
     Dialog dialog{};
-    Time ends{};
+    Time expires_at{};
     std::uint32_t version = 0;
-    std::uint64_t notified_digest = 0;  // digest of the register when it was told
+    std::uint64_t notified_digest = 0;  // digest of the gap register in the last NOTIFY
   };
-  struct Neighbour {  // ours, to a neighbour
+  struct Neighbour {  // a configured neighbour and the subscription at it
     std::string address{};
     Dialog dialog{};
     std::string transaction{};
-    Time next{};                                             // to subscribe, or to refresh
-    std::optional<Time> ends{};                              // of the subscription
-    bool version_reset = false;                              // subscribed anew: versions count from the start
-    std::optional<control::LoadControlDocument> document{};  // the last one
-    std::set<std::string> held{};                            // gaps that it stands for
+    Time next_subscribe_at{};                                // new subscription or refresh
+    std::optional<Time> expires_at{};                        // none: not subscribed
+    bool version_reset = false;                              // new subscription: any version is accepted
+    std::optional<control::LoadControlDocument> document{};  // last accepted
+    std::set<std::string> gap_ids{};                         // gaps announced from `document`
   };
 
-  void reject(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
-              const std::string& value = {});
-  void accept(Time now, const std::string& key, const sip::Message& m, const Dialog& d, Duration span,
+  void respond(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
+               const std::string& value = {});
+  void accept(Time now, const std::string& key, const sip::Message& m, const Dialog& d, Duration lifetime,
               Outbox& out);
-  void notify(Time now, Subscription& s, const std::string& state, Outbox& out);
-  void subscribe(Time now, Neighbour& n, Outbox& out);
-  void store_gaps(Time now, Neighbour& n, Outbox& out);
-  sip::Message request(const Dialog& d, const std::string& method);
+  void send_notify(Time now, Subscription& s, const std::string& state, Outbox& out);
+  void send_subscribe(Time now, Neighbour& n, Outbox& out);
+  void announce_gaps(Time now, Neighbour& n, Outbox& out);
+  sip::Message make_request(const Dialog& d, const std::string& method);
   std::string contact(bool reliable) const;
 
   LoadControlSettings settings_;
@@ -94,7 +98,7 @@
   RateLimitedWarning malformed_warning_;
   GapSource source_{};
   std::map<std::string, Subscription> subscriptions_;  // by Call-ID and both tags
-  std::map<std::string, std::string> by_transaction_;  // of a NOTIFY under way
+  std::map<std::string, std::string> by_transaction_;  // dialog key by open NOTIFY
   std::vector<Neighbour> neighbours_;
   RandomIdGenerator ids_;
 };
--- a/src/downstream/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -8,22 +8,22 @@
 namespace graniterun::downstream {
 namespace {
 
-// Causes of Q.850.
-constexpr int kNormal = 16;
-constexpr int kBusy = 17;
-constexpr int kTemporaryFailure = 41;
-constexpr int kCongestion = 42;
-constexpr int kInvalid = 95;
-constexpr double kMaxPool = 1e9;
-constexpr double kMaxCircuits = 64;
+// Cause values of Q.850.
+constexpr int kCauseNormalClearing = 16;
+constexpr int kCauseUserBusy = 17;
+constexpr int kCauseTemporaryFailure = 41;
+constexpr int kCauseCongestion = 42;
+constexpr int kCauseInvalidMessage = 95;
+constexpr double kMaxPool = 1e9;     // largest pool number that `dest` may name
+constexpr double kMaxCircuits = 64;  // largest `width` of a call
 constexpr std::size_t kMaxUnassignedReleases = 4096;
 constexpr Duration kReapInterval = std::chrono::milliseconds(200);
-// So long a release is told again where its connection closes before it was heard.
+// How long an unconfirmed release is kept, to be sent again on another connection when its own closes.
 constexpr Duration kReleaseRetention = std::chrono::seconds(8);
 
-int cause_of(bool refused, core::RejectReason why) {
-  if (refused) return kCongestion;
-  return why == core::RejectReason::number_busy ? kBusy : kTemporaryFailure;
+int cause_of(bool rejected, core::RejectReason reason) {
+  if (rejected) return kCauseCongestion;
+  return reason == core::RejectReason::number_busy ? kCauseUserBusy : kCauseTemporaryFailure;
 }
 
 jsonl::Message message(std::string type, std::string id, std::optional<int> cause = {}) {
@@ -34,7 +34,8 @@
   return m;
 }
 
-// What tells a set-up from another under the same id. The time left may differ between two of the same call.
+// The fields that two setups of the same call under one id have in common. The time left is none of them: it
+// may differ between two copies.
 std::string identity_of(const jsonl::Message& m) {
   std::string text(m.field("class"));
   text.append("\n").append(m.field("key")).append("\n").append(m.field("extras")).append("\n");
@@ -43,35 +44,37 @@
 
 using OpenPools = std::optional<std::vector<Pool>>;
 
-std::string read_destination(double value, bool whole, const OpenPools& open_pools, core::Request& request) {
-  if (!whole) return "'dest' is not a whole number";
+std::string read_destination(double value, bool is_integer, const OpenPools& open_pools,
+                             core::Request& request) {
+  if (!is_integer) return "'dest' is not a whole number";
   request.destination = Pool{static_cast<std::int64_t>(value)};
   const bool closed = open_pools && std::ranges::find(*open_pools, request.destination) == open_pools->end();
   if (value < -1 || (value >= 0 && closed)) return "'dest' is no pool of the class";
   return {};
 }
 
-// The figures of a call, as in dest:2;width:1;via:-1. What is wrong with them; empty: nothing.
+// Parses the numbers of a call, as in dest:2;width:1;via:-1, into `request`. Returns the error that is sent
+// to the caller; empty if there is none.
 std::string read_extras(std::string_view extras, const OpenPools& open_pools, core::Request& request) {
   while (!extras.empty()) {
     const std::string_view piece = extras.substr(0, extras.find(';'));
     extras.remove_prefix(std::min(extras.size(), piece.size() + 1));
     const std::size_t colon = piece.find(':');
-    const std::string_view word = piece.substr(0, colon);
+    const std::string_view name = piece.substr(0, colon);
     const auto value = colon == std::string_view::npos ? std::optional<double>{}
                                                        : number_in<double>(piece.substr(colon + 1));
     if (!value) return "'extras' is not name:number pairs";
-    // Checked before it is converted: what no whole number can hold once became some other destination.
-    const bool whole = std::floor(*value) == *value && std::abs(*value) <= kMaxPool;
-    if (word == "dest") {
-      if (std::string error = read_destination(*value, whole, open_pools, request); !error.empty())
+    // Checked before the conversion: a value out of the range of an integer would become another destination.
+    const bool is_integer = std::floor(*value) == *value && std::abs(*value) <= kMaxPool;
+    if (name == "dest") {
+      if (std::string error = read_destination(*value, is_integer, open_pools, request); !error.empty())
         return error;
     }
-    if (word == "width") {
-      if (!whole || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
+    if (name == "width") {
+      if (!is_integer || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
       request.circuits = *value;
     }
-    if (word == "again") request.cut_before = *value != 0.0;
+    if (name == "again") request.cut_before = *value != 0.0;
   }
   return {};
 }
@@ -89,8 +92,8 @@
   make_room(now, out);
 }
 
-// Connections kept for nothing once filled the limit, and usual callers were turned away. None goes where
-// something has come that is not read yet: that may be a request.
+// Closes idle connections above the limit, so that connections kept open without use do not lock out callers.
+// The runtime keeps a connection that has unread input, which may be a request.
 void Platform::make_room(Time now, Outbox& out) {
   for (const net::ConnId conn :
        reaper_.excess_connections(now, [this](net::ConnId c) { return is_busy(c); })) {
@@ -104,8 +107,8 @@
   close_idle(out);
 }
 
-// Those on which no set-up is open, no line has begun and no release is still to be heard. The runtime tells
-// what has come meanwhile instead of closing.
+// Closes the connections without an open setup, a partial line or an unconfirmed release. The runtime
+// delivers input that has arrived meanwhile instead of closing.
 void Platform::close_idle(Outbox& out) {
   for (const auto& [conn, c] : connections_) {
     if (c.waiting.empty() && c.unconfirmed_releases.empty() && !reaper_.has_partial_message(conn))
@@ -117,13 +120,13 @@
   out.arm(net::Concern::platform, 0, now + kReapInterval);
   if (handed_over_) close_idle(out);
   make_room(now, out);
-  for (const ConnectionReaper::Expired& due :
+  for (const ConnectionReaper::Expired& expired :
        reaper_.expired(now, [this](net::ConnId c) { return is_busy(c); })) {
     counters_.add("platform.closed_idle");
-    if (due.stuck) {
-      close(now, due.conn, out);
-    } else {  // a request that came in this instant is taken instead
-      out.net.push_back(net::CloseIfIdle{due.conn});
+    if (expired.message_timed_out) {
+      close(now, expired.conn, out);
+    } else {  // not closed if a request has arrived meanwhile
+      out.net.push_back(net::CloseIfIdle{expired.conn});
     }
   }
   for (auto& [conn, c] : connections_)
@@ -131,7 +134,7 @@
                   [now](const auto& pending) { return now - pending.second.sent_at > kReleaseRetention; });
 }
 
-// Whatever ends the connection here, what was read on it gets its answer first.
+// Closes the connection for any reason on this side: requests that were read on it are answered first.
 void Platform::close(Time now, net::ConnId conn, Outbox& out) {
   if (const auto it = connections_.find(conn); it != connections_.end())
     answer_waiting(conn, it->second, out);
@@ -146,13 +149,13 @@
 
 void Platform::on(Time now, const net::Received& e, Outbox& out) {
   std::size_t used = 0;
-  bool whole = false;
+  bool complete = false;
   while (used < e.bytes.size()) {
     const jsonl::ReadResult read = jsonl::read(e.bytes.substr(used));
     if (read.state == jsonl::ReadState::more && read.used == 0) break;
     used += read.used;
     if (read.state == jsonl::ReadState::more) break;
-    whole = true;
+    complete = true;
     if (read.state == jsonl::ReadState::message) {
       handle_message(now, e.conn, read.message, out);
       continue;
@@ -162,21 +165,21 @@
       return close(now, e.conn, out);
     }
   }
-  reaper_.record_input(now, e.conn, whole, used < e.bytes.size());
+  reaper_.record_input(now, e.conn, complete, used < e.bytes.size());
   out.net.push_back(net::Consume{e.conn, used});
 }
 
-void Platform::reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
+void Platform::reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& error,
                                 Outbox& out) {
   counters_.add("platform.malformed");
-  malformed_warning_.line(now, "a caller's line is refused: " + trouble, out);
+  malformed_warning_.line(now, "caller's line rejected: " + error, out);
   if (id.empty()) return;
-  // A refusal ends what the connection itself has open under the id, or a second answer would follow it.
-  // Calls of others under that id are not touched.
+  // The rejection ends the connection's own call under the id, which would get a second answer otherwise.
+  // Calls of other connections under that id stay.
   if (const auto it = by_id_.find(id); it != by_id_.end() && calls_.at(it->second).conn == conn)
-    release_by_caller(it->second, kInvalid, out);
-  jsonl::Message m = message("release", id, kInvalid);
-  m.fields.emplace("reason", trouble);
+    release_by_caller(it->second, kCauseInvalidMessage, out);
+  jsonl::Message m = message("release", id, kCauseInvalidMessage);
+  m.fields.emplace("reason", error);
   out.send(conn, m.text());
 }
 
@@ -188,13 +191,13 @@
   } else if (m.type == "release") {
     counters_.add("platform.releases_in");
     const auto it = by_id_.find(m.id);
-    const bool open = it != by_id_.end() && !calls_.at(it->second).established;
-    if (!open) out.send(conn, message("released", m.id).text());
+    const bool unanswered = it != by_id_.end() && !calls_.at(it->second).established;
+    if (!unanswered) out.send(conn, message("released", m.id).text());
     if (it == by_id_.end()) return;
-    // What stands may be released on any connection; a set-up is given up on its own.
-    if (open && calls_.at(it->second).conn != conn)
+    // An established call may be released on any connection, an open setup only on its own.
+    if (unanswered && calls_.at(it->second).conn != conn)
       return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
-    release_by_caller(it->second, m.cause.value_or(kNormal), out);
+    release_by_caller(it->second, m.cause.value_or(kCauseNormalClearing), out);
   } else if (m.type == "released") {
     counters_.add("platform.released_in");
     if (const auto it = connections_.find(conn); it != connections_.end())
@@ -209,66 +212,70 @@
   if (const auto it = by_id_.find(m.id); it != by_id_.end()) {
     Call& call = calls_.at(it->second);
     const bool own = call.conn == conn;
-    // Any connection may name an open id. Taken for the same call sent once more, a set-up of a bad client
-    // once drew the answer away from the caller whose call it was. Only what is the same to the letter is the
-    // same call: on its own connection it needs no second answer, on another it crossed a close.
+    // A setup under an open id is the same call only if its identity is equal: any connection may name the
+    // id, and a different setup of a misbehaving client would draw the answer away from the call's caller. A
+    // copy on its own connection needs no second answer; one on another connection raced the close of the
+    // first, and the call moves there.
     const bool same = call.identity == identity_of(m);
     if (!same || (call.established && !own))
       return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
     if (!own) {
-      if (const auto old = connections_.find(call.conn); old != connections_.end())
-        old->second.waiting.erase(it->second);
+      if (const auto former = connections_.find(call.conn); former != connections_.end())
+        former->second.waiting.erase(it->second);
       call.conn = conn;
       connections_[conn].waiting.insert(it->second);
     }
     return;
   }
   if (connections_[conn].peer_closed) {
-    // Its caller may have closed one half only: it is answered, and nothing begins for it.
+    // The caller may have closed only its sending side: the setup is answered, and no attempt starts for it.
     counters_.add("platform.setups_of_the_gone");
-    return out.send(conn, message("release", m.id, kCongestion).text());
+    return out.send(conn, message("release", m.id, kCauseCongestion).text());
   }
   core::Request request;
-  const std::string trouble = read_request(now, m, request);
-  if (!trouble.empty()) return reject_malformed(now, conn, m.id, trouble, out);
-  request.call = core::call_id(core::Front::platform, ++last_);
+  const std::string error = read_request(now, m, request);
+  if (!error.empty()) return reject_malformed(now, conn, m.id, error, out);
+  request.call = core::call_id(core::Front::platform, ++last_call_);
   calls_.emplace(request.call, Call{m.id, conn, identity_of(m)});
   by_id_.emplace(m.id, request.call);
   connections_[conn].waiting.insert(request.call);
   out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
-std::string Platform::read_request(Time now, const jsonl::Message& m, core::Request& r) const {
+std::string Platform::read_request(Time now, const jsonl::Message& m, core::Request& request) const {
   const core::NamedClass* call_class = settings_.classes->find(m.field("class"));
   if (call_class == nullptr) return "the class is not one of the settings";
-  r.call_class = call_class->place;
-  r.class_name = call_class->name;
+  request.call_class = call_class->place;
+  request.class_name = call_class->name;
   const auto left = number_in<double>(m.field("left"));
   if (!left || !(*left >= 0.0) || *left > 1e8) return "'left' is not a time in milliseconds";
-  r.deadline = now + std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(*left));
-  r.number_text = m.field("key");
+  request.deadline =
+      now + std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(*left));
+  request.number_text = m.field("key");
   const auto key = jsonl::number_of_hex(m.field("key"));
   if (!key) return "'key' is not hex digits";
-  r.number = Number{*key};
-  r.correlation_id = m.id;
-  r.redial = !m.field("retry").empty() && m.field("retry") != "0";
-  r.description = m.description.value_or("");
-  return read_extras(m.field("extras"), call_class->terms.open_pools, r);
+  request.number = Number{*key};
+  request.correlation_id = m.id;
+  request.redial = !m.field("retry").empty() && m.field("retry") != "0";
+  request.description = m.description.value_or("");
+  return read_extras(m.field("extras"), call_class->terms.open_pools, request);
 }
 
 void Platform::on(Time now, const net::Closed& e, Outbox& out) {
   reaper_.closed(e.conn);
   const auto it = connections_.find(e.conn);
   if (it == connections_.end()) return;
-  Connection gone = std::move(it->second);
+  Connection closed = std::move(it->second);
   connections_.erase(it);
-  cancel_waiting(gone, out);
-  // A release that was not heard on this connection is told on another one: calls belong to none.
-  for (const auto& [id, told] : gone.unconfirmed_releases) send_release(now, e.conn, id, told.line, out);
+  cancel_waiting(closed, out);
+  // A release that was not confirmed on this connection is sent again on another one: calls are not bound to
+  // a connection.
+  for (const auto& [id, release] : closed.unconfirmed_releases)
+    send_release(now, e.conn, id, release.line, out);
 }
 
-// The caller has gone, though much that it sent before may still have to be read. It may have closed one half
-// only and still read: each of its set-ups is answered.
+// The caller has closed its sending side, possibly with unread input still buffered. It may still read, so
+// each of its open setups is answered.
 void Platform::on(Time, const net::PeerClosed& e, Outbox& out) {
   const auto it = connections_.find(e.conn);
   if (it == connections_.end()) return;
@@ -278,7 +285,7 @@
 
 void Platform::answer_waiting(net::ConnId conn, Connection& c, Outbox& out) {
   for (const CallId call : c.waiting)
-    out.send(conn, message("release", calls_.at(call).id, kTemporaryFailure).text());
+    out.send(conn, message("release", calls_.at(call).id, kCauseTemporaryFailure).text());
   cancel_waiting(c, out);
 }
 
@@ -332,12 +339,13 @@
   send_release(now, {}, e.correlation_id, message("release", e.correlation_id, e.cause).text(), out);
 }
 
-// What ends a call may go to the callers on any connection: on its own, else another, else the next.
+// Sends the release of a call on the preferred connection, else on any other, else on the next that is
+// accepted.
 void Platform::send_release(Time now, net::ConnId preferred, const std::string& id, std::string line,
                             Outbox& out) {
-  const auto hears = [](const auto& c) { return !c.second.peer_closed; };
+  const auto is_usable = [](const auto& c) { return !c.second.peer_closed; };
   auto it = connections_.find(preferred);
-  if (it == connections_.end() || !hears(*it)) it = std::ranges::find_if(connections_, hears);
+  if (it == connections_.end() || !is_usable(*it)) it = std::ranges::find_if(connections_, is_usable);
   if (it == connections_.end()) {
     if (unassigned_releases_.size() < kMaxUnassignedReleases)
       unassigned_releases_.emplace_back(id, std::move(line));
@@ -348,9 +356,9 @@
 }
 
 void Platform::release_by_caller(CallId call, int cause, Outbox& out) {
-  const bool stood = calls_.at(call).established;
+  const bool was_established = calls_.at(call).established;
   forget(call);
-  if (stood) {
+  if (was_established) {
     out.notify_broker(core::CallerReleased{call, cause});
   } else {
     out.notify_broker(core::RequestCancelled{call});
--- a/src/downstream/platform.h
+++ b/src/downstream/platform.h
@@ -1,5 +1,6 @@
-// The platform's front: callers' JSON lines over TCP, turned into requests of the broker and back. Thin: it
-// decides nothing but what is well formed.
+// The platform front end: converts callers' JSON lines over TCP into requests of the broker, and the broker's
+// effects into lines. It rejects malformed lines and leaves every other decision to the broker. Every setup
+// that was read gets one final answer, unless its connection is closed by the peer first.
 #pragma once
 
 #include <deque>
@@ -27,7 +28,7 @@
   Platform(PlatformFrontSettings settings, Counters& counters)
       : settings_(std::move(settings)),
         counters_(counters),
-        reaper_(settings_.max_connections, kIdle, true) {}
+        reaper_(settings_.max_connections, kIdleTimeout, true) {}
 
   void start(Time now, Outbox& out) const;
   void on(Time now, const net::Accepted& e, Outbox& out);
@@ -36,11 +37,12 @@
   void on(Time now, const net::PeerClosed& e, Outbox& out);
   void on(Time now, const net::TimerFired& e, Outbox& out);
   void ready(bool ready) { ready_ = ready; }
-  // New requests are of these classes from now on.
+  // Sets the classes of later requests; requests that are open keep theirs.
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
     settings_.classes = std::move(classes);
   }
-  // Another process takes the callers from now on: each connection is closed once nothing is open on it.
+  // Called when another process accepts the callers from now on: closes each connection as soon as it has no
+  // open setup, no partial line and no unconfirmed release.
   void hand_over(Outbox& out);
   std::size_t connected() const { return connections_.size(); }
 
@@ -53,7 +55,7 @@
   struct Call {
     std::string id;
     net::ConnId conn;
-    std::string identity;  // what it asked for: tells one sent again from another under its id
+    std::string identity;  // class, number, extras and description: a repeated setup has the same ones
     bool established = false;
   };
   struct PendingRelease {
@@ -61,18 +63,18 @@
     Time sent_at;
   };
   struct Connection {
-    std::set<CallId> waiting;                                    // set-ups without an answer
-    std::map<std::string, PendingRelease> unconfirmed_releases;  // releases that were not heard yet, by id
-    bool peer_closed = false;  // its caller has gone: no set-up on it is owed an answer
+    std::set<CallId> waiting;                                    // setups without an answer
+    std::map<std::string, PendingRelease> unconfirmed_releases;  // by id, until `released` comes
+    bool peer_closed = false;  // the caller has closed its side: its setups are answered already
   };
-  // Callers close an idle connection after 4 s; one that keeps it for good is not waited for longer than
-  // this.
-  static constexpr Duration kIdle = std::chrono::seconds(15);
+  // Time without a line until a connection without an open setup is closed. Callers themselves close an idle
+  // connection after 4 s.
+  static constexpr Duration kIdleTimeout = std::chrono::seconds(15);
 
   void handle_message(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
   void handle_setup(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
   std::string read_request(Time now, const jsonl::Message& m, core::Request& request) const;
-  void reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& trouble,
+  void reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& error,
                         Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
   void close_idle(Outbox& out);
@@ -91,9 +93,9 @@
   std::map<net::ConnId, Connection> connections_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> by_id_;
-  // releases that no connection could take
+  // Releases (id, line) that wait for a connection to send them on.
   std::deque<std::pair<std::string, std::string>> unassigned_releases_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_call_ = 0;
   bool ready_ = false;
   bool handed_over_ = false;
 };
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -12,26 +12,31 @@
 
 constexpr std::string_view kAllow = "INVITE, ACK, CANCEL, BYE, OPTIONS, SUBSCRIBE, NOTIFY";
 constexpr std::size_t kMaxCalls = 20000;
-constexpr Duration kNotReady = 2s;
+constexpr Duration kNotReadyRetryAfter = 2s;
 constexpr Duration kReapInterval = 200ms;
-constexpr std::uint64_t kReapTimer = ~std::uint64_t{0} >> 2;  // apart from those of the transactions
+constexpr std::uint64_t kReapTimer =
+    ~std::uint64_t{0} >> 2;  // a number that the transactions' timers do not reach
 
-const char* const kOthersKnown[] = {"REGISTER", "MESSAGE", "INFO", "PRACK", "UPDATE", "REFER", "PUBLISH"};
+// Methods of SIP extensions that get 405; unknown ones get 501.
+const char* const kUnsupportedMethods[] = {"REGISTER", "MESSAGE", "INFO",   "PRACK",
+                                           "UPDATE",   "REFER",   "PUBLISH"};
 
 std::string retry_after(Duration wait) {
   return std::to_string(std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::seconds>(wait).count()));
 }
 
-// RFC 3326. The words hold no control characters; what would end the text early is left out.
-std::string reason(const call_gapping::Treatment& treatment) {
-  std::string text = "Q.850;cause=" + std::to_string(treatment.cause);
-  std::string words = treatment.text;
-  std::erase_if(words, [](char c) { return c == '"' || c == '\\'; });
-  return words.empty() ? text : text + ";text=\"" + words + "\"";
+// The Reason header (RFC 3326). The text holds no control characters; quotes and backslashes, which would end
+// it early, are removed.
+std::string reason_header(const call_gapping::Treatment& treatment) {
+  std::string value = "Q.850;cause=" + std::to_string(treatment.cause);
+  std::string text = treatment.text;
+  std::erase_if(text, [](char c) { return c == '"' || c == '\\'; });
+  return text.empty() ? value : value + ";text=\"" + text + "\"";
 }
 
-// What makes a request unfit for any answer but 400 (§8.1.1).
-std::string missing_header(const sip::Message& m) {
+// The error for which a message is malformed (§8.1.1): a mandatory header that is missing or wrong. Empty if
+// none.
+std::string find_header_error(const sip::Message& m) {
   for (const std::string_view name : {"Via", "From", "To", "Call-ID", "CSeq"}) {
     if (m.header(name).empty()) return "there is no " + std::string(name);
   }
@@ -54,7 +59,7 @@
       .append(m.header("CSeq"));
 }
 
-// FNV-1a: the same number for the same text everywhere.
+// FNV-1a: the same value for the same text on every gatekeeper.
 std::uint64_t hash(std::string_view text) {
   std::uint64_t value = 0xcbf29ce484222325U;
   for (const char c : text) value = (value ^ static_cast<unsigned char>(c)) * 0x100000001b3U;
@@ -66,35 +71,39 @@
   return value && *value >= 0 ? value : std::nullopt;
 }
 
-// Where the answers to a datagram go (§18.2.2, RFC 3581), noted in its top Via as well.
-sip::Flow note_source(const sip::Flow& flow, sip::Message& m) {
-  sip::Flow back = flow;
+// The flow of the responses to a request (§18.2.2, RFC 3581); adds received and rport to its top Via over
+// UDP.
+sip::Flow record_source(const sip::Flow& flow, sip::Message& m) {
+  sip::Flow response_flow = flow;
   for (auto& [name, value] : m.headers) {
     if (!sip::equals_ignore_case(name, "Via")) continue;
     const std::string_view first = std::string_view(value).substr(0, value.find(','));
     const std::size_t space = first.find_first_of(" \t");
-    const std::string by(sip::trim(first.substr(space == std::string_view::npos ? first.size() : space)));
-    const std::string sent_by(sip::trim(std::string_view(by).substr(0, by.find(';'))));
+    const std::string after_protocol(
+        sip::trim(first.substr(space == std::string_view::npos ? first.size() : space)));
+    const std::string sent_by(
+        sip::trim(std::string_view(after_protocol).substr(0, after_protocol.find(';'))));
     if (flow.reliable) {
-      back.peer = sip::address_in(sent_by);  // should the connection be gone
+      response_flow.peer = sip::address_in(sent_by);  // used if the connection has closed
       break;
     }
     const std::size_t colon = flow.peer.rfind(':');
     const std::string host = flow.peer.substr(0, colon);
     const std::string port = flow.peer.substr(colon + 1);
     const std::size_t rport = first.find(";rport");
-    const bool wants_port = rport != std::string_view::npos;
-    std::string noted(first);
-    if (wants_port && sip::parameter(first, "rport").empty()) noted.insert(rport + 6, "=" + port);
-    noted += ";received=" + host;
-    if (!wants_port) {
-      const std::size_t named = sent_by.rfind(':');
-      back.peer = host + ":" + (named == std::string::npos ? "5060" : sent_by.substr(named + 1));
+    const bool has_rport = rport != std::string_view::npos;
+    std::string updated_via(first);
+    if (has_rport && sip::parameter(first, "rport").empty()) updated_via.insert(rport + 6, "=" + port);
+    updated_via += ";received=" + host;
+    if (!has_rport) {
+      const std::size_t port_colon = sent_by.rfind(':');
+      response_flow.peer =
+          host + ":" + (port_colon == std::string::npos ? "5060" : sent_by.substr(port_colon + 1));
     }
-    value.replace(0, first.size(), noted);
+    value.replace(0, first.size(), updated_via);
     break;
   }
-  return back;
+  return response_flow;
 }
 
 }  // namespace
@@ -115,7 +124,7 @@
   if (settings_.tcp) out.net.push_back(net::Listen{net::Concern::sip, *settings_.tcp});
 }
 
-// ---- what comes in
+// ---- input
 
 void Sip::on(Time now, const net::Accepted& e, Outbox& out) {
   counters_.add("sip.connections");
@@ -124,17 +133,19 @@
   make_room(now, out);
 }
 
-// Connections that say nothing, or nothing whole, or are too many: as in the platform's front.
+// Closes connections without a complete message in time and idle ones above the limit, as the platform front
+// end does.
 void Sip::make_room(Time now, Outbox& out) {
   const auto busy = [this](net::ConnId conn) {
     return std::any_of(calls_.begin(), calls_.end(), [conn](const auto& call) {
       return call.second.dialog.flow.reliable && call.second.dialog.flow.conn == conn.number;
     });
   };
-  std::vector<net::ConnId> going;
-  for (const ConnectionReaper::Expired& due : reaper_.expired(now, busy)) going.push_back(due.conn);
-  for (const net::ConnId conn : reaper_.excess_connections(now, busy)) going.push_back(conn);
-  for (const net::ConnId conn : going) {
+  std::vector<net::ConnId> to_close;
+  for (const ConnectionReaper::Expired& expired : reaper_.expired(now, busy))
+    to_close.push_back(expired.conn);
+  for (const net::ConnId conn : reaper_.excess_connections(now, busy)) to_close.push_back(conn);
+  for (const net::ConnId conn : to_close) {
     counters_.add("sip.closed_for_room");
     reaper_.closed(conn);
     transport_.close(conn.number, out);
@@ -154,27 +165,28 @@
   cancel_unanswered(now, e.conn.number, out);
 }
 
-// A caller that closes the stream of an INVITE has gone, as one that cancels: no attempt is to begin for it.
-// The INVITE is ended as after a CANCEL, by another connection where RFC 3261 (18.2.2) knows of one.
+// Cancels the INVITEs without a final response whose TCP connection the caller has closed, as a CANCEL does:
+// no attempt may start for them. Their 487 goes out on another connection where RFC 3261 (18.2.2) provides
+// one.
 void Sip::cancel_unanswered(Time now, std::uint32_t conn, Outbox& out) {
-  std::vector<CallId> left;
+  std::vector<CallId> cancelled;
   for (const auto& [id, call] : calls_) {
     const sip::Flow& flow = call.dialog.flow;
-    if (!call.answered && flow.reliable && flow.conn == conn) left.push_back(id);
+    if (!call.answered && flow.reliable && flow.conn == conn) cancelled.push_back(id);
   }
-  std::ranges::sort(left);
-  for (const CallId id : left) {
+  std::ranges::sort(cancelled);
+  for (const CallId id : cancelled) {
     counters_.add("sip.callers_gone");
-    reject(now, calls_.at(id).invite, 487, out);
+    respond(now, calls_.at(id).invite, 487, out);
     out.notify_broker(core::RequestCancelled{id});
     forget(id);
   }
 }
 
 void Sip::on(Time now, const net::Received& e, Outbox& out) {
-  std::vector<sip::Incoming> all = transport_.received(e, out);
-  reaper_.record_input(now, e.conn, !all.empty(), transport_.half(e.conn.number));
-  for (sip::Incoming& incoming : all) handle_incoming(now, std::move(incoming), out);
+  std::vector<sip::Incoming> messages = transport_.received(e, out);
+  reaper_.record_input(now, e.conn, !messages.empty(), transport_.has_partial_message(e.conn.number));
+  for (sip::Incoming& incoming : messages) handle_incoming(now, std::move(incoming), out);
 }
 
 void Sip::on(Time now, const net::Datagram& e, Outbox& out) {
@@ -186,34 +198,34 @@
   counters_.add("sip.messages_in");
   sip::Message& m = incoming.read.message;
   if (incoming.read.state == sip::ReadState::message) {
-    if (std::string trouble = missing_header(m); !trouble.empty()) {
+    if (std::string error = find_header_error(m); !error.empty()) {
       incoming.read.state = sip::ReadState::malformed;
-      incoming.read.error = std::move(trouble);
+      incoming.read.error = std::move(error);
     }
   }
   if (incoming.read.state == sip::ReadState::malformed) return reject_malformed(now, incoming, out);
   if (m.is_request()) {
-    const sip::Flow flow = note_source(incoming.flow, m);
+    const sip::Flow flow = record_source(incoming.flow, m);
     return handle_request(now, flow, m, out);
   }
-  // To our BYE: nothing follows from it.
+  // A response to a BYE needs no action; load control ignores its transaction.
   if (const std::string key = transactions_.receive_response(now, m, out); !key.empty())
-    load_control_.answered(now, key, m, out);
+    load_control_.handle_response(now, key, m, out);
 }
 
-// 400 where the transaction can be read; else a stream is closed and a datagram dropped.
+// Responds 400 if the transaction can be read; otherwise closes a stream and drops a datagram.
 void Sip::reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out) {
   counters_.add("sip.malformed");
-  malformed_warning_.line(now, "a SIP message is refused: " + incoming.read.error, out);
+  malformed_warning_.line(now, "SIP message rejected: " + incoming.read.error, out);
   sip::Message m = incoming.read.message;
   const bool answerable = m.is_request() && !m.method.empty() && m.method != "ACK" &&
                           !m.header("Via").empty() && !m.header("Call-ID").empty() &&
                           !m.header("CSeq").empty();
   if (answerable) {
-    const sip::Flow flow = note_source(incoming.flow, m);
-    sip::Message refusal = sip::answer_to(m, 400, sip::phrase_of(400), ids_.next());
-    refusal.add("Warning", "399 graniterun \"" + incoming.read.error + "\"");
-    transport_.send(flow, refusal.text(), out);
+    const sip::Flow flow = record_source(incoming.flow, m);
+    sip::Message response = sip::answer_to(m, 400, sip::phrase_of(400), ids_.next());
+    response.add("Warning", "399 graniterun \"" + incoming.read.error + "\"");
+    transport_.send(flow, response.text(), out);
   }
   if (incoming.flow.reliable && (incoming.read.unrecoverable || !answerable)) {
     reaper_.closed({net::Concern::sip, incoming.flow.conn});
@@ -227,41 +239,41 @@
     case sip::Transactions::RequestKind::absorbed:
       return;
     case sip::Transactions::RequestKind::ack:
-      return ack(now, m, out);
+      return handle_ack(now, m, out);
     case sip::Transactions::RequestKind::initial:
       break;
   }
-  if (m.method == "CANCEL") return cancel(now, key, m, out);
-  if (m.header("Max-Forwards") == "0" && m.method != "OPTIONS") return reject(now, key, 483, out);
+  if (m.method == "CANCEL") return handle_cancel(now, key, m, out);
+  if (m.header("Max-Forwards") == "0" && m.method != "OPTIONS") return respond(now, key, 483, out);
   const bool in_dialog = !sip::parameter(m.header("To"), "tag").empty();
   if (const std::string_view required = m.header("Require"); !required.empty()) {
-    sip::Message refusal = sip::answer_to(m, 420, sip::phrase_of(420), ids_.next());
-    refusal.add("Unsupported", std::string(required));
-    return transactions_.respond(now, key, refusal, out);
+    sip::Message response = sip::answer_to(m, 420, sip::phrase_of(420), ids_.next());
+    response.add("Unsupported", std::string(required));
+    return transactions_.respond(now, key, response, out);
   }
   if (m.method == "INVITE") {
-    if (!in_dialog) return invite(now, key, flow, m, out);
-    Call* call = find(dialog_of(m));
-    return call == nullptr ? reject(now, key, 481, out) : reinvite(now, key, *call, m, out);
+    if (!in_dialog) return handle_invite(now, key, flow, m, out);
+    Call* call = find(find_call_id(m));
+    return call == nullptr ? respond(now, key, 481, out) : handle_reinvite(now, key, *call, m, out);
   }
-  if (m.method == "BYE") return bye(now, key, m, out);
-  if (m.method == "SUBSCRIBE") return load_control_.subscribed(now, key, flow, m, out);
-  if (m.method == "NOTIFY") return load_control_.notified(now, key, m, out);
+  if (m.method == "BYE") return handle_bye(now, key, m, out);
+  if (m.method == "SUBSCRIBE") return load_control_.handle_subscribe(now, key, flow, m, out);
+  if (m.method == "NOTIFY") return load_control_.handle_notify(now, key, m, out);
   if (m.method == "OPTIONS") {
     sip::Message answer =
         sip::answer_to(m, ready_ ? 200 : 503, sip::phrase_of(ready_ ? 200 : 503), ids_.next());
     answer.add("Allow", std::string(kAllow));
     answer.add("Accept", "application/sdp");
-    if (!ready_) answer.add("Retry-After", retry_after(kNotReady));
+    if (!ready_) answer.add("Retry-After", retry_after(kNotReadyRetryAfter));
     return transactions_.respond(now, key, answer, out);
   }
-  const bool known = std::any_of(std::begin(kOthersKnown), std::end(kOthersKnown),
+  const bool known = std::any_of(std::begin(kUnsupportedMethods), std::end(kUnsupportedMethods),
                                  [&](const char* name) { return m.method == name; });
   counters_.add("sip.unknown_methods");
-  reject(now, key, known ? 405 : 501, out);
+  respond(now, key, known ? 405 : 501, out);
 }
 
-void Sip::reject(Time now, const std::string& key, int status, Outbox& out, const std::string& warning) {
+void Sip::respond(Time now, const std::string& key, int status, Outbox& out, const std::string& warning) {
   const sip::Message* request = transactions_.request_of(key);
   if (request == nullptr) return;
   sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), ids_.next());
@@ -272,34 +284,34 @@
 
 // ---- new calls
 
-void Sip::invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
-                 Outbox& out) {
+void Sip::handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+                        Outbox& out) {
   counters_.add("sip.invites");
-  while (!merged_order_.empty() &&
-         (now - merged_order_.front().first > 2 * sip::k64T1 || merged_order_.size() >= kMaxCalls)) {
-    merged_.erase(merged_order_.front().second);
-    merged_order_.pop_front();
+  while (!recent_invites_order_.empty() && (now - recent_invites_order_.front().first > 2 * sip::k64T1 ||
+                                            recent_invites_order_.size() >= kMaxCalls)) {
+    recent_invites_.erase(recent_invites_order_.front().second);
+    recent_invites_order_.pop_front();
   }
-  // The same request by another way, or so late that its transaction is gone: it must not ring twice.
+  // A merged request (§8.2.2.2), or a repeat after its transaction has ended, must not start a second call.
   const std::string merge = merge_key(m);
-  if (!merged_.emplace(merge, key).second) {
+  if (!recent_invites_.emplace(merge, key).second) {
     counters_.add("sip.merged");
-    return reject(now, key, 482, out);
+    return respond(now, key, 482, out);
   }
-  merged_order_.emplace_back(now, merge);
+  recent_invites_order_.emplace_back(now, merge);
 
-  if (flow.reliable && closed_by_peer_.contains(flow.conn)) return reject(now, key, 487, out);
+  if (flow.reliable && closed_by_peer_.contains(flow.conn)) return respond(now, key, 487, out);
   core::Request request;
-  if (const std::string trouble = read_request(now, m, request); !trouble.empty()) {
+  if (const std::string error = read_request(now, m, request); !error.empty()) {
     counters_.add("sip.malformed");
-    return reject(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, trouble);
+    return respond(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, error);
   }
   if (calls_.size() >= kMaxCalls) {
-    sip::Message busy = sip::answer_to(m, 503, sip::phrase_of(503), ids_.next());
-    busy.add("Retry-After", retry_after(kNotReady));
-    return transactions_.respond(now, key, busy, out);
+    sip::Message response = sip::answer_to(m, 503, sip::phrase_of(503), ids_.next());
+    response.add("Retry-After", retry_after(kNotReadyRetryAfter));
+    return transactions_.respond(now, key, response, out);
   }
-  request.call = core::call_id(core::Front::sip, ++last_);
+  request.call = core::call_id(core::Front::sip, ++last_call_);
   Call call;
   call.invite = key;
   call.offer = m.body;
@@ -320,11 +332,11 @@
   out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
-std::string Sip::read_request(Time now, const sip::Message& m, core::Request& r) {
+std::string Sip::read_request(Time now, const sip::Message& m, core::Request& request) {
   if (!m.uri.starts_with("sip:")) return "the URI's scheme is not sip";
-  r.number_text = sip::user_of(m.uri);
-  if (r.number_text.empty()) return "the URI names no number";
-  r.number = Number{jsonl::number_of_hex(r.number_text).value_or(hash(r.number_text))};
+  request.number_text = sip::user_of(m.uri);
+  if (request.number_text.empty()) return "the URI names no number";
+  request.number = Number{jsonl::number_of_hex(request.number_text).value_or(hash(request.number_text))};
   const core::Classes& classes = *settings_.classes;
   const bool emergency = sip::equals_ignore_case(m.header("Priority"), "emergency");
   const core::NamedClass* call_class = emergency ? &classes.highest_weight() : &classes.lowest_weight();
@@ -332,85 +344,86 @@
     call_class = classes.find(name);
     if (call_class == nullptr) return "Priority-Class names no class";
   }
-  r.call_class = call_class->place;
-  r.class_name = call_class->name;
-  r.deadline = now + call_class->terms.caller_timeout;
+  request.call_class = call_class->place;
+  request.class_name = call_class->name;
+  request.deadline = now + call_class->terms.caller_timeout;
   const std::string_view ms = m.header("Expires-Ms");
   if (const std::string_view expires = ms.empty() ? m.header("Expires") : ms; !expires.empty()) {
     const auto value = whole_number(expires);
     if (!value || *value > 1'000'000'000) return "Expires is not a number";
     const Duration wait =
         ms.empty() ? Duration(std::chrono::seconds(*value)) : Duration(std::chrono::milliseconds(*value));
-    r.deadline = std::min(r.deadline, now + wait);
+    request.deadline = std::min(request.deadline, now + wait);
   }
-  r.team = sip::host_of(sip::uri_in(m.header("From")));
-  r.team = r.team.substr(0, r.team.find(':'));
-  r.correlation_id = ids_.next();
-  r.description = m.body;
+  request.team = sip::host_of(sip::uri_in(m.header("From")));
+  request.team = request.team.substr(0, request.team.find(':'));
+  request.correlation_id = ids_.next();
+  request.description = m.body;
   return {};
 }
 
 // ---- within a call
 
-void Sip::reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out) {
+void Sip::handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out) {
   counters_.add("sip.reinvites");
   const std::uint32_t number = sip::cseq_of(m)->number;
-  if (number < call.dialog.remote_cseq) return reject(now, key, 500, out, "CSeq goes backwards");
-  if (!call.answered || !call.acknowledged || !call.reinvite.empty()) return reject(now, key, 491, out);
+  if (number < call.dialog.remote_cseq) return respond(now, key, 500, out, "CSeq goes backwards");
+  if (!call.answered || !call.acknowledged || !call.reinvite.empty()) return respond(now, key, 491, out);
   call.dialog.remote_cseq = number;
-  // The session at the setup server is what it was answered with: a refresh is accepted, a change is not.
+  // The session at the setup server cannot change: a re-INVITE with the same offer is a refresh and is
+  // accepted, one with another offer is rejected.
   if (!m.body.empty() && m.body != call.offer)
-    return reject(now, key, 488, out, "the session can't be changed");
+    return respond(now, key, 488, out, "the session can't be changed");
   if (const std::string_view contact = m.header("Contact"); !contact.empty())
     call.dialog.target = sip::uri_in(contact);
   call.reinvite = key;
-  transactions_.respond(now, key, accept(call, m), out);
+  transactions_.respond(now, key, make_ok(call, m), out);
 }
 
-void Sip::ack(Time now, const sip::Message& m, Outbox& out) {
-  Call* call = find(dialog_of(m));
+void Sip::handle_ack(Time now, const sip::Message& m, Outbox& out) {
+  Call* call = find(find_call_id(m));
   if (call == nullptr || !call->answered) {
     counters_.add("sip.acks_unknown");
     return;
   }
   if (!call->reinvite.empty()) {
-    transactions_.acknowledged(now, std::exchange(call->reinvite, {}), out);
+    transactions_.handle_ack_to_2xx(now, std::exchange(call->reinvite, {}), out);
     return;
   }
   if (std::exchange(call->acknowledged, true)) return;
   counters_.add("sip.acks");
-  transactions_.acknowledged(now, call->invite, out);
+  transactions_.handle_ack_to_2xx(now, call->invite, out);
   if (call->bye_after_ack) {
     send_bye(now, *call, call->cause, out);
-    forget(dialog_of(m));
+    forget(find_call_id(m));
   }
 }
 
-void Sip::bye(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
-  const CallId id = dialog_of(m);
+void Sip::handle_bye(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
+  const CallId id = find_call_id(m);
   const Call* call = find(id);
-  if (call == nullptr) return reject(now, key, 481, out);
+  if (call == nullptr) return respond(now, key, 481, out);
   counters_.add("sip.byes_in");
-  reject(now, key, 200, out);
+  respond(now, key, 200, out);
   if (!call->answered) {
-    // A BYE before the answer ends the call like a CANCEL (§15.1.2).
-    reject(now, call->invite, 487, out);
+    // A BYE before the final response ends the call as a CANCEL does (§15.1.2).
+    respond(now, call->invite, 487, out);
     out.notify_broker(core::RequestCancelled{id});
   } else {
-    transactions_.acknowledged(now, call->invite, out);
+    transactions_.handle_ack_to_2xx(now, call->invite, out);
     if (!call->bye_after_ack) out.notify_broker(core::CallerReleased{id, 16});
   }
   forget(id);
 }
 
-void Sip::cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
-  const std::string invite = transactions_.cancelled_by(m);
-  if (invite.empty()) return reject(now, key, 481, out);
+void Sip::handle_cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
+  const std::string invite = transactions_.find_cancelled_invite(m);
+  if (invite.empty()) return respond(now, key, 481, out);
   counters_.add("sip.cancels_in");
-  reject(now, key, 200, out);
-  // One that crosses our final answer changes nothing: the caller acknowledges that and says BYE.
+  respond(now, key, 200, out);
+  // After the final response a CANCEL has no effect: the caller acknowledges the response and sends a BYE.
   if (transactions_.has_final(invite)) return;
-  reject(now, invite, 487, out);
+  respond(now, invite, 487, out);
   const auto it = by_invite_.find(invite);
   if (it == by_invite_.end()) return;
   const CallId id = it->second;
@@ -424,14 +437,15 @@
     load_control_.tick(now, out);
     return make_room(now, out);
   }
-  for (const sip::TimerExpiry& lapse : transactions_.fired(now, e.key.number, out)) {
-    if (lapse.what == sip::TimerExpiry::What::no_answer) load_control_.unanswered(now, lapse.key);
-    if (lapse.what != sip::TimerExpiry::What::no_ack) continue;
-    const auto it = by_invite_.find(lapse.key);
+  for (const sip::TimerExpiry& expiry : transactions_.fired(now, e.key.number, out)) {
+    if (expiry.what == sip::TimerExpiry::What::no_answer)
+      load_control_.handle_request_timeout(now, expiry.key);
+    if (expiry.what != sip::TimerExpiry::What::no_ack) continue;
+    const auto it = by_invite_.find(expiry.key);
     if (it == by_invite_.end()) continue;
     Call* call = find(it->second);
     if (call == nullptr || !call->answered || call->acknowledged) continue;
-    // §13.3.1.4: a call whose answer was never acknowledged is ended.
+    // §13.3.1.4: a call whose 2xx is never acknowledged is ended, with cause 102 (recovery on timer expiry).
     counters_.add("sip.acks_missing");
     const CallId id = it->second;
     send_bye(now, *call, 102, out);
@@ -442,7 +456,7 @@
 
 // ---- the broker's effects
 
-sip::Message Sip::accept(const Call& call, const sip::Message& request) const {
+sip::Message Sip::make_ok(const Call& call, const sip::Message& request) const {
   sip::Message m =
       sip::answer_to(request, 200, sip::phrase_of(200), sip::parameter(call.dialog.local, "tag"));
   for (const std::string& route : call.dialog.routes) m.add("Record-Route", route);
@@ -460,7 +474,7 @@
   call->answered = true;
   call->description = e.description;
   const sip::Message* request = transactions_.request_of(call->invite);
-  if (request != nullptr) transactions_.respond(now, call->invite, accept(*call, *request), out);
+  if (request != nullptr) transactions_.respond(now, call->invite, make_ok(*call, *request), out);
 }
 
 void Sip::apply(Time now, const core::RejectRequest& e, Outbox& out) {
@@ -470,12 +484,12 @@
   int status = 500;
   if (e.rejected) status = 503;
   if (e.reason == core::RejectReason::number_busy) status = 486;
-  if (e.reason == core::RejectReason::deadline_exceeded) status = 480;  // 408 may not carry Retry-After
+  if (e.reason == core::RejectReason::deadline_exceeded) status = 480;  // 408 cannot carry Retry-After
   if (const sip::Message* request = transactions_.request_of(call->invite)) {
     const std::string_view tag = sip::parameter(call->dialog.local, "tag");
     sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), tag);
     if (e.retry_after > Duration{} || status == 503) m.add("Retry-After", retry_after(e.retry_after));
-    if (e.reason == core::RejectReason::gapped) m.add("Reason", reason(e.treatment));
+    if (e.reason == core::RejectReason::gapped) m.add("Reason", reason_header(e.treatment));
     transactions_.respond(now, call->invite, m, out);
   }
   forget(e.call);
@@ -508,8 +522,8 @@
   m.add("Call-ID", d.call_id);
   m.add("CSeq", std::to_string(++d.local_cseq) + " BYE");
   m.add("Reason", "Q.850;cause=" + std::to_string(cause));
-  // The next hop: the first route, else the caller's contact. An open connection of the call is used as it
-  // is.
+  // The next hop is the first route, else the caller's Contact; the call's connection is used while it is
+  // open.
   sip::Flow flow = d.flow;
   const std::string hop = sip::address_in(
       sip::host_of(d.routes.empty() ? std::string_view(d.target) : sip::uri_in(d.routes.front())));
@@ -518,7 +532,7 @@
   transactions_.send_request(now, flow, m, out);
 }
 
-// ---- small things
+// ---- lookups
 
 void Sip::forget(CallId id) {
   const auto it = calls_.find(id);
@@ -534,7 +548,7 @@
   return it == calls_.end() ? nullptr : &it->second;
 }
 
-CallId Sip::dialog_of(const sip::Message& m) const {
+CallId Sip::find_call_id(const sip::Message& m) const {
   const auto it = by_dialog_.find(dialog_key(m.header("Call-ID"), sip::parameter(m.header("To"), "tag"),
                                              sip::parameter(m.header("From"), "tag")));
   return it == by_dialog_.end() ? CallId{0} : it->second;
--- a/src/downstream/sip.h
+++ b/src/downstream/sip.h
@@ -1,5 +1,7 @@
-// The SIP front: callers that speak SIP over UDP and TCP, as a user agent server of RFC 3261 (§8.2, §12, §13,
-// §15). Its calls go through the same broker, and so through the same decisions and rules, as the platform's.
+// The SIP front end: a user agent server (RFC 3261 §8.2, §12, §13, §15) for callers over UDP and TCP. It
+// converts INVITE, CANCEL and BYE into requests of the broker, and the broker's effects into responses and
+// BYE. Its calls pass through the same broker, and so the same decisions and rules, as those of the platform
+// front end.
 #pragma once
 
 #include <deque>
@@ -21,14 +23,15 @@
 namespace graniterun::downstream {
 
 struct SipFrontSettings {
-  std::optional<std::string> udp{};  // where it listens; none: it is off
+  std::optional<std::string> udp{};  // listening addresses; neither: the front end is off
   std::optional<std::string> tcp{};
-  // A caller's patience who says nothing of it is its class's. Callers with Priority: emergency are of the
-  // class worth most, those that name none of the one worth least.
+  // The deadline of an INVITE is the caller timeout of its class, or Expires where that is less. INVITEs with
+  // `Priority: emergency` get the class of the highest priority weight, others without Priority-Class that of
+  // the lowest.
   std::shared_ptr<const core::Classes> classes{};
   std::uint64_t seed{};
   std::size_t max_connections{64};
-  std::vector<std::string> load_control_from{};  // neighbours whose load control is asked for
+  std::vector<std::string> load_control_from{};  // neighbours to subscribe at (RFC 7200)
 };
 
 class Sip {
@@ -48,18 +51,18 @@
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
     settings_.classes = std::move(classes);
   }
-  // Where gaps can be announced: neighbours are told of them, and may ask for some.
-  void share_gaps(GapSource source) { load_control_.source(std::move(source)); }
+  // Connects the gap register, which subscribed neighbours are notified of and may announce gaps to.
+  void share_gaps(GapSource source) { load_control_.set_gap_source(std::move(source)); }
 
   void apply(Time now, const core::AnswerCaller& e, Outbox& out);
   void apply(Time now, const core::RejectRequest& e, Outbox& out);
   void apply(Time now, const core::ReleaseCaller& e, Outbox& out);
 
  private:
-  struct Dialog {  // §12, as its user agent server
+  struct Dialog {  // §12, in the role of the UAS
     std::string call_id{};
-    std::string local{};   // From of our requests: the caller's To, with our tag
-    std::string remote{};  // To of our requests
+    std::string local{};   // From of requests sent from here: the caller's To with the local tag
+    std::string remote{};  // To of requests sent from here
     std::string target{};  // the caller's Contact
     std::vector<std::string> routes{};
     std::uint32_t local_cseq{0};
@@ -67,34 +70,35 @@
     sip::Flow flow{};
   };
   struct Call {
-    std::string invite{};  // key of its transaction
+    std::string invite{};  // key of its INVITE transaction
     Dialog dialog{};
     bool answered = false;
     bool acknowledged = false;
-    bool bye_after_ack = false;  // released before the ACK came
+    bool bye_after_ack = false;  // released before the ACK: the BYE waits for it
     int cause{16};
     std::string offer{};
     std::string description{};
-    std::string reinvite{};  // key of a re-INVITE that waits for its ACK
+    std::string reinvite{};  // key of a re-INVITE transaction that waits for its ACK
   };
 
   void handle_incoming(Time now, sip::Incoming incoming, Outbox& out);
   void handle_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out);
-  void invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m, Outbox& out);
-  void reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out);
-  void ack(Time now, const sip::Message& m, Outbox& out);
-  void bye(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  void cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  void reject(Time now, const std::string& key, int status, Outbox& out, const std::string& warning = {});
+  void handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+                     Outbox& out);
+  void handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out);
+  void handle_ack(Time now, const sip::Message& m, Outbox& out);
+  void handle_bye(Time now, const std::string& key, const sip::Message& m, Outbox& out);
+  void handle_cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out);
+  void respond(Time now, const std::string& key, int status, Outbox& out, const std::string& warning = {});
   void reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out);
   void make_room(Time now, Outbox& out);
   void cancel_unanswered(Time now, std::uint32_t conn, Outbox& out);
   std::string read_request(Time now, const sip::Message& m, core::Request& request);
-  sip::Message accept(const Call& call, const sip::Message& request) const;
+  sip::Message make_ok(const Call& call, const sip::Message& request) const;
   void send_bye(Time now, Call& call, int cause, Outbox& out);
   void forget(CallId id);
   Call* find(CallId id);
-  CallId dialog_of(const sip::Message& m) const;
+  CallId find_call_id(const sip::Message& m) const;
   std::string contact(const sip::Flow& flow) const;
   const std::string& address(const sip::Flow& flow) const {
     return flow.reliable ? *settings_.tcp : *settings_.udp;
@@ -108,13 +112,14 @@
   sip::Transactions transactions_;
   LoadControl load_control_;
   std::unordered_map<CallId, Call> calls_;
-  std::map<std::string, CallId> by_invite_;  // key of the transaction
-  std::map<std::string, CallId> by_dialog_;  // Call-ID, our tag, the caller's tag
-  // What a request is known by wherever it comes along (§8.2.2.2), and until when.
-  std::map<std::string, std::string> merged_;
-  std::deque<std::pair<Time, std::string>> merged_order_;
-  std::set<std::uint32_t> closed_by_peer_;  // streams that are open on our side only
-  std::uint64_t last_ = 0;
+  std::map<std::string, CallId> by_invite_;  // by key of the INVITE transaction
+  std::map<std::string, CallId> by_dialog_;  // by Call-ID, local tag and remote tag
+  // INVITEs of the last 2 * 64 T1 by Call-ID, From tag and CSeq, to detect merged requests (§8.2.2.2), and
+  // the same keys in the order of receipt.
+  std::map<std::string, std::string> recent_invites_;
+  std::deque<std::pair<Time, std::string>> recent_invites_order_;
+  std::set<std::uint32_t> closed_by_peer_;  // TCP connections that the peer has half-closed
+  std::uint64_t last_call_ = 0;
   RandomIdGenerator ids_;
   bool ready_ = false;
 };
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -19,11 +19,12 @@
              : trim(trim(via.substr(space)).substr(0, trim(via.substr(space)).find(';')));
 }
 
-// §17.2.3; without the cookie the parts that a request of RFC 2543 is known by.
+// The key of a server transaction (§17.2.3). Requests of RFC 2543 have no branch cookie and are matched by
+// Call-ID, From tag, CSeq and top Via.
 std::string server_key(const Message& request, std::string_view method) {
   const std::string_view via = top_via(request);
   const std::string_view branch = parameter(via, "branch");
-  const std::string_view by_method = method == "ACK" ? "INVITE" : method;
+  const std::string_view invite_or_method = method == "ACK" ? "INVITE" : method;
   std::string key;
   if (branch.starts_with(kCookie)) {
     key.append(branch).append("|").append(sent_by(via));
@@ -32,7 +33,7 @@
     key.append(request.header("Call-ID")).append("|").append(parameter(request.header("From"), "tag"));
     key.append("|").append(std::to_string(cseq ? cseq->number : 0)).append("|").append(via);
   }
-  return key.append("|").append(by_method);
+  return key.append("|").append(invite_or_method);
 }
 
 std::string client_key(const Message& message) {
@@ -107,19 +108,23 @@
 
 // ---- timers
 
-void Transactions::arm(Time now, bool server, const std::string& key, Base& base, Kind kind, Duration after,
-                       Outbox& out) {
+void Transactions::arm(Time now, bool server, const std::string& key, Transaction& transaction, Kind kind,
+                       Duration after, Outbox& out) {
   timers_.emplace(++last_timer_, Timer{server, key, kind});
-  base.timers[kind] = last_timer_;
+  transaction.timers[kind] = last_timer_;
   out.arm(concern_, last_timer_, now + after);
 }
 
-// Sends the last message again and doubles the gap: up to T2, but for a client's INVITE.
-void Transactions::retransmit(Time now, bool server, const std::string& key, Base& base, Outbox& out) {
+// Sends the last message again and doubles the retransmission interval, up to T2 except for a client's
+// INVITE.
+void Transactions::retransmit(Time now, bool server, const std::string& key, Transaction& transaction,
+                              Outbox& out) {
   counters_.add("sip.resent");
-  transport_.send(base.flow, base.sent, out);
-  base.gap = !server && base.invite ? base.gap * 2 : std::min(base.gap * 2, kT2);
-  arm(now, server, key, base, Kind::retransmit, base.gap, out);
+  transport_.send(transaction.flow, transaction.sent, out);
+  transaction.retransmit_interval = !server && transaction.invite
+                                        ? transaction.retransmit_interval * 2
+                                        : std::min(transaction.retransmit_interval * 2, kT2);
+  arm(now, server, key, transaction, Kind::retransmit, transaction.retransmit_interval, out);
 }
 
 std::vector<TimerExpiry> Transactions::fired(Time now, std::uint64_t number, Outbox& out) {
@@ -133,10 +138,10 @@
   return {std::move(*expiry)};
 }
 
-// Whether the timer of that kind is still the one that was armed last.
-bool Transactions::is_armed(const Base& base, Kind kind, std::uint64_t number) {
-  const auto armed = base.timers.find(kind);
-  return armed != base.timers.end() && armed->second == number;
+// Whether the timer is the last one armed of its kind; earlier ones are ignored.
+bool Transactions::is_armed(const Transaction& transaction, Kind kind, std::uint64_t number) {
+  const auto armed = transaction.timers.find(kind);
+  return armed != transaction.timers.end() && armed->second == number;
 }
 
 std::optional<TimerExpiry> Transactions::server_timer_fired(Time now, std::uint64_t number,
@@ -191,14 +196,14 @@
     return RequestKind::absorbed;
   }
   if (it != servers_.end()) {
-    // A repeat, however late: it gets the same answer and starts nothing.
+    // A retransmission gets the same response and starts no second transaction.
     counters_.add("sip.repeats_absorbed");
     const Server& server = it->second;
     if (!server.sent.empty() && server.state != State::confirmed)
       transport_.send(server.flow, server.sent, out);
     return RequestKind::absorbed;
   }
-  if (servers_.size() >= kMaxServerTransactions) {  // dropped: it is sent again, or its caller goes elsewhere
+  if (servers_.size() >= kMaxServerTransactions) {  // dropped: the caller repeats it or tries elsewhere
     counters_.add("sip.requests_dropped");
     return RequestKind::absorbed;
   }
@@ -227,19 +232,20 @@
     arm(now, true, key, server, Kind::end, server.flow.reliable ? Duration{} : k64T1, out);  // timer J
     return;
   }
-  server.gap = kT1;
+  server.retransmit_interval = kT1;
   if (answer.status < 300) {
-    // Sent again until the ACK comes, over TCP too (§13.3.1.4).
+    // Retransmitted until the ACK comes, over TCP as well (§13.3.1.4).
     server.state = State::accepted;
-    arm(now, true, key, server, Kind::retransmit, server.gap, out);
+    arm(now, true, key, server, Kind::retransmit, server.retransmit_interval, out);
   } else {
     server.state = State::completed;
-    if (!server.flow.reliable) arm(now, true, key, server, Kind::retransmit, server.gap, out);  // timer G
+    if (!server.flow.reliable)
+      arm(now, true, key, server, Kind::retransmit, server.retransmit_interval, out);  // timer G
   }
   arm(now, true, key, server, Kind::timeout, k64T1, out);  // timer H
 }
 
-void Transactions::acknowledged(Time now, const std::string& key, Outbox& out) {
+void Transactions::handle_ack_to_2xx(Time now, const std::string& key, Outbox& out) {
   const auto it = servers_.find(key);
   if (it == servers_.end() || it->second.state != State::accepted) return;
   Server& server = it->second;
@@ -264,7 +270,7 @@
   return it != servers_.end() && it->second.final_sent;
 }
 
-std::string Transactions::cancelled_by(const Message& cancel) const {
+std::string Transactions::find_cancelled_invite(const Message& cancel) const {
   std::string key = server_key(cancel, "INVITE");
   return servers_.contains(key) ? key : std::string();
 }
@@ -280,10 +286,11 @@
   client.state = State::trying;
   client.request = request;
   client.sent = request.text();
-  client.gap = kT1;
+  client.retransmit_interval = kT1;
   transport_.send(flow, client.sent, out, ticket);
-  if (!flow.reliable) arm(now, false, key, client, Kind::retransmit, client.gap, out);  // timers A and E
-  arm(now, false, key, client, Kind::timeout, k64T1, out);                              // timers B and F
+  if (!flow.reliable)
+    arm(now, false, key, client, Kind::retransmit, client.retransmit_interval, out);  // timers A and E
+  arm(now, false, key, client, Kind::timeout, k64T1, out);                            // timers B and F
   clients_.insert_or_assign(key, std::move(client));
   return key;
 }
@@ -310,7 +317,7 @@
     if (client.state == State::completed) return {};
     if (client.state != State::accepted) arm(now, false, key, client, Kind::end, k64T1, out);  // timer M
     client.state = State::accepted;
-    return key;  // repeats too: the user acknowledges each
+    return key;  // repeats as well: the transaction user acknowledges each
   }
   if (client.state == State::accepted) return {};
   ack_failure(client, answer, out);
@@ -325,7 +332,7 @@
     it->second.timers.erase(Kind::retransmit);
 }
 
-// §17.1.1.3: within the transaction, on the same branch.
+// Sends the ACK to a non-2xx final response, with the branch of the INVITE (§17.1.1.3).
 void Transactions::ack_failure(Client& client, const Message& answer, Outbox& out) {
   Message ack;
   ack.method = "ACK";
--- a/src/sip/transactions.h
+++ b/src/sip/transactions.h
@@ -1,5 +1,6 @@
-// The transactions of RFC 3261 §17, with RFC 6026's accepted state: client and server, INVITE and others,
-// with all their timers. A pure reducer: what it sends goes through the transport into the outbox.
+// The transaction layer of RFC 3261 §17 with the accepted state of RFC 6026: client and server transactions,
+// INVITE and non-INVITE, with all timers. It does no I/O and reads no clock: messages and timers come in as
+// calls, and what it sends goes through the transport into the outbox.
 #pragma once
 
 #include <map>
@@ -17,11 +18,11 @@
 constexpr Duration k64T1 = 64 * kT1;
 constexpr std::string_view kCookie = "z9hG4bK";
 
-// What a transaction user is told of the passing of time.
+// A timeout that the transaction user must handle.
 struct TimerExpiry {
   enum class What {
-    no_answer,  // timer B or F: the other side did not answer
-    no_ack,     // timer H, or 64 T1 after a 2xx
+    no_answer,  // timer B or F: no final response came
+    no_ack,     // timer H, or 64 T1 after a 2xx: no ACK came
   } what{};
   std::string key{};
 };
@@ -32,51 +33,55 @@
       : concern_(concern), transport_(transport), counters_(counters) {}
 
   // ---- server side
-  enum class RequestKind { initial, absorbed, ack };  // ack: to a 2xx, for the dialog
-  // A request came in. `key` names its transaction.
+  // initial: creates a transaction; absorbed: a repeat, or dropped at the bound; ack: to a 2xx, for the
+  // dialog.
+  enum class RequestKind { initial, absorbed, ack };
+  // Handles a received request and sets `key` to the key of its transaction.
   RequestKind receive_request(Time now, const Flow& flow, const Message& request, std::string& key,
                               Outbox& out);
   void respond(Time now, const std::string& key, const Message& answer, Outbox& out);
-  // The ACK to the transaction's 2xx has come: it is not sent again.
-  void acknowledged(Time now, const std::string& key, Outbox& out);
+  // Called for the ACK to the transaction's 2xx: stops its retransmission.
+  void handle_ack_to_2xx(Time now, const std::string& key, Outbox& out);
   const Message* request_of(const std::string& key) const;
   const Flow* flow_of(const std::string& key) const;
   bool has_final(const std::string& key) const;
-  // The INVITE transaction that a CANCEL is for.
-  std::string cancelled_by(const Message& cancel) const;
+  // Key of the INVITE transaction that a CANCEL matches (§9.2); empty where there is none.
+  std::string find_cancelled_invite(const Message& cancel) const;
 
   // ---- client side
-  // Sends the request, whose top Via has a branch of its own; returns the transaction's key.
-  // `ticket`: as in Transport::send.
+  // Sends a request, whose top Via must have a unique branch, and returns the transaction's key. `ticket`: as
+  // in Transport::send.
   std::string send_request(Time now, const Flow& flow, const Message& request, Outbox& out,
                            std::uint64_t ticket = 0);
-  // An answer came in: the key of its transaction where the user is to see it; empty where it was absorbed.
+  // Handles a received response. Returns the key of its transaction if the transaction user must handle it;
+  // empty if it was absorbed.
   std::string receive_response(Time now, const Message& answer, Outbox& out);
 
-  // Sends a request no more; its transaction still takes what comes.
+  // Stops the retransmission of a request; its transaction still handles responses.
   void stop_retransmitting(const Message& request);
-  // Ends a client transaction whose request was taken back before it was written.
+  // Ends a client transaction whose request was withdrawn before it was written.
   void forget(const std::string& key) { clients_.erase(key); }
 
+  // Handles a timer armed under its number; returns the timeouts for the transaction user.
   std::vector<TimerExpiry> fired(Time now, std::uint64_t timer, Outbox& out);
   std::size_t size() const { return servers_.size() + clients_.size(); }
 
  private:
   enum class State { trying, proceeding, completed, confirmed, accepted };
   enum class Kind { retransmit, timeout, end };
-  struct Base {
+  struct Transaction {
     Flow flow{};
     bool invite{};
     State state{};
-    std::string sent{};  // the last message, for sending again
-    Duration gap{};
+    std::string sent{};  // last message, for retransmission
+    Duration retransmit_interval{};
     std::map<Kind, std::uint64_t> timers{};
   };
-  struct Server : Base {
+  struct Server : Transaction {
     Message request{};
     bool final_sent = false;
   };
-  struct Client : Base {
+  struct Client : Transaction {
     Message request{};
   };
   struct Timer {
@@ -85,9 +90,10 @@
     Kind kind{};
   };
 
-  void arm(Time now, bool server, const std::string& key, Base& base, Kind kind, Duration after, Outbox& out);
-  void retransmit(Time now, bool server, const std::string& key, Base& base, Outbox& out);
-  static bool is_armed(const Base& base, Kind kind, std::uint64_t number);
+  void arm(Time now, bool server, const std::string& key, Transaction& transaction, Kind kind, Duration after,
+           Outbox& out);
+  void retransmit(Time now, bool server, const std::string& key, Transaction& transaction, Outbox& out);
+  static bool is_armed(const Transaction& transaction, Kind kind, std::uint64_t number);
   std::optional<TimerExpiry> server_timer_fired(Time now, std::uint64_t number, const Timer& timer,
                                                 Outbox& out);
   std::optional<TimerExpiry> client_timer_fired(Time now, std::uint64_t number, const Timer& timer,
@@ -103,8 +109,10 @@
   std::uint64_t last_timer_ = 0;
 };
 
-// The answer to a request, with the headers that it has to repeat (§8.2.6). `tag`: where To has none.
+// A response to a request with the headers that it copies from it (§8.2.6). `tag` is added to a To without
+// tag, except in a 100.
 Message answer_to(const Message& request, int status, std::string_view phrase, std::string_view tag);
+// The reason phrase of a status code; "Unknown" for codes that are not sent here.
 std::string_view phrase_of(int status);
 
 }  // namespace graniterun::sip
--- a/src/sip/transport.cpp
+++ b/src/sip/transport.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kConnectTimeout = std::chrono::seconds(2);
-constexpr std::size_t kMaxWaitingMessages = 64;  // messages for a connection that is being made
-// Connections made from here are numbered apart from those accepted.
-constexpr std::uint32_t kDialled = 1U << 31;
+constexpr std::size_t kMaxWaitingMessages = 64;  // per connection that is being established
+// Set in the numbers of connections opened from here, so that they differ from those of accepted ones.
+constexpr std::uint32_t kOutgoingBit = 1U << 31;
 
 }  // namespace
 
@@ -24,10 +24,10 @@
 
 void Transport::connected(std::uint32_t conn, Outbox& out, const Refresh& refresh) {
   open_.insert(conn);
-  for (auto& [peer, dialled] : dialled_) {
-    if (dialled.conn != conn) continue;
-    dialled.up = true;
-    for (Dialled::Message& message : std::exchange(dialled.waiting, {})) {
+  for (auto& [peer, outgoing] : outgoing_) {
+    if (outgoing.conn != conn) continue;
+    outgoing.connected = true;
+    for (OutgoingConnection::Message& message : std::exchange(outgoing.waiting, {})) {
       if (refresh && message.ticket != 0) message.text = refresh(message.ticket, std::move(message.text));
       out.send_counted({concern_, conn}, std::move(message.text), message.ticket);
     }
@@ -35,11 +35,11 @@
 }
 
 std::string Transport::connect_failed(std::uint32_t conn) {
-  for (auto it = dialled_.begin(); it != dialled_.end(); ++it) {
+  for (auto it = outgoing_.begin(); it != outgoing_.end(); ++it) {
     if (it->second.conn != conn) continue;
     counters_.add("sip.connects_failed");
     std::string peer = it->first;
-    dialled_.erase(it);
+    outgoing_.erase(it);
     return peer;
   }
   return {};
@@ -47,12 +47,12 @@
 
 std::string Transport::closed(std::uint32_t conn) {
   open_.erase(conn);
-  half_.erase(conn);
+  partial_.erase(conn);
   std::string peer;
-  for (const auto& [address, dialled] : dialled_) {
-    if (dialled.conn == conn) peer = address;
+  for (const auto& [address, outgoing] : outgoing_) {
+    if (outgoing.conn == conn) peer = address;
   }
-  dialled_.erase(peer);
+  outgoing_.erase(peer);
   return peer;
 }
 
@@ -70,14 +70,14 @@
     incoming.read = read_stream(event.bytes.substr(used));
     used += incoming.read.used;
     if (incoming.read.state == ReadState::more) break;
-    const bool lost = incoming.read.unrecoverable;
+    const bool unrecoverable = incoming.read.unrecoverable;
     messages.push_back(std::move(incoming));
-    if (lost) return messages;  // the reader of the messages closes the connection
+    if (unrecoverable) return messages;  // the caller closes the connection
   }
   if (used < event.bytes.size()) {
-    half_.insert(event.conn.number);
+    partial_.insert(event.conn.number);
   } else {
-    half_.erase(event.conn.number);
+    partial_.erase(event.conn.number);
   }
   out.net.push_back(net::Consume{event.conn, used});
   return messages;
@@ -98,23 +98,23 @@
     counters_.add("sip.messages_without_a_way");
     return;
   }
-  auto [it, fresh] = dialled_.try_emplace(flow.peer);
-  Dialled& dialled = it->second;
-  if (fresh) {
-    dialled.conn = kDialled | ++last_dialled_;
-    out.net.push_back(net::Connect{{concern_, dialled.conn}, flow.peer, kConnectTimeout});
+  auto [it, inserted] = outgoing_.try_emplace(flow.peer);
+  OutgoingConnection& outgoing = it->second;
+  if (inserted) {
+    outgoing.conn = kOutgoingBit | ++last_outgoing_;
+    out.net.push_back(net::Connect{{concern_, outgoing.conn}, flow.peer, kConnectTimeout});
   }
-  if (dialled.up) return out.send_counted({concern_, dialled.conn}, std::move(text), ticket);
-  if (dialled.waiting.size() < kMaxWaitingMessages) dialled.waiting.push_back({std::move(text), ticket});
+  if (outgoing.connected) return out.send_counted({concern_, outgoing.conn}, std::move(text), ticket);
+  if (outgoing.waiting.size() < kMaxWaitingMessages) outgoing.waiting.push_back({std::move(text), ticket});
 }
 
 bool Transport::withdraw(const Flow& flow, std::uint64_t ticket, Outbox& out) {
-  const auto it = dialled_.find(flow.peer);
-  if (it == dialled_.end()) return false;
-  Dialled& dialled = it->second;
-  if (!dialled.up)
-    return std::erase_if(dialled.waiting, [ticket](const auto& m) { return m.ticket == ticket; }) > 0;
-  out.withdraw_send({concern_, dialled.conn}, ticket, {});
+  const auto it = outgoing_.find(flow.peer);
+  if (it == outgoing_.end()) return false;
+  OutgoingConnection& outgoing = it->second;
+  if (!outgoing.connected)
+    return std::erase_if(outgoing.waiting, [ticket](const auto& m) { return m.ticket == ticket; }) > 0;
+  out.withdraw_send({concern_, outgoing.conn}, ticket, {});
   return false;
 }
 
--- a/src/sip/transport.h
+++ b/src/sip/transport.h
@@ -1,4 +1,6 @@
-// SIP over UDP and TCP: which connection or peer a message goes to, and the parting of streams into messages.
+// The SIP transport layer over UDP and TCP (RFC 3261 §18): chooses the connection or peer of each message,
+// opens TCP connections where none is open, and splits streams into messages. It does no I/O: effects go into
+// the outbox.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +16,11 @@
 
 namespace graniterun::sip {
 
-// The way to the other side.
+// How to reach the other side.
 struct Flow {
   bool reliable{};       // TCP
-  std::uint32_t conn{};  // while it is open
-  std::string peer{};    // address:port, for datagrams and where the connection is gone
+  std::uint32_t conn{};  // used while it is open
+  std::string peer{};    // address:port, for datagrams and after the connection has closed
 };
 
 struct Incoming {
@@ -31,45 +33,47 @@
   Transport(net::Concern concern, Counters& counters) : concern_(concern), counters_(counters) {}
 
   void accepted(std::uint32_t conn) { open_.insert(conn); }
-  // Gives a message that waited for its connection the text that holds now; called with its ticket.
+  // Returns the current text of a message that waited for its connection, for instance with the time left
+  // now; called for messages with a ticket.
   using Refresh = std::function<std::string(std::uint64_t ticket, std::string text)>;
   void connected(std::uint32_t conn, Outbox& out, const Refresh& refresh = {});
-  // The peer that could not be reached.
+  // Returns the address of the peer that could not be reached; empty for an unknown connection.
   std::string connect_failed(std::uint32_t conn);
-  // The peer that it had been dialled to, if it was.
+  // Returns the address that the connection was opened to from here; empty for an accepted one.
   std::string closed(std::uint32_t conn);
   std::vector<Incoming> received(const net::Received& event, Outbox& out);
   Incoming datagram(const net::Datagram& datagram) const;
 
-  // `ticket`: not 0 for a message over TCP that may be recalled while none of it is written.
+  // `ticket`: not 0 for a message over TCP that may be withdrawn while no byte of it is written.
   void send(const Flow& flow, std::string text, Outbox& out, std::uint64_t ticket = 0);
-  // Takes back the message to that peer, over a connection made from here. True: it still waited for the
-  // connection and is gone. False: the runtime looks, and tells Recalled where it was in time.
+  // Withdraws a message sent over a connection opened from here. Returns true if it still waited for the
+  // connection and is removed; false if the runtime decides, which sends WriteWithdrawn if no byte was
+  // written.
   bool withdraw(const Flow& flow, std::uint64_t ticket, Outbox& out);
   void close(std::uint32_t conn, Outbox& out);
-  // A message has begun on the connection and is not whole.
-  bool half(std::uint32_t conn) const { return half_.contains(conn); }
+  // Whether the input received so far ends within a message.
+  bool has_partial_message(std::uint32_t conn) const { return partial_.contains(conn); }
   std::size_t open() const { return open_.size(); }
 
  private:
-  struct Dialled {
+  struct OutgoingConnection {
     std::uint32_t conn{};
-    bool up{};
+    bool connected{};
     struct Message {
       std::string text;
       std::uint64_t ticket{};
     };
-    std::vector<Message> waiting{};  // for the connection
+    std::vector<Message> waiting{};  // until it is connected
   };
   net::Concern concern_;
   Counters& counters_;
   std::set<std::uint32_t> open_;
-  std::set<std::uint32_t> half_;
-  std::map<std::string, Dialled> dialled_;  // by peer
-  std::uint32_t last_dialled_ = 0;
+  std::set<std::uint32_t> partial_;                     // connections whose input ends within a message
+  std::map<std::string, OutgoingConnection> outgoing_;  // by peer
+  std::uint32_t last_outgoing_ = 0;
 };
 
-// address:port of a host part; the port is 5060 where none is named. Empty for names: nothing is looked up.
+// address:port of a host part, with port 5060 as the default. Empty for host names: there is no DNS lookup.
 std::string address_in(std::string_view host);
 
 }  // namespace graniterun::sip
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// The parsers and the ring, byte by byte and at their bounds.
+// The protocol readers and the ring buffer: input split at each byte, malformed input, and bounds.
 #include <random>
 
 #include "check.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-void sip_comes_in_pieces() {
+void sip_reader_accepts_any_split() {
   const std::string one =
       "INVITE sip:7f3a@net SIP/2.0\r\nv: SIP/2.0/TCP a;branch=z9hG4bKx\r\ni: abc\r\nCSeq: 1 INVITE\r\n"
       "Subject: folded\r\n  over lines\r\nContent-Length: 5\r\n\r\nhello";
@@ -31,23 +31,24 @@
   CHECK_EQ(again.message.text(), first.message.text());
 }
 
-void sip_refuses_what_is_malformed() {
+void sip_reader_rejects_malformed_messages() {
   const auto read = [](std::string text) { return sip::read_stream(text); };
   CHECK(read("INVITE sip:a@b SIP/2.0\r\nCall-ID: x\r\n\r\n")
-            .unrecoverable);  // no length: nothing after it can be read
+            .unrecoverable);  // no Content-Length: nothing after it can be read
   CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: -1\r\n\r\n").unrecoverable);
   CHECK(read("X\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n").unrecoverable);
   CHECK(read("INVITE sip:a@b SIP/2.0\r\nContent-Length: 99999\r\n\r\n").unrecoverable);
   CHECK(read(std::string(20000, 'a')).unrecoverable);
-  const sip::ReadResult kept = read("INVITE sip:a@b SIP/3.0\r\nCall-ID: x\r\nContent-Length: 0\r\n\r\n");
-  CHECK(kept.state == sip::ReadState::malformed && !kept.unrecoverable);
-  CHECK_EQ(kept.message.header("Call-ID"), "x");
+  const sip::ReadResult recoverable =
+      read("INVITE sip:a@b SIP/3.0\r\nCall-ID: x\r\nContent-Length: 0\r\n\r\n");
+  CHECK(recoverable.state == sip::ReadState::malformed && !recoverable.unrecoverable);
+  CHECK_EQ(recoverable.message.header("Call-ID"), "x");
   CHECK(sip::read_datagram("INVITE sip:a@b SIP/2.0\r\nContent-Length: 9\r\n\r\nshort").state ==
         sip::ReadState::malformed);
   CHECK_EQ(sip::read_datagram("INVITE sip:a@b SIP/2.0\r\nContent-Length: 2\r\n\r\nabcd").message.body, "ab");
 }
 
-void json_lines() {
+void json_lines_are_read_and_written() {
   const std::string line =
       R"({"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"left":"1500","n":3},"cause":34,"sdp":"a\r\nb"})"
       "\n";
@@ -60,15 +61,15 @@
   CHECK_EQ(*read.message.description, "a\r\nb");
   CHECK_EQ(*read.message.cause, 34);
   CHECK_EQ(jsonl::read(read.message.text()).message.text(), read.message.text());
-  const jsonl::ReadResult bad = jsonl::read("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",]\n");
-  CHECK(bad.state == jsonl::ReadState::malformed);
-  CHECK_EQ(bad.message.id, "9b1f03aa5c7e2d41");
+  const jsonl::ReadResult not_json = jsonl::read("{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d41\",]\n");
+  CHECK(not_json.state == jsonl::ReadState::malformed);
+  CHECK_EQ(not_json.message.id, "9b1f03aa5c7e2d41");
   CHECK(jsonl::read("{\"type\":\"setup\",\"id\":\"short\"}\n").message.id.empty());
-  CHECK(jsonl::read(std::string(jsonl::kLineBound, 'x')).unrecoverable);
+  CHECK(jsonl::read(std::string(jsonl::kMaxLineBytes, 'x')).unrecoverable);
   CHECK(jsonl::read(std::string(5000, '[') + "\n").state == jsonl::ReadState::malformed);
 }
 
-void events_of_the_journal() {
+void events_are_read_from_a_chunked_response() {
   http::Head head;
   const std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   CHECK(http::read_head(text.substr(0, 20), head) == http::HeadState::more);
@@ -77,7 +78,7 @@
   http::Body body(head);
   std::string out;
   CHECK_EQ(*body.take("5\r\n: hi\n\r\n1b\r\nid: 7\ndata: {\"a\":\ndata: 1}\n\r\n", out), 43U);
-  CHECK(!http::take_event(out));  // the event is not whole: no empty line yet
+  CHECK(!http::take_event(out));  // the event is incomplete: no empty line yet
   body.take("1\r\n\n\r\n0\r\n\r\n", out);
   CHECK(body.done());
   const auto event = http::take_event(out);
@@ -88,8 +89,8 @@
   CHECK(!broken.take("zz\r\n", out));
 }
 
-// The ring against a plain string.
-void ring_is_a_queue() {
+// Compares the ring with a string under random puts and drops.
+void ring_behaves_as_a_queue() {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
     net::Ring ring(5000);
@@ -111,8 +112,8 @@
   }
 }
 
-// Whatever comes in, a reader uses no more than it was given and ends.
-void readers_survive_noise() {
+// For any input, a reader returns and consumes no more than it was given.
+void readers_survive_random_bytes() {
   std::mt19937 random(7);
   const std::string seeds[] = {"INVITE sip:a@b SIP/2.0\r\nContent-Length: 3\r\n\r\nabc",
                                "{\"id\":1,\"type\":[]}\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"};
@@ -130,10 +131,10 @@
 }  // namespace
 
 int main() {
-  sip_comes_in_pieces();
-  sip_refuses_what_is_malformed();
-  json_lines();
-  events_of_the_journal();
-  ring_is_a_queue();
-  readers_survive_noise();
+  sip_reader_accepts_any_split();
+  sip_reader_rejects_malformed_messages();
+  json_lines_are_read_and_written();
+  events_are_read_from_a_chunked_response();
+  ring_behaves_as_a_queue();
+  readers_survive_random_bytes();
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's front and the setup servers' side, through the whole reducer.
+// The platform front end and the setup servers' side, driven through the complete reducer with a simulated
+// clock.
 #include <random>
 #include <set>
 
@@ -10,7 +11,7 @@
 
 namespace {
 
-void a_call_stands_and_ends() {
+void call_is_established_and_released() {
   Ready lab;
   lab.receive(kCaller, set_up());
   const sip::Message invite = lab.invite(lab.s0);
@@ -32,7 +33,8 @@
   CHECK_EQ(*release.cause, 16);
 }
 
-void a_refusal_names_a_time() {  // callers without one dialled again at once
+// Callers that get no Retry-After redial at once.
+void rejection_carries_retry_after() {
   Ready lab(1);
   lab.tell(net::Closed{lab.s0, true});
   for (const net::Connect& c : std::exchange(lab.connects, {})) lab.tell(net::ConnectFailed{c.conn, true});
@@ -43,7 +45,7 @@
   CHECK(!release.field("wait").empty());
 }
 
-void the_answer_is_given_by_the_deadline() {
+void final_answer_comes_at_the_deadline() {
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.invite(lab.s0);
@@ -56,7 +58,7 @@
   CHECK(lab.lines(kCaller).empty());
 }
 
-void a_success_that_crosses_the_cancel_is_released() {
+void late_success_after_cancel_is_released() {
   Ready lab;
   lab.receive(kCaller, set_up());
   const sip::Message invite = lab.invite(lab.s0);
@@ -73,7 +75,7 @@
   CHECK(lab.messages(lab.s0).empty() && lab.messages(lab.s1).empty() && lab.lines(kCaller).empty());
 }
 
-void after_a_reset_the_release_is_awaited() {
+void attempt_after_reset_waits_for_release_guard() {
   Ready lab;
   lab.receive(kCaller, set_up(kId, 3000));
   const sip::Message invite = lab.invite(lab.s0);
@@ -85,7 +87,7 @@
   CHECK_EQ(lab.messages(lab.s1).at(0).header("CSeq"), "2 INVITE");
 }
 
-void a_full_server_sends_the_call_elsewhere_at_once() {
+void setup_rejected_by_full_server_is_retried_elsewhere_at_once() {
   Ready lab;
   lab.receive(kCaller, set_up());
   const sip::Message invite = lab.invite(lab.s0);
@@ -94,20 +96,20 @@
   CHECK_EQ(lab.messages(lab.s1).at(0).method, "INVITE");
 }
 
-// Of the platform's server and of the trunk's alike. What is no wait is none, and its refusal counts all the
-// same.
-void a_full_server_tells_its_wait() {
-  const auto told = [](const std::string& header) {
+// P-Wait of platform servers and SIP trunks. An invalid value counts as absent, and the rejection still
+// counts.
+void retry_after_of_a_full_server_is_parsed() {
+  const auto parse = [](const std::string& header) {
     const std::string text =
         "SIP/2.0 503 x\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\n" + header + "Content-Length: 0\r\n\r\n";
     return upstream::retry_after_of(sip::read_stream(text).message);
   };
-  CHECK(told("P-Wait: 2949\r\n") == Duration(2949ms));
-  CHECK(told("P-Wait: 0\r\n") == Duration(0ms));
-  CHECK(told("P-Wait: 60000\r\n") == Duration(60s));
+  CHECK(parse("P-Wait: 2949\r\n") == Duration(2949ms));
+  CHECK(parse("P-Wait: 0\r\n") == Duration(0ms));
+  CHECK(parse("P-Wait: 60000\r\n") == Duration(60s));
   for (const char* bad : {"", "P-Wait: \r\n", "P-Wait: 60001\r\n", "P-Wait: -1\r\n", "P-Wait: 1e3\r\n",
                           "P-Wait: 99999999999999999999\r\n", "P-Wait: nan\r\n", "P-Wait: 12 ms\r\n"})
-    CHECK(!told(bad));
+    CHECK(!parse(bad));
 
   Ready lab;
   lab.receive(kCaller, set_up());
@@ -116,8 +118,8 @@
   CHECK_EQ(lab.messages(lab.s1).at(0).method, "INVITE");
 }
 
-// What the program has counted under a name.
-std::uint64_t counted(Lab& lab, const std::string& name) {
+// The value of a counter of the gatekeeper; 0 if it has none of that name.
+std::uint64_t counter_value(Lab& lab, const std::string& name) {
   net::Effects effects;
   lab.gatekeeper.step(lab.now, net::CountersRequested{}, effects);
   for (const net::Effect& effect : effects) {
@@ -128,34 +130,35 @@
   return 0;
 }
 
-// Each tick, each answer and each word of a server's state went through the whole list.
-void a_long_list_costs_nothing_while_nothing_is_due() {
+// Guards against ticks, answers and load reports that iterate over the whole endpoint list: the counter
+// servers.looked_at grows only with servers that have pending work.
+void ticks_visit_only_servers_with_pending_work() {
   Ready lab(300);
   lab.pass(1s);
-  auto looked_at = [&lab, before = std::uint64_t{0}]() mutable {
-    const std::uint64_t all = counted(lab, "servers.looked_at");
+  auto visited = [&lab, before = std::uint64_t{0}]() mutable {
+    const std::uint64_t all = counter_value(lab, "servers.looked_at");
     return all - std::exchange(before, all);
   };
-  CHECK(looked_at() <= 2 * 300);  // at its start
+  CHECK(visited() <= 2 * 300);  // at the start
   lab.pass(10s);
-  CHECK_EQ(looked_at(), 0U);
-  // One server has a call: it is looked at in each of 20 ticks a second, and once for its answer.
+  CHECK_EQ(visited(), 0U);
+  // One server has a call: it is visited by each of 20 ticks a second, and once for its answer.
   lab.receive(kCaller, set_up());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.pass(10s);
-  CHECK_EQ(looked_at(), 201U);
+  CHECK_EQ(visited(), 201U);
   lab.receive(lab.s0, server_bye(kId, 16));
-  lab.pass(15s);  // it is remembered for a while
-  looked_at();
+  lab.pass(15s);  // the released call is retained for a while
+  visited();
   lab.pass(10s);
-  CHECK_EQ(looked_at(), 0U);
-  // All tell their state twice: each on its own connection.
+  CHECK_EQ(visited(), 0U);
+  // Each server sends two load reports on its own connection.
   for (std::uint32_t i = 0; i < 600; ++i)
     lab.receive({Concern::server, lab.s0.number + i % 300},
                 "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nP-Load: x0:9\r\nContent-Length: 0\r\n\r\n");
   lab.pass(1s);
-  CHECK(looked_at() <= 600);
-  // One that is lost is looked after until it is back, and no other one is.
+  CHECK(visited() <= 600);
+  // A server whose connection is lost is visited until it is back; no other one is.
   lab.connects.clear();
   lab.tell(net::Closed{lab.s1, true});
   CHECK_EQ(lab.connects.size(), 1U);
@@ -163,22 +166,22 @@
   lab.connects.clear();
   lab.pass(1s);
   CHECK_EQ(lab.connects.size(), 1U);
-  CHECK(looked_at() <= 21);
+  CHECK(visited() <= 21);
   lab.bring_up();
   lab.pass(1s);
-  looked_at();
+  visited();
   lab.pass(10s);
-  CHECK_EQ(looked_at(), 0U);
+  CHECK_EQ(visited(), 0U);
 }
 
-// A server numbers its answers itself: with 1 in CSeq each time. Matched on that number too, the answer to a
-// further attempt at the same server was laid to the first one, and the call hung until its deadline.
-void a_further_attempt_at_the_same_server_is_answered() {
+// Servers put their own number into CSeq, always 1. If responses were matched on it as well, the answer to a
+// second attempt at the same server would go to the first one, and the call would hang until its deadline.
+void second_attempt_at_the_same_server_is_answered() {
   Ready lab(1);
   lab.receive(kCaller, set_up(kId, 4000));
   const sip::Message first = lab.invite(lab.s0);
-  lab.pass(70ms);                                    // within the throttle's budget
-  lab.receive(kCaller, set_up("00000000000000bb"));  // answered ahead of it: the first one is lost
+  lab.pass(70ms);                                    // within the throttle's latency budget
+  lab.receive(kCaller, set_up("00000000000000bb"));  // answered before it: the first one counts as lost
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "b"));
   CHECK_EQ(lab.line().id, "00000000000000bb");
   lab.messages(lab.s0);
@@ -190,13 +193,14 @@
   lab.receive(lab.s0, server_answer(first, 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
   CHECK_EQ(lab.messages(lab.s0).size(), 1U);  // the ACK: the call is not released
-  // Its end is that of the attempt that stands, on whichever connection it comes.
+  // The release ends the established attempt, on any connection.
   lab.receive(lab.s0, server_bye(kId, 16));
   CHECK_EQ(lab.line().type, "release");
 }
 
-// The first attempt's connection is the one on which the end of the second came: it was laid to the first.
-void the_end_of_a_call_may_come_on_the_connection_of_an_earlier_attempt() {
+// The release of the second attempt's call comes on the connection of the first attempt, to which it must not
+// be attributed.
+void release_may_come_on_the_connection_of_an_earlier_attempt() {
   Ready lab(1);
   lab.receive(kCaller, set_up(kId, 4000));
   const sip::Message first = lab.invite(lab.s0);
@@ -207,7 +211,7 @@
   lab.lines(kCaller);
   lab.pass(580ms);
   CHECK_EQ(lab.messages(lab.s0).back().method, "CANCEL");
-  lab.pass(100ms);  // nothing has come for 0.6 s: a second connection is tried and takes what follows
+  lab.pass(100ms);  // no input for 0.6 s: a second connection is opened and takes later setups
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
   lab.pass(400ms);
@@ -218,8 +222,9 @@
   CHECK_EQ(lab.line().type, "release");
 }
 
-// With answers known to come within 60 ms, 600 ms of silence were waited for, and 15 calls hung meanwhile.
-void a_silent_connection_is_noticed_by_what_it_owes() {
+// A server that answers within 60 ms must be found unresponsive by overdue answers: a fixed limit of 600 ms
+// without input left 15 calls hanging.
+void unresponsive_connection_is_detected_by_overdue_answers() {
   Ready lab(2);
   const auto id = [](int i) { return "00000000000000" + std::to_string(10 + i); };
   for (int i = 0; i < 8; ++i) {
@@ -235,33 +240,35 @@
   CHECK_EQ(lab.messages(lab.s0).size(), 3U);
   lab.pass(90ms);
   CHECK(lab.connects.empty());
-  lab.pass(60ms);                     // their wait is still within the throttle's budget
-  CHECK_EQ(lab.connects.size(), 1U);  // doubted: what follows goes another way, what is owed is waited for
+  lab.pass(60ms);                     // still within the throttle's latency budget
+  CHECK_EQ(lab.connects.size(), 1U);  // suspect: new setups go elsewhere, open ones wait for their answers
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
   lab.receive(kCaller, set_up(id(30)));
   const sip::Message invite = lab.invite(next);
   CHECK(std::count(lab.closed.begin(), lab.closed.end(), lab.s0) == 0);
   lab.pass(20ms);
-  lab.receive(next, server_answer(invite, 200, "a"));  // overtakes the three
+  lab.receive(next, server_answer(invite, 200, "a"));  // overtakes the three open ones
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), lab.s0), 1);
-  CHECK_EQ(std::count(lab.dropped.begin(), lab.dropped.end(), lab.s0), 1);  // read no more, not half closed
-  // Calls stood there, and what told of their end may be lost: it is told again on the next connection, which
-  // takes no set-ups and goes when it has nothing more to tell.
+  CHECK_EQ(std::count(lab.dropped.begin(), lab.dropped.end(), lab.s0),
+           1);  // dropped: reading stops, no half-close
+  // Calls are established there, and their releases may be lost: the server sends them again on the next
+  // connection, which gets no setups and is closed when no release is left to come.
   CHECK_EQ(lab.connects.size(), 1U);
-  const ConnId news = lab.connects.at(0).conn;
+  const ConnId release_conn = lab.connects.at(0).conn;
   lab.bring_up();
   lab.lines(kCaller);
-  lab.receive(news, server_bye(id(0), 16));
+  lab.receive(release_conn, server_bye(id(0), 16));
   CHECK_EQ(lab.line().type, "release");
-  for (int i = 1; i < 8; ++i) lab.receive(news, server_bye(id(i), 16));  // while they stand it is kept
+  for (int i = 1; i < 8; ++i)
+    lab.receive(release_conn, server_bye(id(i), 16));  // kept while calls are established
   CHECK_EQ(lab.lines(kCaller).size(), 7U);
   lab.messages(next);
   lab.receive(kCaller, set_up(id(31)));
   CHECK_EQ(lab.invite(next).header("Call-ID"), id(31));
   lab.messages(lab.s1);
   lab.pass(500ms);
-  CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), news), 1);
+  CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), release_conn), 1);
   std::set<std::string> again;
   for (const sip::Message& m : lab.messages(lab.s1)) {
     if (m.method == "INVITE") again.insert(std::string(m.header("Call-ID")));
@@ -269,12 +276,12 @@
   CHECK_EQ(again.size(), 3U);
 }
 
-// The connection opened in doubt fell silent at once as well, and the next one came 1.2 s later: what the
-// server had released meanwhile was told to its callers after more than the 1 s that they are owed.
-void a_second_silent_connection_is_noticed_in_time() {
+// The connection that replaces an unresponsive one is unresponsive as well. It must be replaced in time: when
+// that took 1.2 s, callers got releases later than the required 1 s.
+void second_unresponsive_connection_is_detected_in_time() {
   Ready lab(1);
   lab.stand(lab.s0);
-  const auto call_until_doubted = [&](int from) {  // calls come all the time and none is answered
+  const auto call_until_reconnect = [&](int from) {  // calls arrive continuously and none is answered
     Duration waited{};
     for (int i = from; lab.connects.empty() && waited < 3s; ++i, waited += 50ms) {
       lab.receive(kCaller, set_up("00000000000000" + std::to_string(i), 4000));
@@ -282,18 +289,19 @@
     }
     return waited;
   };
-  call_until_doubted(10);
+  call_until_reconnect(10);
   CHECK_EQ(lab.connects.size(), 1U);
-  lab.bring_up();  // silent too
-  CHECK(call_until_doubted(40) <= 900ms);
+  lab.bring_up();  // unresponsive as well
+  CHECK(call_until_reconnect(40) <= 900ms);
   const ConnId third = lab.connects.at(0).conn;
   lab.bring_up();
   lab.release_is_told_on(third);
 }
 
-// The set-ups that a doubted connection owed were given up by their callers, and it went half closed:
-// releases that the server had written there meanwhile were told nowhere.
-void a_silent_connection_where_calls_stand_is_told_about_anew() {
+// When the callers of all open setups on a suspect connection have left, it is closed although calls are
+// established there. It must be dropped and replaced, not half-closed: releases that the server has written
+// to it would be lost.
+void release_from_unresponsive_connection_arrives_on_another() {
   Ready lab(1);
   lab.stand(lab.s0);
   lab.receive(kCaller, set_up("00000000000000bb", 900));  // never answered
@@ -302,23 +310,24 @@
   lab.pass(1s);  // its caller has left
   CHECK_EQ(std::count(lab.dropped.begin(), lab.dropped.end(), lab.s0), 1);
   CHECK_EQ(lab.connects.size(), 1U);
-  const ConnId news = lab.connects.at(0).conn;
+  const ConnId release_conn = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.release_is_told_on(news);
+  lab.release_is_told_on(release_conn);
 }
 
-// The server told of calls whose connection was gone on the one that had been opened for their news. That one
-// fell silent, was let go after 0.3 s, and none was opened: a release told there meanwhile was lost.
-void news_that_falls_silent_is_asked_for_anew() {
+// Releases of calls whose connection is lost come on a connection opened for them. When that one is
+// unresponsive, another must replace it: it was closed after 0.3 s without a successor, and a release sent on
+// it was lost.
+void unresponsive_release_connection_is_replaced() {
   Ready lab(1);
   lab.stand(lab.s0);
-  lab.receive(kCaller, set_up("00000000000000bb", 4000));  // owed
+  lab.receive(kCaller, set_up("00000000000000bb", 4000));  // not answered
   for (int i = 0; i < 40 && lab.connects.empty(); ++i) lab.pass(50ms);
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.receive(lab.s0, "what is this\r\n\r\n");  // spoilt: the call that stands has no connection any more
+  lab.receive(lab.s0, "what is this\r\n\r\n");  // malformed: the established call has no connection any more
   lab.lines(kCaller);
-  for (int round = 0; round < 4; ++round) {  // each news connection is silent, and the next one soon opened
+  for (int round = 0; round < 4; ++round) {  // each release connection is unresponsive and is soon replaced
     CHECK_EQ(lab.connects.size(), 1U);
     lab.bring_up();
     Duration waited{};
@@ -332,25 +341,26 @@
   lab.bring_up();
   lab.release_is_told_on(last);
   lab.messages(last);
-  lab.pass(700ms);  // nothing is left to be told
+  lab.pass(700ms);  // no release is left to come
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), last), 1);
 }
 
-// Where the next message could still be found, the connection was kept, and what was sent on it got no
-// answer.
-void a_spoilt_answer_ends_its_connection() {
+// A malformed response closes its connection even where the begin of the next message is known: on a
+// connection that was kept, later setups got no answer.
+void malformed_response_closes_its_connection() {
   const std::string head = "\r\nCall-ID: " + kId + "\r\nCSeq: 1 INVITE\r\nContent-Length: ";
-  const std::string spoilt[] = {
-      "SIP/9.9 OK 200" + head + "1\r\n\r\na",                                  // no first line
-      "SIP/2.0 200 OK\r\n: x" + head + "1\r\n\r\na",                           // a header without a name
+  const std::string malformed[] = {
+      "SIP/9.9 OK 200" + head + "1\r\n\r\na",                                  // malformed status line
+      "SIP/2.0 200 OK\r\n: x" + head + "1\r\n\r\na",                           // header without a name
       "SIP/2.0 200 OK\r\nCall-ID: " + kId + "\r\nContent-Length: 1\r\n\r\na",  // no CSeq
-      "SIP/2.0 200 OK" + head + "1\r\n\r\na 8 101\r\n",                        // a length that is too short
-      "SIP/2.0 200 OK" + head + "3000000000\r\n\r\na",                         // one that claims to hold 3 GB
-      "SIP/2.0 200 OK" + head + "2\r\n\r\na\xff",                      // a description that is not text
-      "SIP/2.0 200 OK" + head + "20\r\n\r\nNOTIFY x SIP/2.0\r\n\r\n",  // one that has eaten the next message
-      "SIP/2.0 200 OK" + head + "20\r\n\r\na",                         // one that stops short
+      "SIP/2.0 200 OK" + head + "1\r\n\r\na 8 101\r\n",                        // Content-Length too small
+      "SIP/2.0 200 OK" + head + "3000000000\r\n\r\na",                         // Content-Length of 3 GB
+      "SIP/2.0 200 OK" + head + "2\r\n\r\na\xff",  // description that is not UTF-8
+      "SIP/2.0 200 OK" + head +
+          "20\r\n\r\nNOTIFY x SIP/2.0\r\n\r\n",  // Content-Length that includes the next message
+      "SIP/2.0 200 OK" + head + "20\r\n\r\na",   // Content-Length beyond the received bytes
   };
-  for (const std::string& bytes : spoilt) {
+  for (const std::string& bytes : malformed) {
     Ready lab;
     lab.receive(kCaller, set_up(kId, 3000));
     lab.invite(lab.s0);
@@ -363,9 +373,9 @@
   }
 }
 
-// Both came in one read, and the release was taken for what did not fit: the caller was never told (one play
-// of four of a day with spoilt answers).
-void a_release_just_ahead_of_noise_is_told() {
+// A release and malformed bytes arrive in one read. The release was discarded with them, and the caller was
+// never released, in one of four plays of a day with malformed answers.
+void release_before_malformed_bytes_is_forwarded() {
   const std::string noise =
       "\x01gx\xd7\xfe"
       "E\r\n\r\n";
@@ -374,12 +384,12 @@
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
   lab.receive(lab.s0, server_bye(kId, 16) + noise);
-  const jsonl::Message told = lab.line();
-  CHECK_EQ(told.type, "release");
-  CHECK_EQ(told.id, kId);
-  CHECK(!lab.dropped.empty() && lab.dropped[0] == lab.s0);  // nothing more can be read there
+  const jsonl::Message release = lab.line();
+  CHECK_EQ(release.type, "release");
+  CHECK_EQ(release.id, kId);
+  CHECK(!lab.dropped.empty() && lab.dropped[0] == lab.s0);  // the begin of the next message is unknown
 
-  // A refusal too: that set-up has its end, and is not in doubt.
+  // A rejection as well: its setup is finished and needs no release guard.
   Ready other;
   other.receive(kCaller, set_up(kId, 3000));
   other.receive(other.s0, server_answer(other.invite(other.s0), 503, "") + noise);
@@ -387,8 +397,9 @@
   CHECK_EQ(other.messages(other.s1).at(0).header("Call-ID"), kId);
 }
 
-// A second copy, or an answer under an unknown id, whatever it holds: what is good beside it is used.
-void more_than_belongs_to_an_answer_is_passed_over() {
+// A duplicate response, or one with an unknown id and any content, is ignored; valid messages beside it are
+// used.
+void duplicate_and_unknown_responses_are_ignored() {
   Ready lab;
   lab.receive(kCaller, set_up());
   const sip::Message invite = lab.invite(lab.s0);
@@ -401,7 +412,8 @@
   CHECK(lab.closed.empty() && lab.lines(kCaller).empty());
 }
 
-void an_answer_that_was_lost_shows_in_the_release() {  // it went unheard, and the caller was never told
+// A release before the answer was ignored, and the caller got no final answer.
+void release_without_an_answer_ends_the_setup() {
   Ready lab;
   lab.receive(kCaller, set_up(kId, 3000));
   const sip::Message invite = lab.invite(lab.s0);
@@ -414,8 +426,9 @@
   CHECK(lab.lines(kCaller).empty() && lab.messages(lab.s1).empty());
 }
 
-// It stays open and silent while the server goes on telling its state on the others: its set-ups hung there.
-void a_connection_that_is_not_told_what_others_are_is_closed() {
+// A connection that stays open without input while the server reports its load on others is half-open, and
+// its setups would hang.
+void connection_without_load_reports_that_others_carry_is_closed() {
   Ready lab;
   const std::string state = "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nContent-Length: 0\r\n\r\n";
   for (int i = 0; i < 3; ++i) {
@@ -434,7 +447,8 @@
   CHECK_EQ(lab.messages(lab.s1).at(0).header("Call-ID"), kId);
 }
 
-void nothing_new_to_a_server_that_drains() {  // also what waits for its connection
+// Nor a setup that still waits for its connection.
+void draining_server_gets_no_new_setups() {
   PlatformConfig config = config_for_tests();
   config.journal = "127.0.0.1:8500";
   Lab lab(config);
@@ -458,7 +472,7 @@
   lab.tell(net::Connected{s0});
   CHECK(lab.take(s0).empty());
   CHECK_EQ(lab.messages(s1).at(0).method, "INVITE");
-  // After a break the journal is asked for what came since.
+  // After a disconnect the watch resumes from the last event.
   lab.tell(net::Closed{journal, true});
   lab.pass(300ms);
   const ConnId again = lab.connects.back().conn;
@@ -466,39 +480,40 @@
   CHECK(lab.take(again).find("Last-Event-ID: 4\r\n") != std::string::npos);
 }
 
-// The old service may still come up, answer or end after the move, and a time to ask it again may be pending.
-void a_journal_that_moves_is_asked_for_what_is_new() {
+// After the move, the old connection may still be established, deliver events or close, and its reconnect
+// timer may be pending.
+void moved_discovery_service_is_watched_from_the_known_position() {
   for (const bool broken : {false, true}) {
     PlatformConfig config = config_for_tests();
     config.journal = "127.0.0.1:8500";
     config.known_position = 7;
     Lab lab(config);
-    const auto dialled = [&](const std::string& address) {
+    const auto connections_to = [&](const std::string& address) {
       std::vector<ConnId> all;
       for (const net::Connect& c : lab.connects) {
         if (c.address == address) all.push_back(c.conn);
       }
       return all;
     };
-    const ConnId old = dialled("127.0.0.1:8500").at(0);
+    const ConnId old = connections_to("127.0.0.1:8500").at(0);
     if (broken) lab.tell(net::ConnectFailed{old, true});
-    const nlohmann::json fresh_config = {
+    const nlohmann::json moved_config = {
         {"listen", "127.0.0.1:1"}, {"seed", "1"}, {"journal", "127.0.0.1:8501"}, {"settings", settings()}};
-    lab.tell(net::FileRead{"", fresh_config.dump()});
-    const ConnId fresh = dialled("127.0.0.1:8501").at(0);
-    lab.tell(net::Connected{fresh});
-    CHECK(lab.take(fresh).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    lab.tell(net::FileRead{"", moved_config.dump()});
+    const ConnId moved = connections_to("127.0.0.1:8501").at(0);
+    lab.tell(net::Connected{moved});
+    CHECK(lab.take(moved).find("Last-Event-ID: 7\r\n") != std::string::npos);
     if (!broken) lab.tell(net::Closed{old, false});
     lab.pass(2s);
-    CHECK_EQ(dialled("127.0.0.1:8500").size(), 1U);
-    CHECK_EQ(dialled("127.0.0.1:8501").size(), 1U);
-    // One that stops while it stays open is asked again well within 4 s.
+    CHECK_EQ(connections_to("127.0.0.1:8500").size(), 1U);
+    CHECK_EQ(connections_to("127.0.0.1:8501").size(), 1U);
+    // A service that sends nothing while its connection is open is reconnected well within 4 s.
     lab.pass(500ms);
-    CHECK_EQ(dialled("127.0.0.1:8501").size(), 2U);
+    CHECK_EQ(connections_to("127.0.0.1:8501").size(), 2U);
   }
 }
 
-void a_lost_connection_gives_up_its_set_ups_only() {
+void lost_connection_ends_its_setups_and_keeps_established_calls() {
   Ready lab;
   lab.receive(kCaller, set_up("00000000000000aa") + set_up("00000000000000bb", 3000));
   const auto invites = lab.messages(lab.s0);
@@ -508,8 +523,8 @@
   lab.tell(net::Closed{lab.s0, true});
   lab.pass(400ms);
   CHECK_EQ(lab.messages(lab.s1).at(0).header("Call-ID"), "00000000000000bb");
-  CHECK(lab.lines(kCaller).empty());  // the standing call stands
-  // Its end comes on the next connection.
+  CHECK(lab.lines(kCaller).empty());  // the established call is kept
+  // Its release comes on the next connection.
   CHECK(!lab.connects.empty());
   const ConnId next = lab.connects.back().conn;
   lab.bring_up();
@@ -519,7 +534,8 @@
   CHECK_EQ(*release.cause, 41);
 }
 
-void calls_of_a_vanished_server_are_released_in_time() {  // no release can be sent: 8 s are allowed
+// Such a server sends no release: the calls must be released within 8 s.
+void calls_at_an_unreachable_server_are_released_in_time() {
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
@@ -533,9 +549,10 @@
   CHECK_EQ(lab.line().type, "release");
 }
 
-// A silent connection is closed and its set-up waits for the guard; the server says on the next one that the
-// call had stood there and is over. The caller was told that, its final answer, and the call was sent on.
-void a_release_of_a_call_that_waits_is_its_one_answer() {
+// An unresponsive connection is closed and its setup waits for the release guard; on the next connection the
+// server releases the call, which had been established there. The caller gets that release as its final
+// answer, so no further attempt may start.
+void release_of_a_waiting_setup_is_its_only_final_answer() {
   Ready lab;
   lab.pass(300ms);
   lab.receive(kCaller, set_up(kId, 3000));
@@ -548,14 +565,15 @@
   const jsonl::Message release = lab.line();
   CHECK_EQ(release.type, "release");
   CHECK(!release.field("wait").empty());
-  lab.receive(next, server_bye(kId, 16));  // told once more: it is not passed on either
+  lab.receive(next, server_bye(kId, 16));  // repeated: not forwarded either
   CHECK_EQ(lab.messages(next).at(0).status, 200);
   lab.pass(5s);
   CHECK(lab.messages(next).empty() && lab.messages(lab.s1).empty() && lab.lines(kCaller).empty());
 }
 
-// The next attempt is out elsewhere already: it goes on, its answer is the call's, and no other follows it.
-void a_release_of_an_earlier_attempt_leaves_the_next_one() {
+// The next attempt is already open at another server: it continues, and its answer is the only one of the
+// call.
+void release_of_an_earlier_attempt_keeps_the_next_one() {
   for (const int status : {200, 503}) {
     Ready lab;
     lab.receive(kCaller, set_up(kId, 3000));
@@ -575,8 +593,8 @@
   }
 }
 
-// A call that stood before a restart: nobody holds it here, and its caller may still be there.
-void a_release_of_a_call_that_nobody_holds_is_passed_on() {
+// A call established before a restart is unknown here, but its caller may still be connected.
+void release_of_an_unknown_call_is_forwarded() {
   Ready lab;
   lab.receive(lab.s0, server_bye(kId, 41));
   const jsonl::Message release = lab.line();
@@ -584,7 +602,8 @@
   CHECK_EQ(*release.cause, 41);
 }
 
-void set_ups_at_a_vanished_server_go_elsewhere() {  // they hung until their callers gave up
+// Guards against setups that hang until their callers time out.
+void setups_at_an_unreachable_server_are_retried_elsewhere() {
   Ready lab;
   lab.receive(kCaller, set_up(kId, 4000));
   lab.invite(lab.s0);
@@ -600,7 +619,8 @@
   CHECK(std::find(lab.closed.begin(), lab.closed.end(), lab.s0) != lab.closed.end());
 }
 
-void calls_of_a_quiet_server_are_kept() {  // it has nothing to say but can be reached
+// The server sends nothing but accepts connections.
+void calls_at_an_idle_reachable_server_are_kept() {
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
@@ -612,7 +632,8 @@
   CHECK(lab.lines(kCaller).empty());
 }
 
-void a_release_finds_another_connection() {  // calls belong to none
+// Calls are not bound to a connection.
+void release_is_sent_on_another_connection() {
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
@@ -622,12 +643,12 @@
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
   CHECK_EQ(lab.lines(other).at(0).id, kId);
-  // And so does one that a server sends for a call that stood before a restart.
+  // The same holds for a release of a call that was established before a restart.
   lab.receive(lab.s0, server_bye("00000000000000cc", 16));
   CHECK_EQ(lab.lines(other).at(0).id, "00000000000000cc");
 }
 
-void malformed_lines_are_refused_and_harm_nobody() {
+void malformed_lines_are_rejected_and_affect_no_other_call() {
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.receive(kCaller, "{\"type\":\"setup\",\"id\":\"00000000000000dd\",\"fields\":{\"class\":\"no\"}}\n");
@@ -642,8 +663,9 @@
   CHECK_EQ(lab.line().type, "answer");
 }
 
-// The answer of an open call went to whoever named its id last; under a standing id there was no word at all.
-void an_id_that_is_open_belongs_to_its_caller() {
+// Guards against the answer of an open call going to the last connection that named its id, and against a
+// setup under the id of an established call without any answer.
+void open_id_belongs_to_its_caller() {
   Ready lab;
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
@@ -656,16 +678,16 @@
   lab.receive(other, R"({"type":"release","id":")" + kId + R"(","fields":{},"cause":16})" + "\n");
   lab.receive(other, R"({"type":"setup","id":")" + kId + R"(","fields":{"class":"no"}})" + "\n");
   CHECK_EQ(lab.lines(other).size(), 2U);
-  lab.receive(kCaller, set_up());  // the same call once more is no second one
+  lab.receive(kCaller, set_up());  // a copy of the same setup starts no second call
   lab.receive(lab.s0, server_answer(invite, 200, "a"));
-  CHECK_EQ(lab.messages(lab.s0).size(), 1U);  // the ACK: nothing was called off
+  CHECK_EQ(lab.messages(lab.s0).size(), 1U);  // the ACK: nothing was cancelled
   CHECK_EQ(lab.line().type, "answer");
   lab.receive(other, different);
   CHECK_EQ(lab.lines(other).at(0).type, "release");
   CHECK(lab.lines(kCaller).empty() && lab.messages(lab.s0).empty());
 }
 
-void a_set_up_that_crossed_a_close_is_answered_on_its_new_connection() {
+void setup_repeated_during_a_close_is_answered_on_its_new_connection() {
   Ready lab;
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
@@ -676,8 +698,8 @@
   CHECK_EQ(lab.lines(other).at(0).type, "answer");
 }
 
-void two_calls_under_one_id_on_one_connection_are_both_refused() {  // which one was answered could not be
-                                                                    // told
+// An answer could not be attributed to one of the two calls.
+void two_calls_under_one_id_on_one_connection_are_both_rejected() {
   Ready lab;
   std::string different = set_up();
   different.replace(different.find("offer"), 5, "other");
@@ -693,27 +715,28 @@
   return std::find(lab.closed.begin(), lab.closed.end(), conn) != lab.closed.end();
 }
 
-// Nothing closed them: callers that say nothing, or never end what they begin, filled the connections.
-void who_sends_nothing_whole_is_closed_within_three_seconds() {
+// Guards against connections without input, or with an incomplete line, that fill the connection limit.
+void connection_without_a_complete_line_is_closed_within_three_seconds() {
   Ready lab;
   const ConnId silent{Concern::platform, 2};
   const ConnId half{Concern::platform, 3};
-  const ConnId keeps{Concern::platform, 4};
-  for (const ConnId conn : {silent, half, keeps}) lab.tell(net::Accepted{conn});
+  const ConnId pinging{Concern::platform, 4};
+  for (const ConnId conn : {silent, half, pinging}) lab.tell(net::Accepted{conn});
   lab.receive(kCaller, set_up(kId, 30'000));
-  lab.receive(keeps, R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
-                     "\n");
+  lab.receive(pinging, R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
+                       "\n");
   for (int i = 0; i < 28; ++i) {  // byte by byte
     lab.pass(100ms);
     if (!is_closed(lab, half)) lab.receive(half, "{");
   }
   CHECK(is_closed(lab, silent) && is_closed(lab, half));
-  CHECK(!is_closed(lab, keeps) && !is_closed(lab, kCaller));
+  CHECK(!is_closed(lab, pinging) && !is_closed(lab, kCaller));
   lab.pass(15s);
-  CHECK(is_closed(lab, keeps) && !is_closed(lab, kCaller));  // a set-up is open there
+  CHECK(is_closed(lab, pinging) && !is_closed(lab, kCaller));  // a setup is open there
 }
 
-void there_is_room_for_callers_whoever_keeps_connections() {  // new ones were turned away
+// Guards against new callers that are not accepted.
+void idle_connections_are_closed_for_room() {
   PlatformConfig config = config_for_tests();
   config.sockets = 90;
   Lab lab(config);
@@ -731,7 +754,8 @@
   CHECK(!is_closed(lab, kCaller));
 }
 
-void figures_out_of_range_are_refused() {  // they reached the module, and servers spent work on them
+// Such numbers must not reach the decision module or the servers.
+void extras_out_of_range_are_rejected() {
   Ready lab;
   for (const std::string extras :
        {"dest:nan", "dest:1e300", "dest:-3", "dest:0.5", "dest:0;width:nan", "dest:0;width:-1",
@@ -745,7 +769,7 @@
   CHECK(lab.messages(lab.s0).empty() && lab.messages(lab.s1).empty());
 }
 
-void a_ping_passes_when_ready() {
+void pong_reports_readiness() {
   Lab lab;
   lab.tell(net::Accepted{kCaller});
   const std::string ping = R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
@@ -757,11 +781,11 @@
   CHECK_EQ(*lab.lines(kCaller).at(0).cause, 1);
 }
 
-void a_stop_lets_open_requests_finish() {
+void stop_waits_for_open_requests() {
   Ready lab;
   lab.tell(net::StopRequested{});
   lab.pass(800ms);
-  lab.receive(kCaller, set_up());  // still comes after SIGTERM
+  lab.receive(kCaller, set_up());  // arrives after SIGTERM
   const sip::Message invite = lab.invite(lab.s0);
   lab.pass(1s);
   CHECK(!lab.exit_status);
@@ -770,64 +794,64 @@
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
-// A model of a server connection against random steps: whatever happens to the connections and whatever the
-// server says, every set-up gets one final answer, no call has two attempts out, and nothing is sent on a
-// connection that is not up.
-void random_steps_keep_the_rules() {
+// Compares a model of the server connections with random events. Invariants: every setup gets one final
+// answer by its deadline, no call has two open attempts, the release guard is kept, and nothing is sent on a
+// connection that is not established.
+void random_events_keep_the_invariants() {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
     Lab lab;
     lab.tell(net::Accepted{kCaller});
-    enum class State { connecting, up, gone };
+    enum class State { connecting, connected, closed };
     std::map<ConnId, State> model;
-    struct Out {
+    struct Attempt {
       ConnId conn;
       sip::Message invite;
     };
-    std::map<std::string, Out> out;        // attempts at servers, by call
-    std::map<std::string, Time> ended_at;  // of attempts with a trace
+    std::map<std::string, Attempt> attempts;  // open attempts at servers, by call
+    std::map<std::string, Time> ended_at;     // cancelled, reset or lost attempts
     std::map<std::string, Time> deadline;
-    std::map<std::string, int> finals;
-    std::map<std::string, std::string> standing;  // the address of the server, by call
-    std::map<std::string, std::string> answered_at;
+    std::map<std::string, int> final_answers;
+    std::map<std::string, std::string> server_of_established;  // the address of the server, by call
+    std::map<std::string, std::string> answering_server;
     std::map<ConnId, std::string> address;
-    const auto look = [&] {
+    const auto observe = [&] {
       for (const net::Connect& c : std::exchange(lab.connects, {})) {
         model[c.conn] = State::connecting;
         address[c.conn] = c.address;
       }
       for (const ConnId conn : std::exchange(lab.closed, {})) {
-        model[conn] = State::gone;
-        for (auto it = out.begin(); it != out.end();) {
+        model[conn] = State::closed;
+        for (auto it = attempts.begin(); it != attempts.end();) {
           if (it->second.conn == conn) ended_at[it->first] = lab.now;
-          it = it->second.conn == conn ? out.erase(it) : std::next(it);
+          it = it->second.conn == conn ? attempts.erase(it) : std::next(it);
         }
       }
       for (auto& [conn, state] : model) {
         if (lab.sent[conn].empty()) continue;
-        CHECK(state == State::up);
+        CHECK(state == State::connected);
         for (const sip::Message& m : lab.messages(conn)) {
           const std::string id(m.header("Call-ID"));
           if (m.method == "INVITE") {
-            CHECK(!out.contains(id));
+            CHECK(!attempts.contains(id));
             CHECK(lab.now < deadline.at(id));
             if (ended_at.contains(id)) CHECK(lab.now - ended_at[id] >= 200ms);
-            out[id] = {conn, m};
+            attempts[id] = {conn, m};
           } else if (m.method == "CANCEL") {
-            out.erase(id);
+            attempts.erase(id);
             ended_at[id] = lab.now;
           }
         }
       }
       for (const jsonl::Message& m : lab.lines(kCaller)) {
-        if (m.type == "release" && standing.erase(m.id) > 0) continue;
-        CHECK_EQ(++finals[m.id], 1);
+        if (m.type == "release" && server_of_established.erase(m.id) > 0) continue;
+        CHECK_EQ(++final_answers[m.id], 1);
         CHECK(lab.now <= deadline.at(m.id));
-        if (m.type == "answer") standing[m.id] = answered_at.at(m.id);
+        if (m.type == "answer") server_of_established[m.id] = answering_server.at(m.id);
       }
     };
-    look();
-    lab.watch = look;
+    observe();
+    lab.watch = observe;
     for (int step = 0; step < 400; ++step) {
       const std::uint32_t pick = random() % 10;
       if (pick < 3) {
@@ -835,23 +859,23 @@
         std::snprintf(id, sizeof id, "%016x", static_cast<unsigned>(step + 1));
         const int left = 200 + static_cast<int>(random() % 3000);
         deadline[id] = lab.now + std::chrono::milliseconds(left);
-        finals[id] = 0;
+        final_answers[id] = 0;
         lab.receive(kCaller, set_up(id, left, static_cast<int>(random() % 2)));
-      } else if (pick < 6 && !out.empty()) {
-        auto it = out.begin();
-        std::advance(it, random() % out.size());
-        const auto [id, o] = *it;
+      } else if (pick < 6 && !attempts.empty()) {
+        auto it = attempts.begin();
+        std::advance(it, random() % attempts.size());
+        const auto [id, attempt] = *it;
         constexpr int kStatus[] = {200, 200, 200, 503, 486, 480, 504};
         const int status = kStatus[random() % 7];
-        out.erase(it);
+        attempts.erase(it);
         if (status == 504) ended_at[id] = lab.now;
-        answered_at[id] = address.at(o.conn);
-        lab.receive(o.conn, server_answer(o.invite, status, "a"));
+        answering_server[id] = address.at(attempt.conn);
+        lab.receive(attempt.conn, server_answer(attempt.invite, status, "a"));
       } else if (pick == 6) {
         for (auto& [conn, state] : model) {
           if (state != State::connecting) continue;
           const bool up = random() % 3 != 0;
-          state = up ? State::up : State::gone;
+          state = up ? State::connected : State::closed;
           if (up) {
             lab.tell(net::Connected{conn});
           } else {
@@ -861,68 +885,68 @@
         }
       } else if (pick == 7 && random() % 3 == 0) {
         for (auto& [conn, state] : model) {
-          if (state != State::up) continue;
-          state = State::gone;
-          for (auto it = out.begin(); it != out.end();) {
+          if (state != State::connected) continue;
+          state = State::closed;
+          for (auto it = attempts.begin(); it != attempts.end();) {
             if (it->second.conn == conn) ended_at[it->first] = lab.now;
-            it = it->second.conn == conn ? out.erase(it) : std::next(it);
+            it = it->second.conn == conn ? attempts.erase(it) : std::next(it);
           }
           lab.tell(net::Closed{conn, true});
           break;
         }
-      } else if (pick == 8 && !standing.empty()) {
-        const auto [id, at] = *standing.begin();
+      } else if (pick == 8 && !server_of_established.empty()) {
+        const auto [id, at] = *server_of_established.begin();
         for (auto& [conn, state] : model) {  // its release comes on every connection
-          if (state == State::up && address.at(conn) == at) lab.receive(conn, server_bye(id, 41));
+          if (state == State::connected && address.at(conn) == at) lab.receive(conn, server_bye(id, 41));
         }
       }
       lab.pass(std::chrono::milliseconds(random() % 200));
     }
-    lab.pass(4s);  // to the end of all that was asked
-    for (const auto& [id, count] : finals) CHECK_EQ(count, 1);
+    lab.pass(4s);  // past every deadline
+    for (const auto& [id, count] : final_answers) CHECK_EQ(count, 1);
   }
 }
 
 }  // namespace
 
 int main() {
-  a_call_stands_and_ends();
-  a_refusal_names_a_time();
-  the_answer_is_given_by_the_deadline();
-  a_success_that_crosses_the_cancel_is_released();
-  after_a_reset_the_release_is_awaited();
-  a_full_server_sends_the_call_elsewhere_at_once();
-  a_full_server_tells_its_wait();
-  a_long_list_costs_nothing_while_nothing_is_due();
-  a_further_attempt_at_the_same_server_is_answered();
-  the_end_of_a_call_may_come_on_the_connection_of_an_earlier_attempt();
-  a_silent_connection_is_noticed_by_what_it_owes();
-  a_second_silent_connection_is_noticed_in_time();
-  a_silent_connection_where_calls_stand_is_told_about_anew();
-  news_that_falls_silent_is_asked_for_anew();
-  a_spoilt_answer_ends_its_connection();
-  a_release_just_ahead_of_noise_is_told();
-  more_than_belongs_to_an_answer_is_passed_over();
-  an_answer_that_was_lost_shows_in_the_release();
-  a_connection_that_is_not_told_what_others_are_is_closed();
-  nothing_new_to_a_server_that_drains();
-  a_journal_that_moves_is_asked_for_what_is_new();
-  a_lost_connection_gives_up_its_set_ups_only();
-  calls_of_a_vanished_server_are_released_in_time();
-  a_release_of_a_call_that_waits_is_its_one_answer();
-  a_release_of_an_earlier_attempt_leaves_the_next_one();
-  a_release_of_a_call_that_nobody_holds_is_passed_on();
-  set_ups_at_a_vanished_server_go_elsewhere();
-  calls_of_a_quiet_server_are_kept();
-  a_release_finds_another_connection();
-  malformed_lines_are_refused_and_harm_nobody();
-  an_id_that_is_open_belongs_to_its_caller();
-  a_set_up_that_crossed_a_close_is_answered_on_its_new_connection();
-  two_calls_under_one_id_on_one_connection_are_both_refused();
-  who_sends_nothing_whole_is_closed_within_three_seconds();
-  there_is_room_for_callers_whoever_keeps_connections();
-  figures_out_of_range_are_refused();
-  a_ping_passes_when_ready();
-  a_stop_lets_open_requests_finish();
-  random_steps_keep_the_rules();
+  call_is_established_and_released();
+  rejection_carries_retry_after();
+  final_answer_comes_at_the_deadline();
+  late_success_after_cancel_is_released();
+  attempt_after_reset_waits_for_release_guard();
+  setup_rejected_by_full_server_is_retried_elsewhere_at_once();
+  retry_after_of_a_full_server_is_parsed();
+  ticks_visit_only_servers_with_pending_work();
+  second_attempt_at_the_same_server_is_answered();
+  release_may_come_on_the_connection_of_an_earlier_attempt();
+  unresponsive_connection_is_detected_by_overdue_answers();
+  second_unresponsive_connection_is_detected_in_time();
+  release_from_unresponsive_connection_arrives_on_another();
+  unresponsive_release_connection_is_replaced();
+  malformed_response_closes_its_connection();
+  release_before_malformed_bytes_is_forwarded();
+  duplicate_and_unknown_responses_are_ignored();
+  release_without_an_answer_ends_the_setup();
+  connection_without_load_reports_that_others_carry_is_closed();
+  draining_server_gets_no_new_setups();
+  moved_discovery_service_is_watched_from_the_known_position();
+  lost_connection_ends_its_setups_and_keeps_established_calls();
+  calls_at_an_unreachable_server_are_released_in_time();
+  release_of_a_waiting_setup_is_its_only_final_answer();
+  release_of_an_earlier_attempt_keeps_the_next_one();
+  release_of_an_unknown_call_is_forwarded();
+  setups_at_an_unreachable_server_are_retried_elsewhere();
+  calls_at_an_idle_reachable_server_are_kept();
+  release_is_sent_on_another_connection();
+  malformed_lines_are_rejected_and_affect_no_other_call();
+  open_id_belongs_to_its_caller();
+  setup_repeated_during_a_close_is_answered_on_its_new_connection();
+  two_calls_under_one_id_on_one_connection_are_both_rejected();
+  connection_without_a_complete_line_is_closed_within_three_seconds();
+  idle_connections_are_closed_for_room();
+  extras_out_of_range_are_rejected();
+  pong_reports_readiness();
+  stop_waits_for_open_requests();
+  random_events_keep_the_invariants();
 }
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -1,4 +1,5 @@
-// The SIP front through the whole reducer, under a clock of the test's own: RFC 3261's timers run in no time.
+// The SIP front end, driven through the complete reducer with a simulated clock, which runs RFC 3261's timers
+// at once.
 #include <random>
 
 #include "lab.h"
@@ -26,7 +27,7 @@
   std::string call_id = "c1";
   std::string team = "rich.example";
   std::string branch = "z9hG4bK1";
-  std::string more{};
+  std::string extra_headers{};
   std::string to_tag{};
   std::string transport = "UDP";
   std::string text(const std::string& method, int cseq, const std::string& body = {},
@@ -36,7 +37,7 @@
            ">;tag=ft\r\nTo: <sip:4711@net>" + (to_tag.empty() ? "" : ";tag=" + to_tag) +
            "\r\nCall-ID: " + call_id + "\r\nCSeq: " + std::to_string(cseq) + " " +
            (cseq_method.empty() ? method : cseq_method) +
-           "\r\nContact: <sip:hiker@127.0.0.1:5090>\r\nMax-Forwards: 70\r\n" + more +
+           "\r\nContact: <sip:hiker@127.0.0.1:5090>\r\nMax-Forwards: 70\r\n" + extra_headers +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
 };
@@ -48,7 +49,7 @@
     bring_up();
   }
   void udp(const std::string& text) { tell(net::Datagram{Concern::sip, kPeer, text}); }
-  std::vector<sip::Message> to_caller() {
+  std::vector<sip::Message> messages_to_caller() {
     std::vector<sip::Message> all;
     for (const net::SendDatagram& d : std::exchange(datagrams, {})) {
       CHECK_EQ(d.peer, kPeer);
@@ -58,13 +59,13 @@
     }
     return all;
   }
-  sip::Message one() {
-    const auto all = to_caller();
+  sip::Message only_message() {
+    const auto all = messages_to_caller();
     CHECK_EQ(all.size(), 1U);
     return all[0];
   }
-  // The INVITE that has gone to either server since the last look.
-  std::pair<ConnId, sip::Message> at_server() {
+  // Takes the one INVITE sent to either server since the last call.
+  std::pair<ConnId, sip::Message> take_invite() {
     std::vector<std::pair<ConnId, sip::Message>> found;
     for (const ConnId conn : {s0, s1}) {
       for (const sip::Message& m : messages(conn)) {
@@ -74,15 +75,15 @@
     CHECK_EQ(found.size(), 1U);
     return found[0];
   }
-  bool servers_are_quiet() { return take(s0).empty() && take(s1).empty(); }
-  // A call that stands; returns our tag.
-  std::string stand(Caller& caller) {
+  bool nothing_sent_to_servers() { return take(s0).empty() && take(s1).empty(); }
+  // Establishes a call; returns the gatekeeper's tag.
+  std::string establish(Caller& caller) {
     udp(caller.text("INVITE", 1, "offer"));
-    CHECK_EQ(one().status, 100);
-    std::tie(home, invite) = at_server();
-    receive(home, server_answer(invite, 200, "answer"));
-    CHECK_EQ(messages(home).at(0).method, "ACK");
-    const sip::Message ok = one();
+    CHECK_EQ(only_message().status, 100);
+    std::tie(server_conn, invite) = take_invite();
+    receive(server_conn, server_answer(invite, 200, "answer"));
+    CHECK_EQ(messages(server_conn).at(0).method, "ACK");
+    const sip::Message ok = only_message();
     CHECK_EQ(ok.status, 200);
     CHECK_EQ(ok.body, "answer");
     CHECK(!ok.header("Contact").empty());
@@ -95,89 +96,89 @@
     ack.branch += "a";
     udp(ack.text("ACK", cseq));
   }
-  ConnId s0{}, s1{}, home{};
+  ConnId s0{}, s1{}, server_conn{};
   sip::Message invite{};
 };
 
-void a_call_over_udp_stands_and_the_server_ends_it() {
+void udp_call_is_established_and_released_by_the_server() {
   SipLab lab;
   Caller caller;
-  caller.more = "Record-Route: <sip:127.0.0.1:5090;lr>\r\n";
-  lab.stand(caller);
+  caller.extra_headers = "Record-Route: <sip:127.0.0.1:5090;lr>\r\n";
+  lab.establish(caller);
   CHECK_EQ(lab.invite.body, "offer");
   CHECK_EQ(lab.invite.header("Priority-Class"), "voice");
   lab.acknowledge(caller);
   lab.pass(40s);
-  CHECK(lab.to_caller().empty());
-  lab.receive(lab.home, server_bye(std::string(lab.invite.header("Call-ID")), 16));
-  const sip::Message bye = lab.one();
+  CHECK(lab.messages_to_caller().empty());
+  lab.receive(lab.server_conn, server_bye(std::string(lab.invite.header("Call-ID")), 16));
+  const sip::Message bye = lab.only_message();
   CHECK_EQ(bye.method, "BYE");
   CHECK_EQ(bye.uri, "sip:hiker@127.0.0.1:5090");
   CHECK_EQ(bye.header("Route"), "<sip:127.0.0.1:5090;lr>");
   CHECK_EQ(sip::parameter(bye.header("From"), "tag"), caller.to_tag);
   CHECK_EQ(bye.header("Reason"), "Q.850;cause=16");
-  // Timers E and F: over UDP it is sent again at doubling gaps of up to 4 s, for 32 s.
+  // Timers E and F: over UDP it is retransmitted for 32 s, at intervals that double up to 4 s.
   lab.pass(31900ms);
-  CHECK_EQ(lab.to_caller().size(), 10U);
+  CHECK_EQ(lab.messages_to_caller().size(), 10U);
   lab.pass(10s);
-  CHECK(lab.to_caller().empty());
+  CHECK(lab.messages_to_caller().empty());
 }
 
-void the_caller_ends_a_call() {
+void caller_releases_a_call() {
   SipLab lab;
   Caller caller;
-  lab.stand(caller);
+  lab.establish(caller);
   lab.acknowledge(caller);
   caller.branch = "z9hG4bK2";
   lab.udp(caller.text("BYE", 2));
-  CHECK_EQ(lab.one().status, 200);
-  CHECK_EQ(lab.messages(lab.home).at(0).method, "BYE");
-  lab.udp(caller.text("BYE", 2));  // repeated: the same answer, no second release
-  CHECK_EQ(lab.one().status, 200);
-  CHECK(lab.servers_are_quiet());
+  CHECK_EQ(lab.only_message().status, 200);
+  CHECK_EQ(lab.messages(lab.server_conn).at(0).method, "BYE");
+  lab.udp(caller.text("BYE", 2));  // repeated: the same response, no second release
+  CHECK_EQ(lab.only_message().status, 200);
+  CHECK(lab.nothing_sent_to_servers());
   caller.branch = "z9hG4bK3";
   lab.udp(caller.text("BYE", 3));
-  CHECK_EQ(lab.one().status, 481);
+  CHECK_EQ(lab.only_message().status, 481);
 }
 
-void a_lost_ack_has_the_answer_sent_again() {
+void answer_is_retransmitted_until_the_ack() {
   SipLab lab;
   Caller caller;
-  lab.stand(caller);
+  lab.establish(caller);
   lab.pass(3600ms);  // after 0.5, 1.5 and 3.5 s
-  const auto again = lab.to_caller();
+  const auto again = lab.messages_to_caller();
   CHECK_EQ(again.size(), 3U);
   for (const sip::Message& m : again) CHECK_EQ(m.body, "answer");
   lab.acknowledge(caller);
   lab.pass(60s);
-  CHECK(lab.to_caller().empty());
+  CHECK(lab.messages_to_caller().empty());
 }
 
-void an_answer_never_acknowledged_ends_the_call() {
+void call_without_an_ack_is_released() {
   SipLab lab;
   Caller caller;
-  lab.stand(caller);
+  lab.establish(caller);
   lab.pass(31900ms);
-  lab.to_caller();
+  lab.messages_to_caller();
   lab.pass(200ms);
-  CHECK_EQ(lab.one().method, "BYE");
-  CHECK_EQ(lab.messages(lab.home).at(0).method, "BYE");
+  CHECK_EQ(lab.only_message().method, "BYE");
+  CHECK_EQ(lab.messages(lab.server_conn).at(0).method, "BYE");
 }
 
-void a_cancel_in_time() {
+void cancel_before_the_answer_ends_the_call() {
   SipLab lab;
   const Caller caller;
   lab.udp(caller.text("INVITE", 1));
-  lab.one();
-  const auto [conn, invite] = lab.at_server();
+  lab.only_message();
+  const auto [conn, invite] = lab.take_invite();
   lab.udp(caller.text("CANCEL", 1));
-  const auto answers = lab.to_caller();
+  const auto answers = lab.messages_to_caller();
   CHECK_EQ(answers.size(), 2U);
   CHECK_EQ(answers[0].header("CSeq"), "1 CANCEL");
   CHECK_EQ(answers[0].status, 200);
   CHECK_EQ(answers[1].status, 487);
   CHECK_EQ(lab.messages(conn).at(0).method, "CANCEL");
-  // The server's success crosses it: ACK, then BYE, and never a second attempt.
+  // The late success of the server gets ACK and BYE, and no second attempt follows.
   lab.receive(conn, server_answer(invite, 200, "answer"));
   const auto after = lab.messages(conn);
   CHECK_EQ(after.size(), 2U);
@@ -185,64 +186,64 @@
   CHECK_EQ(after[1].method, "BYE");
   lab.acknowledge(caller);
   lab.pass(60s);
-  CHECK(lab.servers_are_quiet());
+  CHECK(lab.nothing_sent_to_servers());
 }
 
-void a_cancel_that_crosses_our_answer_changes_nothing() {
+void cancel_after_the_answer_has_no_effect() {
   SipLab lab;
   Caller caller;
-  lab.stand(caller);
+  lab.establish(caller);
   Caller cancel = caller;
   cancel.to_tag.clear();
   lab.udp(cancel.text("CANCEL", 1));
-  CHECK_EQ(lab.one().status, 200);
-  CHECK(lab.servers_are_quiet());
+  CHECK_EQ(lab.only_message().status, 200);
+  CHECK(lab.nothing_sent_to_servers());
   lab.acknowledge(caller);
   lab.pass(60s);
-  CHECK(lab.to_caller().empty());
+  CHECK(lab.messages_to_caller().empty());
   cancel.branch = "z9hG4bKother";
   lab.udp(cancel.text("CANCEL", 1));
-  CHECK_EQ(lab.one().status, 481);
+  CHECK_EQ(lab.only_message().status, 481);
 }
 
-void repeats_are_absorbed_before_and_after_the_end() {
+void repeated_invites_are_absorbed_before_and_after_the_end() {
   SipLab lab;
   Caller caller;
-  caller.more = "Expires: 2\r\n";
+  caller.extra_headers = "Expires: 2\r\n";
   lab.udp(caller.text("INVITE", 1));
-  CHECK_EQ(lab.one().status, 100);
-  lab.at_server();
+  CHECK_EQ(lab.only_message().status, 100);
+  lab.take_invite();
   lab.udp(caller.text("INVITE", 1));
-  CHECK_EQ(lab.one().status, 100);
-  CHECK(lab.servers_are_quiet());
+  CHECK_EQ(lab.only_message().status, 100);
+  CHECK(lab.nothing_sent_to_servers());
   lab.pass(2s);
-  const sip::Message end = lab.one();
+  const sip::Message end = lab.only_message();
   CHECK_EQ(end.status, 480);
   CHECK(!end.header("Retry-After").empty());
   lab.take(lab.s0);
   lab.take(lab.s1);
-  lab.udp(caller.text("INVITE", 1));  // after the attempt was given up
-  CHECK_EQ(lab.one().text(), end.text());
+  lab.udp(caller.text("INVITE", 1));  // after the final response
+  CHECK_EQ(lab.only_message().text(), end.text());
   lab.udp(caller.text("ACK", 1));
   lab.udp(caller.text("INVITE", 1));  // after the ACK
   lab.pass(10s);
-  CHECK(lab.to_caller().empty());
-  lab.udp(caller.text("INVITE", 1));  // after the transaction
-  CHECK_EQ(lab.one().status, 482);
-  CHECK(lab.servers_are_quiet());
+  CHECK(lab.messages_to_caller().empty());
+  lab.udp(caller.text("INVITE", 1));  // after the transaction has ended
+  CHECK_EQ(lab.only_message().status, 482);
+  CHECK(lab.nothing_sent_to_servers());
 }
 
-void a_refusal_is_sent_until_it_is_acknowledged() {
+void rejection_is_retransmitted_until_the_ack() {
   SipLab lab(1);
   lab.tell(net::Closed{lab.s0, true});
   for (const net::Connect& c : std::exchange(lab.connects, {})) lab.tell(net::ConnectFailed{c.conn, true});
   Caller caller;
-  caller.more = "Expires: 1\r\n";
+  caller.extra_headers = "Expires: 1\r\n";
   lab.udp(caller.text("INVITE", 1));
   lab.pass(999ms);
   lab.datagrams.clear();
   lab.pass(1600ms);
-  const auto sent = lab.to_caller();
+  const auto sent = lab.messages_to_caller();
   CHECK(sent.size() >= 1U);
   for (const sip::Message& m : sent) {
     CHECK(m.status >= 400);
@@ -250,60 +251,60 @@
   }
 }
 
-void a_team_over_its_budget_is_refused_at_once() {
+void team_over_its_budget_is_rejected_at_once() {
   SipLab lab;
   Caller caller;
   caller.team = "poor.example";
   lab.udp(caller.text("INVITE", 1));
-  CHECK_EQ(lab.one().status, 100);
-  lab.at_server();
+  CHECK_EQ(lab.only_message().status, 100);
+  lab.take_invite();
   caller.call_id = "c2";
   caller.branch = "z9hG4bK2";
   lab.udp(caller.text("INVITE", 1));
-  const auto answers = lab.to_caller();
+  const auto answers = lab.messages_to_caller();
   CHECK_EQ(answers.at(1).status, 503);
   CHECK_EQ(answers.at(1).header("Retry-After"), "1");
-  CHECK(lab.servers_are_quiet());
+  CHECK(lab.nothing_sent_to_servers());
 }
 
-void merged_and_reinvited() {
+void merged_invite_is_rejected_and_reinvite_may_not_change_the_session() {
   SipLab lab;
   Caller caller;
-  lab.stand(caller);
+  lab.establish(caller);
   Caller merged = caller;
   merged.to_tag.clear();
   merged.branch = "z9hG4bKother";
   lab.udp(merged.text("INVITE", 1));
-  CHECK_EQ(lab.one().status, 482);
+  CHECK_EQ(lab.only_message().status, 482);
   lab.udp(merged.text("ACK", 1));
   Caller again = caller;
   again.branch = "z9hG4bK2";
   lab.udp(again.text("INVITE", 2, "offer"));  // not yet acknowledged
-  CHECK_EQ(lab.one().status, 491);
+  CHECK_EQ(lab.only_message().status, 491);
   lab.acknowledge(again, 2);
   lab.udp(again.text("ACK", 2));
   lab.acknowledge(caller);
   again.branch = "z9hG4bK3";
   lab.udp(again.text("INVITE", 3, "offer"));
-  const sip::Message refreshed = lab.one();
+  const sip::Message refreshed = lab.only_message();
   CHECK_EQ(refreshed.status, 200);
   CHECK_EQ(refreshed.body, "answer");
   lab.acknowledge(again, 3);
   again.branch = "z9hG4bK4";
   lab.udp(again.text("INVITE", 4, "another offer"));
-  CHECK_EQ(lab.one().status, 488);
+  CHECK_EQ(lab.only_message().status, 488);
   lab.udp(again.text("ACK", 4));
   lab.pass(60s);
-  CHECK(lab.to_caller().empty());
-  CHECK(lab.servers_are_quiet());
+  CHECK(lab.messages_to_caller().empty());
+  CHECK(lab.nothing_sent_to_servers());
 }
 
-void what_is_not_understood_is_answered() {
+void unsupported_requests_get_an_error_response() {
   SipLab lab;
   Caller caller;
   const auto status_of = [&](const std::string& text) {
     lab.udp(text);
-    return lab.one().status;
+    return lab.only_message().status;
   };
   CHECK_EQ(status_of(caller.text("FLY", 1)), 501);
   caller.branch += "1";
@@ -313,21 +314,21 @@
   caller.branch += "1";
   CHECK_EQ(status_of(caller.text("INVITE", 1, {}, "BYE")), 400);
   caller.branch += "1";
-  caller.more = "Require: 100rel\r\n";
+  caller.extra_headers = "Require: 100rel\r\n";
   CHECK_EQ(status_of(caller.text("INVITE", 1)), 420);
   caller.branch += "1";
-  caller.more = "Priority-Class: none\r\n";
+  caller.extra_headers = "Priority-Class: none\r\n";
   CHECK_EQ(status_of(caller.text("INVITE", 7)), 400);
   lab.udp("nonsense\r\n\r\n");
-  CHECK(lab.to_caller().empty());
+  CHECK(lab.messages_to_caller().empty());
   const ConnId stream{Concern::sip, 1};
   lab.tell(net::Accepted{stream});
   lab.receive(stream, "nonsense\r\nContent-Length: 0\r\n\r\n");
   CHECK(lab.closed.size() == 1 && lab.closed[0] == stream);
-  CHECK(lab.servers_are_quiet());
+  CHECK(lab.nothing_sent_to_servers());
 }
 
-void a_call_over_tcp_outlives_its_connection() {
+void tcp_call_outlives_its_connection() {
   SipLab lab;
   Caller caller;
   caller.transport = "TCP";
@@ -335,7 +336,7 @@
   lab.tell(net::Accepted{stream});
   for (const char c : caller.text("INVITE", 1, "offer")) lab.receive(stream, std::string(1, c));
   CHECK_EQ(lab.messages(stream).at(0).status, 100);
-  const auto [conn, invite] = lab.at_server();
+  const auto [conn, invite] = lab.take_invite();
   lab.receive(conn, server_answer(invite, 200, "answer"));
   const sip::Message ok = lab.messages(stream).at(0);
   caller.to_tag = sip::parameter(ok.header("To"), "tag");
@@ -344,16 +345,16 @@
   lab.tell(net::Closed{stream, false});
   lab.messages(conn);
   lab.receive(conn, server_bye(std::string(invite.header("Call-ID")), 41));
-  CHECK_EQ(lab.connects.back().address, kPeer);  // to the caller's contact
-  const ConnId dialled = lab.connects.back().conn;
-  lab.tell(net::Connected{dialled});
-  CHECK_EQ(lab.messages(dialled).at(0).method, "BYE");
+  CHECK_EQ(lab.connects.back().address, kPeer);  // the caller's Contact
+  const ConnId new_conn = lab.connects.back().conn;
+  lab.tell(net::Connected{new_conn});
+  CHECK_EQ(lab.messages(new_conn).at(0).method, "BYE");
 }
 
-// A caller whose stream ends, or its half, has gone as one that cancels: its attempt is called off, one that
-// waits does not begin, and an INVITE read after its half close is nobody's. It went on for a caller long
-// gone.
-void a_caller_that_closes_its_stream_has_gone() {
+// A caller that closes or half-closes its TCP connection counts as having cancelled: its open attempt is
+// cancelled, a waiting one does not start, and an INVITE read after the half-close is rejected. Guards
+// against attempts for callers that have left.
+void closing_the_tcp_connection_cancels_its_invite() {
   for (const bool half : {false, true}) {
     for (const bool waits : {false, true}) {
       SipLab lab;
@@ -362,7 +363,7 @@
       const ConnId stream{Concern::sip, 1};
       lab.tell(net::Accepted{stream});
       lab.receive(stream, caller.text("INVITE", 1, "offer"));
-      const auto [conn, invite] = lab.at_server();
+      const auto [conn, invite] = lab.take_invite();
       if (waits) {
         lab.receive(conn, server_answer(invite, 504));
         lab.messages(conn);
@@ -392,41 +393,42 @@
   }
 }
 
-// Callers that send, repeat, cancel and acknowledge at random, and servers that answer or not: each call gets
-// one final answer by its deadline, one attempt is out, and a call is not sent again within 200 ms.
-void random_steps_keep_the_rules() {
+// Callers send, repeat, cancel and acknowledge at random; servers answer or not. Invariants: each call gets
+// one final response by its deadline and has at most one open attempt, and the next attempt starts 200 ms
+// after a cancelled or reset one at the earliest.
+void random_events_keep_the_invariants() {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     std::mt19937 random(seed);
     SipLab lab;
-    struct Known {
+    struct CallState {
       Caller caller;
       Time deadline{};
       std::string final_text{};
-      std::string label{};
+      std::string correlation_id{};
     };
-    std::map<std::string, Known> calls;
-    std::map<std::string, std::pair<ConnId, sip::Message>> out;  // by the label at the servers
+    std::map<std::string, CallState> calls;
+    std::map<std::string, std::pair<ConnId, sip::Message>> attempts;  // open attempts by correlation id
     std::map<std::string, Time> ended_at;
     lab.watch = [&] {
-      for (const sip::Message& m : lab.to_caller()) {
+      for (const sip::Message& m : lab.messages_to_caller()) {
         const auto cseq = sip::cseq_of(m);
         if (m.is_request() || cseq->method != "INVITE" || m.status < 200) continue;
-        Known& k = calls.at(std::string(m.header("Call-ID")));
-        if (k.final_text.empty()) CHECK(lab.now <= k.deadline);
-        if (k.final_text.empty()) k.final_text = m.text();
-        CHECK_EQ(m.text(), k.final_text);  // a second one is the same
-        k.caller.to_tag = sip::parameter(m.header("To"), "tag");
+        CallState& call = calls.at(std::string(m.header("Call-ID")));
+        if (call.final_text.empty()) CHECK(lab.now <= call.deadline);
+        if (call.final_text.empty()) call.final_text = m.text();
+        CHECK_EQ(m.text(), call.final_text);  // a retransmission is equal
+        call.caller.to_tag = sip::parameter(m.header("To"), "tag");
       }
       for (const ConnId conn : {lab.s0, lab.s1}) {
         for (const sip::Message& m : lab.messages(conn)) {
-          const std::string label(m.header("Call-ID"));
+          const std::string correlation_id(m.header("Call-ID"));
           if (m.method == "INVITE") {
-            CHECK(!out.contains(label));
-            if (ended_at.contains(label)) CHECK(lab.now - ended_at[label] >= 200ms);
-            out[label] = {conn, m};
+            CHECK(!attempts.contains(correlation_id));
+            if (ended_at.contains(correlation_id)) CHECK(lab.now - ended_at[correlation_id] >= 200ms);
+            attempts[correlation_id] = {conn, m};
           } else if (m.method == "CANCEL") {
-            out.erase(label);
-            ended_at[label] = lab.now;
+            attempts.erase(correlation_id);
+            ended_at[correlation_id] = lab.now;
           }
         }
       }
@@ -434,14 +436,14 @@
     for (int step = 0; step < 400; ++step) {
       const std::uint32_t pick = random() % 8;
       if (pick < 2) {
-        Known k;
-        k.caller.call_id = "c" + std::to_string(step);
-        k.caller.branch = "z9hG4bK" + std::to_string(step);
+        CallState call;
+        call.caller.call_id = "c" + std::to_string(step);
+        call.caller.branch = "z9hG4bK" + std::to_string(step);
         const int left = 300 + static_cast<int>(random() % 2500);
-        k.caller.more = "Expires-Ms: " + std::to_string(left) + "\r\n";
-        k.deadline = lab.now + std::chrono::milliseconds(left);
-        calls[k.caller.call_id] = k;
-        lab.udp(k.caller.text("INVITE", 1));
+        call.caller.extra_headers = "Expires-Ms: " + std::to_string(left) + "\r\n";
+        call.deadline = lab.now + std::chrono::milliseconds(left);
+        calls[call.caller.call_id] = call;
+        lab.udp(call.caller.text("INVITE", 1));
       } else if (pick < 5 && !calls.empty()) {
         auto it = calls.begin();
         std::advance(it, random() % calls.size());
@@ -451,43 +453,44 @@
         constexpr const char* kMethods[] = {"INVITE", "CANCEL", "ACK"};
         if (pick == 3) caller.to_tag.clear();
         lab.udp(caller.text(kMethods[pick - 2], 1));
-      } else if (!out.empty()) {
-        auto it = out.begin();
-        std::advance(it, random() % out.size());
-        const auto [label, o] = *it;
+      } else if (!attempts.empty()) {
+        auto it = attempts.begin();
+        std::advance(it, random() % attempts.size());
+        const auto [correlation_id, attempt] = *it;
         constexpr int kStatus[] = {200, 200, 503, 504, 480};
         const int status = kStatus[random() % 5];
-        out.erase(it);
-        if (status == 504) ended_at[label] = lab.now;
-        lab.receive(o.first, server_answer(o.second, status, "a"));
+        attempts.erase(it);
+        if (status == 504) ended_at[correlation_id] = lab.now;
+        lab.receive(attempt.first, server_answer(attempt.second, status, "a"));
       }
       lab.pass(std::chrono::milliseconds(random() % 150));
     }
     lab.pass(5s);
-    for (const auto& [id, k] : calls) CHECK(!k.final_text.empty());
+    for (const auto& [id, call] : calls) CHECK(!call.final_text.empty());
   }
 }
 
 }  // namespace
 
-// As in the platform's front: what never ends, or says nothing, is closed; where a body does not fit, too.
-void streams_that_are_not_whole_are_closed() {
+// As in the platform front end, connections without input or without a complete message are closed. One whose
+// Content-Length does not fit its message is closed as well.
+void stream_without_a_complete_message_is_closed() {
   SipLab lab;
   const auto is_closed = [&](ConnId conn) {
     return std::find(lab.closed.begin(), lab.closed.end(), conn) != lab.closed.end();
   };
   const ConnId silent{Concern::sip, 1};
   const ConnId half{Concern::sip, 2};
-  const ConnId unfit{Concern::sip, 3};
+  const ConnId wrong_length{Concern::sip, 3};
   const ConnId good{Concern::sip, 4};
-  for (const ConnId conn : {silent, half, unfit, good}) lab.tell(net::Accepted{conn});
+  for (const ConnId conn : {silent, half, wrong_length, good}) lab.tell(net::Accepted{conn});
   Caller caller;
   caller.transport = "TCP";
   const std::string options = caller.text("OPTIONS", 1);
   lab.receive(good, options);
   CHECK_EQ(lab.messages(good).at(0).status, 200);
-  lab.receive(unfit, options + "8 101");
-  CHECK(is_closed(unfit));
+  lab.receive(wrong_length, options + "8 101");
+  CHECK(is_closed(wrong_length));
   for (const char c : options.substr(0, 25)) {
     lab.pass(100ms);
     if (!is_closed(half)) lab.receive(half, std::string(1, c));
@@ -496,19 +499,19 @@
 }
 
 int main() {
-  streams_that_are_not_whole_are_closed();
-  a_call_over_udp_stands_and_the_server_ends_it();
-  the_caller_ends_a_call();
-  a_lost_ack_has_the_answer_sent_again();
-  an_answer_never_acknowledged_ends_the_call();
-  a_cancel_in_time();
-  a_cancel_that_crosses_our_answer_changes_nothing();
-  repeats_are_absorbed_before_and_after_the_end();
-  a_refusal_is_sent_until_it_is_acknowledged();
-  a_team_over_its_budget_is_refused_at_once();
-  merged_and_reinvited();
-  what_is_not_understood_is_answered();
-  a_call_over_tcp_outlives_its_connection();
-  a_caller_that_closes_its_stream_has_gone();
-  random_steps_keep_the_rules();
+  stream_without_a_complete_message_is_closed();
+  udp_call_is_established_and_released_by_the_server();
+  caller_releases_a_call();
+  answer_is_retransmitted_until_the_ack();
+  call_without_an_ack_is_released();
+  cancel_before_the_answer_ends_the_call();
+  cancel_after_the_answer_has_no_effect();
+  repeated_invites_are_absorbed_before_and_after_the_end();
+  rejection_is_retransmitted_until_the_ack();
+  team_over_its_budget_is_rejected_at_once();
+  merged_invite_is_rejected_and_reinvite_may_not_change_the_session();
+  unsupported_requests_get_an_error_response();
+  tcp_call_outlives_its_connection();
+  closing_the_tcp_connection_cancels_its_invite();
+  random_events_keep_the_invariants();
 }
