--- a/src/codec/jsonl.cpp
+++ b/src/codec/jsonl.cpp
@@ -20,21 +20,21 @@
 }
 
 // Converts a parsed line into `m`; returns the error, empty if there is none.
-std::string read_object(const json& object, Message& m) {
+std::string read_object(const json& object, Message& message) {
   if (!object.is_object()) return "the line is not an object";
   const auto id = object.find("id");
-  if (id != object.end() && id->is_string() && is_id(id->get_ref<const std::string&>())) m.id = *id;
+  if (id != object.end() && id->is_string() && is_id(id->get_ref<const std::string&>())) message.id = *id;
   const auto type = object.find("type");
   if (type == object.end() || !type->is_string()) return "there is no type";
-  m.type = *type;
-  if (m.id.empty()) return "the id is not 16 hex digits";
+  message.type = *type;
+  if (message.id.empty()) return "the id is not 16 hex digits";
   if (const auto fields = object.find("fields"); fields != object.end()) {
     if (!fields->is_object()) return "the fields are not an object";
     for (const auto& [name, value] : fields->items()) {
       if (value.is_string()) {
-        m.fields.emplace(name, value.get<std::string>());
+        message.fields.emplace(name, value.get<std::string>());
       } else if (value.is_number()) {
-        m.fields.emplace(name, value.dump());
+        message.fields.emplace(name, value.dump());
       } else {
         return "a field is neither text nor a number";
       }
@@ -42,11 +42,11 @@
   }
   if (const auto cause = object.find("cause"); cause != object.end() && !cause->is_null()) {
     if (!cause->is_number_integer()) return "the cause is not a whole number";
-    m.cause = static_cast<int>(cause->get<std::int64_t>());
+    message.cause = static_cast<int>(cause->get<std::int64_t>());
   }
   if (const auto text = object.find("sdp"); text != object.end() && !text->is_null()) {
     if (!text->is_string()) return "the description is not text";
-    m.description = text->get<std::string>();
+    message.description = text->get<std::string>();
   }
   return {};
 }
--- a/src/codec/sip.cpp
+++ b/src/codec/sip.cpp
@@ -38,37 +38,37 @@
   return line;
 }
 
-std::string read_first_line(std::string_view line, Message& m) {
+std::string read_first_line(std::string_view line, Message& message) {
   constexpr std::string_view kVersion = "SIP/2.0";
   if (line.starts_with(kVersion) && line.size() > kVersion.size() && line[kVersion.size()] == ' ') {
     line.remove_prefix(kVersion.size() + 1);
     const auto status = number_in<int>(line.substr(0, 3));
     if (!status || *status < 100 || *status > 699 || (line.size() > 3 && line[3] != ' '))
       return "the status is not one of 100 to 699";
-    m.status = *status;
-    if (line.size() > 4) m.phrase = line.substr(4);
+    message.status = *status;
+    if (line.size() > 4) message.phrase = line.substr(4);
     return {};
   }
   const std::size_t first = line.find(' ');
   const std::size_t last = line.rfind(' ');
   if (first == std::string_view::npos || last == first || !is_token(line.substr(0, first)))
     return "the first line is neither a request's nor an answer's";
-  m.method = line.substr(0, first);
-  m.uri = line.substr(first + 1, last - first - 1);
+  message.method = line.substr(0, first);
+  message.uri = line.substr(first + 1, last - first - 1);
   if (line.substr(last + 1) != kVersion) return "the version is not SIP/2.0";
-  if (m.uri.empty() || m.uri.find(' ') != std::string::npos) return "the URI holds a space";
+  if (message.uri.empty() || message.uri.find(' ') != std::string::npos) return "the URI holds a space";
   return {};
 }
 
 // Reads the first line and the headers up to the empty line and returns the first error. Goes on after an
 // error, so that a rejection can name the transaction.
-std::string read_head(std::string_view head, Message& m) {
-  std::string error = read_first_line(take_line(head), m);
+std::string read_head(std::string_view head, Message& message) {
+  std::string error = read_first_line(take_line(head), message);
   while (!head.empty()) {
     const std::string_view line = take_line(head);
     if (line.empty()) break;
-    if ((line.front() == ' ' || line.front() == '\t') && !m.headers.empty()) {  // a folded line
-      m.headers.back().second.append(" ").append(trim(line));
+    if ((line.front() == ' ' || line.front() == '\t') && !message.headers.empty()) {  // a folded line
+      message.headers.back().second.append(" ").append(trim(line));
       continue;
     }
     const std::size_t colon = line.find(':');
@@ -77,7 +77,7 @@
       if (error.empty()) error = "a header line has no name";
       continue;
     }
-    m.add(std::string(full_name(name)), std::string(trim(line.substr(colon + 1))));
+    message.add(std::string(full_name(name)), std::string(trim(line.substr(colon + 1))));
   }
   return error;
 }
@@ -111,16 +111,16 @@
 }
 
 std::string_view Message::header(std::string_view name) const {
-  for (const auto& [n, value] : headers) {
-    if (equals_ignore_case(n, name)) return value;
+  for (const auto& [header_name, value] : headers) {
+    if (equals_ignore_case(header_name, name)) return value;
   }
   return {};
 }
 
 std::vector<std::string_view> Message::all(std::string_view name) const {
   std::vector<std::string_view> values;
-  for (const auto& [n, value] : headers) {
-    if (equals_ignore_case(n, name)) values.push_back(value);
+  for (const auto& [header_name, value] : headers) {
+    if (equals_ignore_case(header_name, name)) values.push_back(value);
   }
   return values;
 }
@@ -140,8 +140,8 @@
   return out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n").append(body);
 }
 
-std::optional<CSeq> cseq_of(const Message& m) {
-  const std::string_view value = m.header("CSeq");
+std::optional<CSeq> cseq_of(const Message& message) {
+  const std::string_view value = message.header("CSeq");
   const std::size_t space = value.find_first_of(" \t");
   if (space == std::string_view::npos) return std::nullopt;
   const auto number = number_in<std::uint32_t>(value.substr(0, space));
--- a/src/codec/sip.h
+++ b/src/codec/sip.h
@@ -38,7 +38,7 @@
   std::string_view method{};
 };
 // The CSeq header; nullopt if it is missing or malformed.
-std::optional<CSeq> cseq_of(const Message& m);
+std::optional<CSeq> cseq_of(const Message& message);
 
 // The value of a parameter such as tag or branch in a header value; empty without one.
 std::string_view parameter(std::string_view value, std::string_view name);
--- a/src/downstream/connection_reaper.h
+++ b/src/downstream/connection_reaper.h
@@ -1,6 +1,6 @@
-// Selects the connections that a front end closes: those whose current message is not complete in time, those
+// Selects the connections that a server closes: those whose current message is not complete in time, those
 // idle beyond the idle timeout, and, above the connection limit, those idle longest. Connections that are
-// kept open without use must not take the room of callers. Inputs: accepts, closes and received input; the
+// kept open without use must not take the room of clients. Inputs: accepts, closes and received input; the
 // owner closes what is selected.
 #pragma once
 
--- a/src/downstream/load_control.h
+++ b/src/downstream/load_control.h
@@ -44,11 +44,11 @@
 
   void set_gap_source(GapSource source) { source_ = std::move(source); }
   // Handles a SUBSCRIBE or NOTIFY whose server transaction `key` has no response yet.
-  void handle_subscribe(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+  void handle_subscribe(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& message,
                         Outbox& out);
-  void handle_notify(Time now, const std::string& key, const sip::Message& m, Outbox& out);
+  void handle_notify(Time now, const std::string& key, const sip::Message& message, Outbox& out);
   // Handles a response to a SUBSCRIBE or NOTIFY sent from here; other transactions are ignored.
-  void handle_response(Time now, const std::string& transaction, const sip::Message& m, Outbox& out);
+  void handle_response(Time now, const std::string& transaction, const sip::Message& message, Outbox& out);
   // Handles the timeout of such a request (timer F).
   void handle_request_timeout(Time now, const std::string& transaction);
   // Expires subscriptions, sends NOTIFYs after a change of the gaps, and refreshes own subscriptions.
@@ -84,12 +84,12 @@
 
   void respond(Time now, const std::string& key, int status, Outbox& out, const char* header = nullptr,
                const std::string& value = {});
-  void accept(Time now, const std::string& key, const sip::Message& m, const Dialog& d, Duration lifetime,
-              Outbox& out);
-  void send_notify(Time now, Subscription& s, const std::string& state, Outbox& out);
-  void send_subscribe(Time now, Neighbour& n, Outbox& out);
-  void announce_gaps(Time now, Neighbour& n, Outbox& out);
-  sip::Message make_request(const Dialog& d, const std::string& method);
+  void accept(Time now, const std::string& key, const sip::Message& message, const Dialog& dialog,
+              Duration lifetime, Outbox& out);
+  void send_notify(Time now, Subscription& subscription, const std::string& state, Outbox& out);
+  void send_subscribe(Time now, Neighbour& neighbour, Outbox& out);
+  void announce_gaps(Time now, Neighbour& neighbour, Outbox& out);
+  sip::Message make_request(const Dialog& dialog, const std::string& method);
   std::string contact(bool reliable) const;
 
   LoadControlSettings settings_;
--- a/src/downstream/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -18,7 +18,7 @@
 constexpr double kMaxCircuits = 64;  // largest `width` of a call
 constexpr std::size_t kMaxUnassignedReleases = 4096;
 constexpr Duration kReapInterval = std::chrono::milliseconds(200);
-// How long an unconfirmed release is kept, to be sent again on another connection when its own closes.
+// Retention of an unconfirmed release; until then the close of its connection sends it again on another one.
 constexpr Duration kReleaseRetention = std::chrono::seconds(8);
 
 int cause_of(bool rejected, core::RejectReason reason) {
@@ -26,20 +26,20 @@
   return reason == core::RejectReason::number_busy ? kCauseUserBusy : kCauseTemporaryFailure;
 }
 
-jsonl::Message message(std::string type, std::string id, std::optional<int> cause = {}) {
-  jsonl::Message m;
-  m.type = std::move(type);
-  m.id = std::move(id);
-  m.cause = cause;
-  return m;
+jsonl::Message make_message(std::string type, std::string id, std::optional<int> cause = {}) {
+  jsonl::Message message;
+  message.type = std::move(type);
+  message.id = std::move(id);
+  message.cause = cause;
+  return message;
 }
 
 // The fields that two setups of the same call under one id have in common. The time left is none of them: it
 // may differ between two copies.
-std::string identity_of(const jsonl::Message& m) {
-  std::string text(m.field("class"));
-  text.append("\n").append(m.field("key")).append("\n").append(m.field("extras")).append("\n");
-  return text.append(m.description.value_or(""));
+std::string identity_of(const jsonl::Message& message) {
+  std::string text(message.field("class"));
+  text.append("\n").append(message.field("key")).append("\n").append(message.field("extras")).append("\n");
+  return text.append(message.description.value_or(""));
 }
 
 using OpenPools = std::optional<std::vector<Pool>>;
@@ -83,12 +83,12 @@
 
 void Platform::start(Time now, Outbox& out) const { out.arm(net::Concern::platform, 0, now + kReapInterval); }
 
-void Platform::on(Time now, const net::Accepted& e, Outbox& out) {
+void Platform::on(Time now, const net::Accepted& event, Outbox& out) {
   counters_.add("platform.connections");
-  connections_.try_emplace(e.conn);
-  reaper_.accepted(now, e.conn);
+  connections_.try_emplace(event.conn);
+  reaper_.accepted(now, event.conn);
   for (auto& [id, line] : std::exchange(unassigned_releases_, {}))
-    send_release(now, e.conn, id, std::move(line), out);
+    send_release(now, event.conn, id, std::move(line), out);
   make_room(now, out);
 }
 
@@ -110,8 +110,9 @@
 // Closes the connections without an open setup, a partial line or an unconfirmed release. The runtime
 // delivers input that has arrived meanwhile instead of closing.
 void Platform::close_idle(Outbox& out) {
-  for (const auto& [conn, c] : connections_) {
-    if (c.waiting.empty() && c.unconfirmed_releases.empty() && !reaper_.has_partial_message(conn))
+  for (const auto& [conn, connection] : connections_) {
+    if (connection.waiting.empty() && connection.unconfirmed_releases.empty() &&
+        !reaper_.has_partial_message(conn))
       out.net.push_back(net::CloseIfIdle{conn});
   }
 }
@@ -129,8 +130,8 @@
       out.net.push_back(net::CloseIfIdle{expired.conn});
     }
   }
-  for (auto& [conn, c] : connections_)
-    std::erase_if(c.unconfirmed_releases,
+  for (auto& [conn, connection] : connections_)
+    std::erase_if(connection.unconfirmed_releases,
                   [now](const auto& pending) { return now - pending.second.sent_at > kReleaseRetention; });
 }
 
@@ -147,26 +148,26 @@
   return it != connections_.end() && !it->second.waiting.empty();
 }
 
-void Platform::on(Time now, const net::Received& e, Outbox& out) {
+void Platform::on(Time now, const net::Received& event, Outbox& out) {
   std::size_t used = 0;
   bool complete = false;
-  while (used < e.bytes.size()) {
-    const jsonl::ReadResult read = jsonl::read(e.bytes.substr(used));
+  while (used < event.bytes.size()) {
+    const jsonl::ReadResult read = jsonl::read(event.bytes.substr(used));
     if (read.state == jsonl::ReadState::more && read.used == 0) break;
     used += read.used;
     if (read.state == jsonl::ReadState::more) break;
     complete = true;
     if (read.state == jsonl::ReadState::message) {
-      handle_message(now, e.conn, read.message, out);
+      handle_message(now, event.conn, read.message, out);
       continue;
     }
-    reject_malformed(now, e.conn, read.message.id, read.error, out);
+    reject_malformed(now, event.conn, read.message.id, read.error, out);
     if (read.unrecoverable || read.message.id.empty()) {
-      return close(now, e.conn, out);
+      return close(now, event.conn, out);
     }
   }
-  reaper_.record_input(now, e.conn, complete, used < e.bytes.size());
-  out.net.push_back(net::Consume{e.conn, used});
+  reaper_.record_input(now, event.conn, complete, used < event.bytes.size());
+  out.net.push_back(net::Consume{event.conn, used});
 }
 
 void Platform::reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& error,
@@ -178,47 +179,47 @@
   // Calls of other connections under that id stay.
   if (const auto it = by_id_.find(id); it != by_id_.end() && calls_.at(it->second).conn == conn)
     release_by_caller(it->second, kCauseInvalidMessage, out);
-  jsonl::Message m = message("release", id, kCauseInvalidMessage);
-  m.fields.emplace("reason", error);
-  out.send(conn, m.text());
+  jsonl::Message message = make_message("release", id, kCauseInvalidMessage);
+  message.fields.emplace("reason", error);
+  out.send(conn, message.text());
 }
 
-void Platform::handle_message(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
-  if (m.type == "setup") return handle_setup(now, conn, m, out);
-  if (m.type == "ping") {
+void Platform::handle_message(Time now, net::ConnId conn, const jsonl::Message& message, Outbox& out) {
+  if (message.type == "setup") return handle_setup(now, conn, message, out);
+  if (message.type == "ping") {
     counters_.add("platform.pings");
-    out.send(conn, message("pong", m.id, ready_ ? 1 : 0).text());
-  } else if (m.type == "release") {
+    out.send(conn, make_message("pong", message.id, ready_ ? 1 : 0).text());
+  } else if (message.type == "release") {
     counters_.add("platform.releases_in");
-    const auto it = by_id_.find(m.id);
+    const auto it = by_id_.find(message.id);
     const bool unanswered = it != by_id_.end() && !calls_.at(it->second).established;
-    if (!unanswered) out.send(conn, message("released", m.id).text());
+    if (!unanswered) out.send(conn, make_message("released", message.id).text());
     if (it == by_id_.end()) return;
     // An established call may be released on any connection, an open setup only on its own.
     if (unanswered && calls_.at(it->second).conn != conn)
-      return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
-    release_by_caller(it->second, m.cause.value_or(kCauseNormalClearing), out);
-  } else if (m.type == "released") {
+      return reject_malformed(now, conn, message.id, "the id is that of another open call", out);
+    release_by_caller(it->second, message.cause.value_or(kCauseNormalClearing), out);
+  } else if (message.type == "released") {
     counters_.add("platform.released_in");
     if (const auto it = connections_.find(conn); it != connections_.end())
-      it->second.unconfirmed_releases.erase(m.id);
-  } else if (m.type != "progress") {
+      it->second.unconfirmed_releases.erase(message.id);
+  } else if (message.type != "progress") {
     counters_.add("platform.unknown_type");
   }
 }
 
-void Platform::handle_setup(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out) {
+void Platform::handle_setup(Time now, net::ConnId conn, const jsonl::Message& message, Outbox& out) {
   counters_.add("platform.setups");
-  if (const auto it = by_id_.find(m.id); it != by_id_.end()) {
+  if (const auto it = by_id_.find(message.id); it != by_id_.end()) {
     Call& call = calls_.at(it->second);
     const bool own = call.conn == conn;
     // A setup under an open id is the same call only if its identity is equal: any connection may name the
     // id, and a different setup of a misbehaving client would draw the answer away from the call's caller. A
     // copy on its own connection needs no second answer; one on another connection raced the close of the
     // first, and the call moves there.
-    const bool same = call.identity == identity_of(m);
+    const bool same = call.identity == identity_of(message);
     if (!same || (call.established && !own))
-      return reject_malformed(now, conn, m.id, "the id is that of another open call", out);
+      return reject_malformed(now, conn, message.id, "the id is that of another open call", out);
     if (!own) {
       if (const auto former = connections_.find(call.conn); former != connections_.end())
         former->second.waiting.erase(it->second);
@@ -230,40 +231,40 @@
   if (connections_[conn].peer_closed) {
     // The caller may have closed only its sending side: the setup is answered, and no attempt starts for it.
     counters_.add("platform.setups_of_the_gone");
-    return out.send(conn, message("release", m.id, kCauseCongestion).text());
+    return out.send(conn, make_message("release", message.id, kCauseCongestion).text());
   }
   core::Request request;
-  const std::string error = read_request(now, m, request);
-  if (!error.empty()) return reject_malformed(now, conn, m.id, error, out);
+  const std::string error = read_request(now, message, request);
+  if (!error.empty()) return reject_malformed(now, conn, message.id, error, out);
   request.call = core::call_id(core::Front::platform, ++last_call_);
-  calls_.emplace(request.call, Call{m.id, conn, identity_of(m)});
-  by_id_.emplace(m.id, request.call);
+  calls_.emplace(request.call, Call{message.id, conn, identity_of(message)});
+  by_id_.emplace(message.id, request.call);
   connections_[conn].waiting.insert(request.call);
   out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
-std::string Platform::read_request(Time now, const jsonl::Message& m, core::Request& request) const {
-  const core::NamedClass* call_class = settings_.classes->find(m.field("class"));
+std::string Platform::read_request(Time now, const jsonl::Message& message, core::Request& request) const {
+  const core::NamedClass* call_class = settings_.classes->find(message.field("class"));
   if (call_class == nullptr) return "the class is not one of the settings";
   request.call_class = call_class->place;
   request.class_name = call_class->name;
-  const auto left = number_in<double>(m.field("left"));
+  const auto left = number_in<double>(message.field("left"));
   if (!left || !(*left >= 0.0) || *left > 1e8) return "'left' is not a time in milliseconds";
   request.deadline =
       now + std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(*left));
-  request.number_text = m.field("key");
-  const auto key = jsonl::number_of_hex(m.field("key"));
+  request.number_text = message.field("key");
+  const auto key = jsonl::number_of_hex(message.field("key"));
   if (!key) return "'key' is not hex digits";
   request.number = Number{*key};
-  request.correlation_id = m.id;
-  request.redial = !m.field("retry").empty() && m.field("retry") != "0";
-  request.description = m.description.value_or("");
-  return read_extras(m.field("extras"), call_class->terms.open_pools, request);
+  request.correlation_id = message.id;
+  request.redial = !message.field("retry").empty() && message.field("retry") != "0";
+  request.description = message.description.value_or("");
+  return read_extras(message.field("extras"), call_class->terms.open_pools, request);
 }
 
-void Platform::on(Time now, const net::Closed& e, Outbox& out) {
-  reaper_.closed(e.conn);
-  const auto it = connections_.find(e.conn);
+void Platform::on(Time now, const net::Closed& event, Outbox& out) {
+  reaper_.closed(event.conn);
+  const auto it = connections_.find(event.conn);
   if (it == connections_.end()) return;
   Connection closed = std::move(it->second);
   connections_.erase(it);
@@ -271,26 +272,26 @@
   // A release that was not confirmed on this connection is sent again on another one: calls are not bound to
   // a connection.
   for (const auto& [id, release] : closed.unconfirmed_releases)
-    send_release(now, e.conn, id, release.line, out);
+    send_release(now, event.conn, id, release.line, out);
 }
 
 // The caller has closed its sending side, possibly with unread input still buffered. It may still read, so
 // each of its open setups is answered.
-void Platform::on(Time, const net::PeerClosed& e, Outbox& out) {
-  const auto it = connections_.find(e.conn);
+void Platform::on(Time, const net::PeerClosed& event, Outbox& out) {
+  const auto it = connections_.find(event.conn);
   if (it == connections_.end()) return;
   it->second.peer_closed = true;
-  answer_waiting(e.conn, it->second, out);
+  answer_waiting(event.conn, it->second, out);
 }
 
-void Platform::answer_waiting(net::ConnId conn, Connection& c, Outbox& out) {
-  for (const CallId call : c.waiting)
-    out.send(conn, message("release", calls_.at(call).id, kCauseTemporaryFailure).text());
-  cancel_waiting(c, out);
+void Platform::answer_waiting(net::ConnId conn, Connection& connection, Outbox& out) {
+  for (const CallId call : connection.waiting)
+    out.send(conn, make_message("release", calls_.at(call).id, kCauseTemporaryFailure).text());
+  cancel_waiting(connection, out);
 }
 
-void Platform::cancel_waiting(Connection& c, Outbox& out) {
-  for (const CallId call : std::exchange(c.waiting, {})) {
+void Platform::cancel_waiting(Connection& connection, Outbox& out) {
+  for (const CallId call : std::exchange(connection.waiting, {})) {
     forget(call);
     out.notify_broker(core::RequestCancelled{call});
   }
@@ -298,45 +299,46 @@
 
 // ---- the broker's effects
 
-void Platform::apply(const core::AnswerCaller& e, Outbox& out) {
-  const auto it = calls_.find(e.call);
+void Platform::apply(const core::AnswerCaller& effect, Outbox& out) {
+  const auto it = calls_.find(effect.call);
   if (it == calls_.end()) return;
   counters_.add("platform.answers");
   it->second.established = true;
-  connections_[it->second.conn].waiting.erase(e.call);
-  jsonl::Message m = message("answer", it->second.id);
-  m.description = e.description;
-  out.send(it->second.conn, m.text());
+  connections_[it->second.conn].waiting.erase(effect.call);
+  jsonl::Message message = make_message("answer", it->second.id);
+  message.description = effect.description;
+  out.send(it->second.conn, message.text());
 }
 
-void Platform::apply(const core::RejectRequest& e, Outbox& out) {
-  const auto it = calls_.find(e.call);
+void Platform::apply(const core::RejectRequest& effect, Outbox& out) {
+  const auto it = calls_.find(effect.call);
   if (it == calls_.end()) return;
-  counters_.add(e.rejected ? "platform.refusals" : "platform.failures");
-  const bool gapped = e.reason == core::RejectReason::gapped;
-  jsonl::Message m =
-      message("release", it->second.id, gapped ? e.treatment.cause : cause_of(e.rejected, e.reason));
-  if (!e.treatment.text.empty()) m.fields.emplace("reason", e.treatment.text);
-  if (e.retry_after > Duration{}) {
-    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(e.retry_after).count();
-    m.fields.emplace("wait", std::to_string(ms));
+  counters_.add(effect.rejected ? "platform.refusals" : "platform.failures");
+  const bool gapped = effect.reason == core::RejectReason::gapped;
+  jsonl::Message message = make_message(
+      "release", it->second.id, gapped ? effect.treatment.cause : cause_of(effect.rejected, effect.reason));
+  if (!effect.treatment.text.empty()) message.fields.emplace("reason", effect.treatment.text);
+  if (effect.retry_after > Duration{}) {
+    const auto ms = std::chrono::ceil<std::chrono::milliseconds>(effect.retry_after).count();
+    message.fields.emplace("wait", std::to_string(ms));
   }
-  out.send(it->second.conn, m.text());
-  forget(e.call);
+  out.send(it->second.conn, message.text());
+  forget(effect.call);
 }
 
-void Platform::apply(Time now, const core::ReleaseCaller& e, Outbox& out) {
-  const auto it = calls_.find(e.call);
+void Platform::apply(Time now, const core::ReleaseCaller& effect, Outbox& out) {
+  const auto it = calls_.find(effect.call);
   if (it == calls_.end()) return;
   counters_.add("platform.releases_out");
   const Call call = it->second;
-  forget(e.call);
-  send_release(now, call.conn, call.id, message("release", call.id, e.cause).text(), out);
+  forget(effect.call);
+  send_release(now, call.conn, call.id, make_message("release", call.id, effect.cause).text(), out);
 }
 
-void Platform::apply(Time now, const core::ForwardRelease& e, Outbox& out) {
+void Platform::apply(Time now, const core::ForwardRelease& effect, Outbox& out) {
   counters_.add("platform.releases_passed_on");
-  send_release(now, {}, e.correlation_id, message("release", e.correlation_id, e.cause).text(), out);
+  send_release(now, {}, effect.correlation_id,
+               make_message("release", effect.correlation_id, effect.cause).text(), out);
 }
 
 // Sends the release of a call on the preferred connection, else on any other, else on the next that is
--- a/src/downstream/platform.h
+++ b/src/downstream/platform.h
@@ -31,11 +31,11 @@
         reaper_(settings_.max_connections, kIdleTimeout, true) {}
 
   void start(Time now, Outbox& out) const;
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::PeerClosed& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::PeerClosed& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
   void ready(bool ready) { ready_ = ready; }
   // Sets the classes of later requests; requests that are open keep theirs.
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
@@ -46,10 +46,10 @@
   void hand_over(Outbox& out);
   std::size_t connected() const { return connections_.size(); }
 
-  void apply(const core::AnswerCaller& e, Outbox& out);
-  void apply(const core::RejectRequest& e, Outbox& out);
-  void apply(Time now, const core::ReleaseCaller& e, Outbox& out);
-  void apply(Time now, const core::ForwardRelease& e, Outbox& out);
+  void apply(const core::AnswerCaller& effect, Outbox& out);
+  void apply(const core::RejectRequest& effect, Outbox& out);
+  void apply(Time now, const core::ReleaseCaller& effect, Outbox& out);
+  void apply(Time now, const core::ForwardRelease& effect, Outbox& out);
 
  private:
   struct Call {
@@ -71,16 +71,16 @@
   // connection after 4 s.
   static constexpr Duration kIdleTimeout = std::chrono::seconds(15);
 
-  void handle_message(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
-  void handle_setup(Time now, net::ConnId conn, const jsonl::Message& m, Outbox& out);
-  std::string read_request(Time now, const jsonl::Message& m, core::Request& request) const;
+  void handle_message(Time now, net::ConnId conn, const jsonl::Message& message, Outbox& out);
+  void handle_setup(Time now, net::ConnId conn, const jsonl::Message& message, Outbox& out);
+  std::string read_request(Time now, const jsonl::Message& message, core::Request& request) const;
   void reject_malformed(Time now, net::ConnId conn, const std::string& id, const std::string& error,
                         Outbox& out);
   void close(Time now, net::ConnId conn, Outbox& out);
   void close_idle(Outbox& out);
   void make_room(Time now, Outbox& out);
-  void cancel_waiting(Connection& c, Outbox& out);
-  void answer_waiting(net::ConnId conn, Connection& c, Outbox& out);
+  void cancel_waiting(Connection& connection, Outbox& out);
+  void answer_waiting(net::ConnId conn, Connection& connection, Outbox& out);
   bool is_busy(net::ConnId conn) const;
   void send_release(Time now, net::ConnId preferred, const std::string& id, std::string line, Outbox& out);
   void release_by_caller(CallId call, int cause, Outbox& out);
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -36,14 +36,14 @@
 
 // The error for which a message is malformed (§8.1.1): a mandatory header that is missing or wrong. Empty if
 // none.
-std::string find_header_error(const sip::Message& m) {
+std::string find_header_error(const sip::Message& message) {
   for (const std::string_view name : {"Via", "From", "To", "Call-ID", "CSeq"}) {
-    if (m.header(name).empty()) return "there is no " + std::string(name);
+    if (message.header(name).empty()) return "there is no " + std::string(name);
   }
-  const auto cseq = sip::cseq_of(m);
+  const auto cseq = sip::cseq_of(message);
   if (!cseq) return "CSeq is malformed";
-  if (m.is_request() && cseq->method != m.method) return "CSeq names another method";
-  if (sip::parameter(m.header("From"), "tag").empty()) return "From has no tag";
+  if (message.is_request() && cseq->method != message.method) return "CSeq names another method";
+  if (sip::parameter(message.header("From"), "tag").empty()) return "From has no tag";
   return {};
 }
 
@@ -51,12 +51,12 @@
   return std::string(call_id).append("|").append(local_tag).append("|").append(remote_tag);
 }
 
-std::string merge_key(const sip::Message& m) {
-  return std::string(m.header("Call-ID"))
+std::string merge_key(const sip::Message& message) {
+  return std::string(message.header("Call-ID"))
       .append("|")
-      .append(sip::parameter(m.header("From"), "tag"))
+      .append(sip::parameter(message.header("From"), "tag"))
       .append("|")
-      .append(m.header("CSeq"));
+      .append(message.header("CSeq"));
 }
 
 // FNV-1a: the same value for the same text on every gatekeeper.
@@ -73,9 +73,9 @@
 
 // The flow of the responses to a request (§18.2.2, RFC 3581); adds received and rport to its top Via over
 // UDP.
-sip::Flow record_source(const sip::Flow& flow, sip::Message& m) {
+sip::Flow record_source(const sip::Flow& flow, sip::Message& message) {
   sip::Flow response_flow = flow;
-  for (auto& [name, value] : m.headers) {
+  for (auto& [name, value] : message.headers) {
     if (!sip::equals_ignore_case(name, "Via")) continue;
     const std::string_view first = std::string_view(value).substr(0, value.find(','));
     const std::size_t space = first.find_first_of(" \t");
@@ -126,10 +126,10 @@
 
 // ---- input
 
-void Sip::on(Time now, const net::Accepted& e, Outbox& out) {
+void Sip::on(Time now, const net::Accepted& event, Outbox& out) {
   counters_.add("sip.connections");
-  transport_.accepted(e.conn.number);
-  reaper_.accepted(now, e.conn);
+  transport_.accepted(event.conn.number);
+  reaper_.accepted(now, event.conn);
   make_room(now, out);
 }
 
@@ -151,18 +151,18 @@
     transport_.close(conn.number, out);
   }
 }
-void Sip::on(Time, const net::Connected& e, Outbox& out) { transport_.connected(e.conn.number, out); }
-void Sip::on(Time, const net::ConnectFailed& e, Outbox&) { transport_.connect_failed(e.conn.number); }
-void Sip::on(Time now, const net::Closed& e, Outbox& out) {
-  reaper_.closed(e.conn);
-  transport_.closed(e.conn.number);
-  closed_by_peer_.erase(e.conn.number);
-  cancel_unanswered(now, e.conn.number, out);
+void Sip::on(Time, const net::Connected& event, Outbox& out) { transport_.connected(event.conn.number, out); }
+void Sip::on(Time, const net::ConnectFailed& event, Outbox&) { transport_.connect_failed(event.conn.number); }
+void Sip::on(Time now, const net::Closed& event, Outbox& out) {
+  reaper_.closed(event.conn);
+  transport_.closed(event.conn.number);
+  closed_by_peer_.erase(event.conn.number);
+  cancel_unanswered(now, event.conn.number, out);
 }
 
-void Sip::on(Time now, const net::PeerClosed& e, Outbox& out) {
-  closed_by_peer_.insert(e.conn.number);
-  cancel_unanswered(now, e.conn.number, out);
+void Sip::on(Time now, const net::PeerClosed& event, Outbox& out) {
+  closed_by_peer_.insert(event.conn.number);
+  cancel_unanswered(now, event.conn.number, out);
 }
 
 // Cancels the INVITEs without a final response whose TCP connection the caller has closed, as a CANCEL does:
@@ -183,47 +183,47 @@
   }
 }
 
-void Sip::on(Time now, const net::Received& e, Outbox& out) {
-  std::vector<sip::Incoming> messages = transport_.received(e, out);
-  reaper_.record_input(now, e.conn, !messages.empty(), transport_.has_partial_message(e.conn.number));
+void Sip::on(Time now, const net::Received& event, Outbox& out) {
+  std::vector<sip::Incoming> messages = transport_.received(event, out);
+  reaper_.record_input(now, event.conn, !messages.empty(), transport_.has_partial_message(event.conn.number));
   for (sip::Incoming& incoming : messages) handle_incoming(now, std::move(incoming), out);
 }
 
-void Sip::on(Time now, const net::Datagram& e, Outbox& out) {
-  handle_incoming(now, transport_.datagram(e), out);
+void Sip::on(Time now, const net::Datagram& event, Outbox& out) {
+  handle_incoming(now, transport_.datagram(event), out);
 }
 
 void Sip::handle_incoming(Time now, sip::Incoming incoming, Outbox& out) {
   if (incoming.read.state == sip::ReadState::more) return;
   counters_.add("sip.messages_in");
-  sip::Message& m = incoming.read.message;
+  sip::Message& message = incoming.read.message;
   if (incoming.read.state == sip::ReadState::message) {
-    if (std::string error = find_header_error(m); !error.empty()) {
+    if (std::string error = find_header_error(message); !error.empty()) {
       incoming.read.state = sip::ReadState::malformed;
       incoming.read.error = std::move(error);
     }
   }
   if (incoming.read.state == sip::ReadState::malformed) return reject_malformed(now, incoming, out);
-  if (m.is_request()) {
-    const sip::Flow flow = record_source(incoming.flow, m);
-    return handle_request(now, flow, m, out);
+  if (message.is_request()) {
+    const sip::Flow flow = record_source(incoming.flow, message);
+    return handle_request(now, flow, message, out);
   }
   // A response to a BYE needs no action; load control ignores its transaction.
-  if (const std::string key = transactions_.receive_response(now, m, out); !key.empty())
-    load_control_.handle_response(now, key, m, out);
+  if (const std::string key = transactions_.receive_response(now, message, out); !key.empty())
+    load_control_.handle_response(now, key, message, out);
 }
 
 // Responds 400 if the transaction can be read; otherwise closes a stream and drops a datagram.
 void Sip::reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out) {
   counters_.add("sip.malformed");
   malformed_warning_.line(now, "SIP message rejected: " + incoming.read.error, out);
-  sip::Message m = incoming.read.message;
-  const bool answerable = m.is_request() && !m.method.empty() && m.method != "ACK" &&
-                          !m.header("Via").empty() && !m.header("Call-ID").empty() &&
-                          !m.header("CSeq").empty();
+  sip::Message message = incoming.read.message;
+  const bool answerable = message.is_request() && !message.method.empty() && message.method != "ACK" &&
+                          !message.header("Via").empty() && !message.header("Call-ID").empty() &&
+                          !message.header("CSeq").empty();
   if (answerable) {
-    const sip::Flow flow = record_source(incoming.flow, m);
-    sip::Message response = sip::answer_to(m, 400, sip::phrase_of(400), ids_.next());
+    const sip::Flow flow = record_source(incoming.flow, message);
+    sip::Message response = sip::answer_to(message, 400, sip::phrase_of(400), ids_.next());
     response.add("Warning", "399 graniterun \"" + incoming.read.error + "\"");
     transport_.send(flow, response.text(), out);
   }
@@ -233,42 +233,43 @@
   }
 }
 
-void Sip::handle_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out) {
+void Sip::handle_request(Time now, const sip::Flow& flow, const sip::Message& message, Outbox& out) {
   std::string key;
-  switch (transactions_.receive_request(now, flow, m, key, out)) {
+  switch (transactions_.receive_request(now, flow, message, key, out)) {
     case sip::Transactions::RequestKind::absorbed:
       return;
     case sip::Transactions::RequestKind::ack:
-      return handle_ack(now, m, out);
+      return handle_ack(now, message, out);
     case sip::Transactions::RequestKind::initial:
       break;
   }
-  if (m.method == "CANCEL") return handle_cancel(now, key, m, out);
-  if (m.header("Max-Forwards") == "0" && m.method != "OPTIONS") return respond(now, key, 483, out);
-  const bool in_dialog = !sip::parameter(m.header("To"), "tag").empty();
-  if (const std::string_view required = m.header("Require"); !required.empty()) {
-    sip::Message response = sip::answer_to(m, 420, sip::phrase_of(420), ids_.next());
+  if (message.method == "CANCEL") return handle_cancel(now, key, message, out);
+  if (message.header("Max-Forwards") == "0" && message.method != "OPTIONS")
+    return respond(now, key, 483, out);
+  const bool in_dialog = !sip::parameter(message.header("To"), "tag").empty();
+  if (const std::string_view required = message.header("Require"); !required.empty()) {
+    sip::Message response = sip::answer_to(message, 420, sip::phrase_of(420), ids_.next());
     response.add("Unsupported", std::string(required));
     return transactions_.respond(now, key, response, out);
   }
-  if (m.method == "INVITE") {
-    if (!in_dialog) return handle_invite(now, key, flow, m, out);
-    Call* call = find(find_call_id(m));
-    return call == nullptr ? respond(now, key, 481, out) : handle_reinvite(now, key, *call, m, out);
+  if (message.method == "INVITE") {
+    if (!in_dialog) return handle_invite(now, key, flow, message, out);
+    Call* call = find(find_call_id(message));
+    return call == nullptr ? respond(now, key, 481, out) : handle_reinvite(now, key, *call, message, out);
   }
-  if (m.method == "BYE") return handle_bye(now, key, m, out);
-  if (m.method == "SUBSCRIBE") return load_control_.handle_subscribe(now, key, flow, m, out);
-  if (m.method == "NOTIFY") return load_control_.handle_notify(now, key, m, out);
-  if (m.method == "OPTIONS") {
+  if (message.method == "BYE") return handle_bye(now, key, message, out);
+  if (message.method == "SUBSCRIBE") return load_control_.handle_subscribe(now, key, flow, message, out);
+  if (message.method == "NOTIFY") return load_control_.handle_notify(now, key, message, out);
+  if (message.method == "OPTIONS") {
     sip::Message answer =
-        sip::answer_to(m, ready_ ? 200 : 503, sip::phrase_of(ready_ ? 200 : 503), ids_.next());
+        sip::answer_to(message, ready_ ? 200 : 503, sip::phrase_of(ready_ ? 200 : 503), ids_.next());
     answer.add("Allow", std::string(kAllow));
     answer.add("Accept", "application/sdp");
     if (!ready_) answer.add("Retry-After", retry_after(kNotReadyRetryAfter));
     return transactions_.respond(now, key, answer, out);
   }
   const bool known = std::any_of(std::begin(kUnsupportedMethods), std::end(kUnsupportedMethods),
-                                 [&](const char* name) { return m.method == name; });
+                                 [&](const char* name) { return message.method == name; });
   counters_.add("sip.unknown_methods");
   respond(now, key, known ? 405 : 501, out);
 }
@@ -276,15 +277,15 @@
 void Sip::respond(Time now, const std::string& key, int status, Outbox& out, const std::string& warning) {
   const sip::Message* request = transactions_.request_of(key);
   if (request == nullptr) return;
-  sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), ids_.next());
-  if (status == 405 || status == 501) m.add("Allow", std::string(kAllow));
-  if (!warning.empty()) m.add("Warning", "399 graniterun \"" + warning + "\"");
-  transactions_.respond(now, key, m, out);
+  sip::Message message = sip::answer_to(*request, status, sip::phrase_of(status), ids_.next());
+  if (status == 405 || status == 501) message.add("Allow", std::string(kAllow));
+  if (!warning.empty()) message.add("Warning", "399 graniterun \"" + warning + "\"");
+  transactions_.respond(now, key, message, out);
 }
 
 // ---- new calls
 
-void Sip::handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+void Sip::handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& message,
                         Outbox& out) {
   counters_.add("sip.invites");
   while (!recent_invites_order_.empty() && (now - recent_invites_order_.front().first > 2 * sip::k64T1 ||
@@ -293,7 +294,7 @@
     recent_invites_order_.pop_front();
   }
   // A merged request (§8.2.2.2), or a repeat after its transaction has ended, must not start a second call.
-  const std::string merge = merge_key(m);
+  const std::string merge = merge_key(message);
   if (!recent_invites_.emplace(merge, key).second) {
     counters_.add("sip.merged");
     return respond(now, key, 482, out);
@@ -302,86 +303,87 @@
 
   if (flow.reliable && closed_by_peer_.contains(flow.conn)) return respond(now, key, 487, out);
   core::Request request;
-  if (const std::string error = read_request(now, m, request); !error.empty()) {
+  if (const std::string error = read_request(now, message, request); !error.empty()) {
     counters_.add("sip.malformed");
-    return respond(now, key, m.uri.starts_with("sip:") ? 400 : 416, out, error);
+    return respond(now, key, message.uri.starts_with("sip:") ? 400 : 416, out, error);
   }
   if (calls_.size() >= kMaxCalls) {
-    sip::Message response = sip::answer_to(m, 503, sip::phrase_of(503), ids_.next());
+    sip::Message response = sip::answer_to(message, 503, sip::phrase_of(503), ids_.next());
     response.add("Retry-After", retry_after(kNotReadyRetryAfter));
     return transactions_.respond(now, key, response, out);
   }
   request.call = core::call_id(core::Front::sip, ++last_call_);
   Call call;
   call.invite = key;
-  call.offer = m.body;
-  Dialog& d = call.dialog;
+  call.offer = message.body;
+  Dialog& dialog = call.dialog;
   const std::string tag = ids_.next();
-  d.call_id = m.header("Call-ID");
-  d.local = std::string(m.header("To")).append(";tag=").append(tag);
-  d.remote = m.header("From");
-  const std::string_view contact = m.header("Contact");
-  d.target = sip::uri_in(contact.empty() ? m.header("From") : contact);
-  for (const std::string_view route : m.all("Record-Route")) d.routes.emplace_back(route);
-  d.remote_cseq = sip::cseq_of(m)->number;
-  d.flow = flow;
-  by_dialog_.emplace(dialog_key(d.call_id, tag, sip::parameter(d.remote, "tag")), request.call);
+  dialog.call_id = message.header("Call-ID");
+  dialog.local = std::string(message.header("To")).append(";tag=").append(tag);
+  dialog.remote = message.header("From");
+  const std::string_view contact = message.header("Contact");
+  dialog.target = sip::uri_in(contact.empty() ? message.header("From") : contact);
+  for (const std::string_view route : message.all("Record-Route")) dialog.routes.emplace_back(route);
+  dialog.remote_cseq = sip::cseq_of(message)->number;
+  dialog.flow = flow;
+  by_dialog_.emplace(dialog_key(dialog.call_id, tag, sip::parameter(dialog.remote, "tag")), request.call);
   by_invite_.emplace(key, request.call);
   calls_.emplace(request.call, std::move(call));
-  transactions_.respond(now, key, sip::answer_to(m, 100, sip::phrase_of(100), {}), out);
+  transactions_.respond(now, key, sip::answer_to(message, 100, sip::phrase_of(100), {}), out);
   out.notify_broker(core::RequestReceived{std::move(request)});
 }
 
-std::string Sip::read_request(Time now, const sip::Message& m, core::Request& request) {
-  if (!m.uri.starts_with("sip:")) return "the URI's scheme is not sip";
-  request.number_text = sip::user_of(m.uri);
+std::string Sip::read_request(Time now, const sip::Message& message, core::Request& request) {
+  if (!message.uri.starts_with("sip:")) return "the URI's scheme is not sip";
+  request.number_text = sip::user_of(message.uri);
   if (request.number_text.empty()) return "the URI names no number";
   request.number = Number{jsonl::number_of_hex(request.number_text).value_or(hash(request.number_text))};
   const core::Classes& classes = *settings_.classes;
-  const bool emergency = sip::equals_ignore_case(m.header("Priority"), "emergency");
+  const bool emergency = sip::equals_ignore_case(message.header("Priority"), "emergency");
   const core::NamedClass* call_class = emergency ? &classes.highest_weight() : &classes.lowest_weight();
-  if (const std::string_view name = m.header("Priority-Class"); !name.empty()) {
+  if (const std::string_view name = message.header("Priority-Class"); !name.empty()) {
     call_class = classes.find(name);
     if (call_class == nullptr) return "Priority-Class names no class";
   }
   request.call_class = call_class->place;
   request.class_name = call_class->name;
   request.deadline = now + call_class->terms.caller_timeout;
-  const std::string_view ms = m.header("Expires-Ms");
-  if (const std::string_view expires = ms.empty() ? m.header("Expires") : ms; !expires.empty()) {
+  const std::string_view ms = message.header("Expires-Ms");
+  if (const std::string_view expires = ms.empty() ? message.header("Expires") : ms; !expires.empty()) {
     const auto value = whole_number(expires);
     if (!value || *value > 1'000'000'000) return "Expires is not a number";
     const Duration wait =
         ms.empty() ? Duration(std::chrono::seconds(*value)) : Duration(std::chrono::milliseconds(*value));
     request.deadline = std::min(request.deadline, now + wait);
   }
-  request.team = sip::host_of(sip::uri_in(m.header("From")));
+  request.team = sip::host_of(sip::uri_in(message.header("From")));
   request.team = request.team.substr(0, request.team.find(':'));
   request.correlation_id = ids_.next();
-  request.description = m.body;
+  request.description = message.body;
   return {};
 }
 
 // ---- within a call
 
-void Sip::handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out) {
+void Sip::handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& message,
+                          Outbox& out) {
   counters_.add("sip.reinvites");
-  const std::uint32_t number = sip::cseq_of(m)->number;
+  const std::uint32_t number = sip::cseq_of(message)->number;
   if (number < call.dialog.remote_cseq) return respond(now, key, 500, out, "CSeq goes backwards");
   if (!call.answered || !call.acknowledged || !call.reinvite.empty()) return respond(now, key, 491, out);
   call.dialog.remote_cseq = number;
   // The session at the setup server cannot change: a re-INVITE with the same offer is a refresh and is
   // accepted, one with another offer is rejected.
-  if (!m.body.empty() && m.body != call.offer)
+  if (!message.body.empty() && message.body != call.offer)
     return respond(now, key, 488, out, "the session can't be changed");
-  if (const std::string_view contact = m.header("Contact"); !contact.empty())
+  if (const std::string_view contact = message.header("Contact"); !contact.empty())
     call.dialog.target = sip::uri_in(contact);
   call.reinvite = key;
-  transactions_.respond(now, key, make_ok(call, m), out);
+  transactions_.respond(now, key, make_ok(call, message), out);
 }
 
-void Sip::handle_ack(Time now, const sip::Message& m, Outbox& out) {
-  Call* call = find(find_call_id(m));
+void Sip::handle_ack(Time now, const sip::Message& message, Outbox& out) {
+  Call* call = find(find_call_id(message));
   if (call == nullptr || !call->answered) {
     counters_.add("sip.acks_unknown");
     return;
@@ -395,12 +397,12 @@
   transactions_.handle_ack_to_2xx(now, call->invite, out);
   if (call->bye_after_ack) {
     send_bye(now, *call, call->cause, out);
-    forget(find_call_id(m));
+    forget(find_call_id(message));
   }
 }
 
-void Sip::handle_bye(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
-  const CallId id = find_call_id(m);
+void Sip::handle_bye(Time now, const std::string& key, const sip::Message& message, Outbox& out) {
+  const CallId id = find_call_id(message);
   const Call* call = find(id);
   if (call == nullptr) return respond(now, key, 481, out);
   counters_.add("sip.byes_in");
@@ -416,8 +418,8 @@
   forget(id);
 }
 
-void Sip::handle_cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out) {
-  const std::string invite = transactions_.find_cancelled_invite(m);
+void Sip::handle_cancel(Time now, const std::string& key, const sip::Message& message, Outbox& out) {
+  const std::string invite = transactions_.find_cancelled_invite(message);
   if (invite.empty()) return respond(now, key, 481, out);
   counters_.add("sip.cancels_in");
   respond(now, key, 200, out);
@@ -431,13 +433,13 @@
   forget(id);
 }
 
-void Sip::on(Time now, const net::TimerFired& e, Outbox& out) {
-  if (e.key.number == kReapTimer) {
+void Sip::on(Time now, const net::TimerFired& event, Outbox& out) {
+  if (event.key.number == kReapTimer) {
     out.arm(net::Concern::sip, kReapTimer, now + kReapInterval);
     load_control_.tick(now, out);
     return make_room(now, out);
   }
-  for (const sip::TimerExpiry& expiry : transactions_.fired(now, e.key.number, out)) {
+  for (const sip::TimerExpiry& expiry : transactions_.fired(now, event.key.number, out)) {
     if (expiry.what == sip::TimerExpiry::What::no_answer)
       load_control_.handle_request_timeout(now, expiry.key);
     if (expiry.what != sip::TimerExpiry::What::no_ack) continue;
@@ -457,79 +459,80 @@
 // ---- the broker's effects
 
 sip::Message Sip::make_ok(const Call& call, const sip::Message& request) const {
-  sip::Message m =
+  sip::Message message =
       sip::answer_to(request, 200, sip::phrase_of(200), sip::parameter(call.dialog.local, "tag"));
-  for (const std::string& route : call.dialog.routes) m.add("Record-Route", route);
-  m.add("Contact", contact(call.dialog.flow));
-  m.add("Allow", std::string(kAllow));
-  if (!call.description.empty()) m.add("Content-Type", "application/sdp");
-  m.body = call.description;
-  return m;
+  for (const std::string& route : call.dialog.routes) message.add("Record-Route", route);
+  message.add("Contact", contact(call.dialog.flow));
+  message.add("Allow", std::string(kAllow));
+  if (!call.description.empty()) message.add("Content-Type", "application/sdp");
+  message.body = call.description;
+  return message;
 }
 
-void Sip::apply(Time now, const core::AnswerCaller& e, Outbox& out) {
-  Call* call = find(e.call);
+void Sip::apply(Time now, const core::AnswerCaller& effect, Outbox& out) {
+  Call* call = find(effect.call);
   if (call == nullptr) return;
   counters_.add("sip.answers");
   call->answered = true;
-  call->description = e.description;
+  call->description = effect.description;
   const sip::Message* request = transactions_.request_of(call->invite);
   if (request != nullptr) transactions_.respond(now, call->invite, make_ok(*call, *request), out);
 }
 
-void Sip::apply(Time now, const core::RejectRequest& e, Outbox& out) {
-  const Call* call = find(e.call);
+void Sip::apply(Time now, const core::RejectRequest& effect, Outbox& out) {
+  const Call* call = find(effect.call);
   if (call == nullptr) return;
-  counters_.add(e.rejected ? "sip.refusals" : "sip.failures");
+  counters_.add(effect.rejected ? "sip.refusals" : "sip.failures");
   int status = 500;
-  if (e.rejected) status = 503;
-  if (e.reason == core::RejectReason::number_busy) status = 486;
-  if (e.reason == core::RejectReason::deadline_exceeded) status = 480;  // 408 cannot carry Retry-After
+  if (effect.rejected) status = 503;
+  if (effect.reason == core::RejectReason::number_busy) status = 486;
+  if (effect.reason == core::RejectReason::deadline_exceeded) status = 480;  // 408 cannot carry Retry-After
   if (const sip::Message* request = transactions_.request_of(call->invite)) {
     const std::string_view tag = sip::parameter(call->dialog.local, "tag");
-    sip::Message m = sip::answer_to(*request, status, sip::phrase_of(status), tag);
-    if (e.retry_after > Duration{} || status == 503) m.add("Retry-After", retry_after(e.retry_after));
-    if (e.reason == core::RejectReason::gapped) m.add("Reason", reason_header(e.treatment));
-    transactions_.respond(now, call->invite, m, out);
+    sip::Message message = sip::answer_to(*request, status, sip::phrase_of(status), tag);
+    if (effect.retry_after > Duration{} || status == 503)
+      message.add("Retry-After", retry_after(effect.retry_after));
+    if (effect.reason == core::RejectReason::gapped) message.add("Reason", reason_header(effect.treatment));
+    transactions_.respond(now, call->invite, message, out);
   }
-  forget(e.call);
+  forget(effect.call);
 }
 
-void Sip::apply(Time now, const core::ReleaseCaller& e, Outbox& out) {
-  Call* call = find(e.call);
+void Sip::apply(Time now, const core::ReleaseCaller& effect, Outbox& out) {
+  Call* call = find(effect.call);
   if (call == nullptr) return;
   counters_.add("sip.releases_out");
   if (!call->acknowledged) {  // §15: no BYE before the ACK
     call->bye_after_ack = true;
-    call->cause = e.cause;
+    call->cause = effect.cause;
     return;
   }
-  send_bye(now, *call, e.cause, out);
-  forget(e.call);
+  send_bye(now, *call, effect.cause, out);
+  forget(effect.call);
 }
 
 void Sip::send_bye(Time now, Call& call, int cause, Outbox& out) {
-  Dialog& d = call.dialog;
-  sip::Message m;
-  m.method = "BYE";
-  m.uri = d.target;
-  m.add("Via", std::string(d.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + address(d.flow) +
-                   ";branch=" + std::string(sip::kCookie) + ids_.next());
-  m.add("Max-Forwards", "70");
-  for (const std::string& route : d.routes) m.add("Route", route);
-  m.add("From", d.local);
-  m.add("To", d.remote);
-  m.add("Call-ID", d.call_id);
-  m.add("CSeq", std::to_string(++d.local_cseq) + " BYE");
-  m.add("Reason", "Q.850;cause=" + std::to_string(cause));
+  Dialog& dialog = call.dialog;
+  sip::Message message;
+  message.method = "BYE";
+  message.uri = dialog.target;
+  message.add("Via", std::string(dialog.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") +
+                         address(dialog.flow) + ";branch=" + std::string(sip::kCookie) + ids_.next());
+  message.add("Max-Forwards", "70");
+  for (const std::string& route : dialog.routes) message.add("Route", route);
+  message.add("From", dialog.local);
+  message.add("To", dialog.remote);
+  message.add("Call-ID", dialog.call_id);
+  message.add("CSeq", std::to_string(++dialog.local_cseq) + " BYE");
+  message.add("Reason", "Q.850;cause=" + std::to_string(cause));
   // The next hop is the first route, else the caller's Contact; the call's connection is used while it is
   // open.
-  sip::Flow flow = d.flow;
-  const std::string hop = sip::address_in(
-      sip::host_of(d.routes.empty() ? std::string_view(d.target) : sip::uri_in(d.routes.front())));
+  sip::Flow flow = dialog.flow;
+  const std::string hop = sip::address_in(sip::host_of(
+      dialog.routes.empty() ? std::string_view(dialog.target) : sip::uri_in(dialog.routes.front())));
   if (!hop.empty()) flow.peer = hop;
   counters_.add("sip.byes_out");
-  transactions_.send_request(now, flow, m, out);
+  transactions_.send_request(now, flow, message, out);
 }
 
 // ---- lookups
@@ -537,8 +540,9 @@
 void Sip::forget(CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  const Dialog& d = it->second.dialog;
-  by_dialog_.erase(dialog_key(d.call_id, sip::parameter(d.local, "tag"), sip::parameter(d.remote, "tag")));
+  const Dialog& dialog = it->second.dialog;
+  by_dialog_.erase(
+      dialog_key(dialog.call_id, sip::parameter(dialog.local, "tag"), sip::parameter(dialog.remote, "tag")));
   by_invite_.erase(it->second.invite);
   calls_.erase(it);
 }
@@ -548,9 +552,10 @@
   return it == calls_.end() ? nullptr : &it->second;
 }
 
-CallId Sip::find_call_id(const sip::Message& m) const {
-  const auto it = by_dialog_.find(dialog_key(m.header("Call-ID"), sip::parameter(m.header("To"), "tag"),
-                                             sip::parameter(m.header("From"), "tag")));
+CallId Sip::find_call_id(const sip::Message& message) const {
+  const auto it =
+      by_dialog_.find(dialog_key(message.header("Call-ID"), sip::parameter(message.header("To"), "tag"),
+                                 sip::parameter(message.header("From"), "tag")));
   return it == by_dialog_.end() ? CallId{0} : it->second;
 }
 
--- a/src/downstream/sip.h
+++ b/src/downstream/sip.h
@@ -39,14 +39,14 @@
   Sip(SipFrontSettings settings, Counters& counters);
 
   void start(Time now, Outbox& out) const;
-  void on(Time now, const net::Accepted& e, Outbox& out);
-  void on(Time now, const net::Connected& e, Outbox& out);
-  void on(Time now, const net::ConnectFailed& e, Outbox& out);
-  void on(Time now, const net::Received& e, Outbox& out);
-  void on(Time now, const net::Closed& e, Outbox& out);
-  void on(Time now, const net::PeerClosed& e, Outbox& out);
-  void on(Time now, const net::Datagram& e, Outbox& out);
-  void on(Time now, const net::TimerFired& e, Outbox& out);
+  void on(Time now, const net::Accepted& event, Outbox& out);
+  void on(Time now, const net::Connected& event, Outbox& out);
+  void on(Time now, const net::ConnectFailed& event, Outbox& out);
+  void on(Time now, const net::Received& event, Outbox& out);
+  void on(Time now, const net::Closed& event, Outbox& out);
+  void on(Time now, const net::PeerClosed& event, Outbox& out);
+  void on(Time now, const net::Datagram& event, Outbox& out);
+  void on(Time now, const net::TimerFired& event, Outbox& out);
   void ready(bool ready) { ready_ = ready; }
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
     settings_.classes = std::move(classes);
@@ -54,9 +54,9 @@
   // Connects the gap register, which subscribed neighbours are notified of and may announce gaps to.
   void share_gaps(GapSource source) { load_control_.set_gap_source(std::move(source)); }
 
-  void apply(Time now, const core::AnswerCaller& e, Outbox& out);
-  void apply(Time now, const core::RejectRequest& e, Outbox& out);
-  void apply(Time now, const core::ReleaseCaller& e, Outbox& out);
+  void apply(Time now, const core::AnswerCaller& effect, Outbox& out);
+  void apply(Time now, const core::RejectRequest& effect, Outbox& out);
+  void apply(Time now, const core::ReleaseCaller& effect, Outbox& out);
 
  private:
   struct Dialog {  // §12, in the role of the UAS
@@ -82,23 +82,24 @@
   };
 
   void handle_incoming(Time now, sip::Incoming incoming, Outbox& out);
-  void handle_request(Time now, const sip::Flow& flow, const sip::Message& m, Outbox& out);
-  void handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& m,
+  void handle_request(Time now, const sip::Flow& flow, const sip::Message& message, Outbox& out);
+  void handle_invite(Time now, const std::string& key, const sip::Flow& flow, const sip::Message& message,
                      Outbox& out);
-  void handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& m, Outbox& out);
-  void handle_ack(Time now, const sip::Message& m, Outbox& out);
-  void handle_bye(Time now, const std::string& key, const sip::Message& m, Outbox& out);
-  void handle_cancel(Time now, const std::string& key, const sip::Message& m, Outbox& out);
+  void handle_reinvite(Time now, const std::string& key, Call& call, const sip::Message& message,
+                       Outbox& out);
+  void handle_ack(Time now, const sip::Message& message, Outbox& out);
+  void handle_bye(Time now, const std::string& key, const sip::Message& message, Outbox& out);
+  void handle_cancel(Time now, const std::string& key, const sip::Message& message, Outbox& out);
   void respond(Time now, const std::string& key, int status, Outbox& out, const std::string& warning = {});
   void reject_malformed(Time now, const sip::Incoming& incoming, Outbox& out);
   void make_room(Time now, Outbox& out);
   void cancel_unanswered(Time now, std::uint32_t conn, Outbox& out);
-  std::string read_request(Time now, const sip::Message& m, core::Request& request);
+  std::string read_request(Time now, const sip::Message& message, core::Request& request);
   sip::Message make_ok(const Call& call, const sip::Message& request) const;
   void send_bye(Time now, Call& call, int cause, Outbox& out);
   void forget(CallId id);
   Call* find(CallId id);
-  CallId find_call_id(const sip::Message& m) const;
+  CallId find_call_id(const sip::Message& message) const;
   std::string contact(const sip::Flow& flow) const;
   const std::string& address(const sip::Flow& flow) const {
     return flow.reliable ? *settings_.tcp : *settings_.udp;
--- a/src/sip/transport.cpp
+++ b/src/sip/transport.cpp
@@ -113,7 +113,8 @@
   if (it == outgoing_.end()) return false;
   OutgoingConnection& outgoing = it->second;
   if (!outgoing.connected)
-    return std::erase_if(outgoing.waiting, [ticket](const auto& m) { return m.ticket == ticket; }) > 0;
+    return std::erase_if(outgoing.waiting,
+                         [ticket](const auto& message) { return message.ticket == ticket; }) > 0;
   out.withdraw_send({concern_, outgoing.conn}, ticket, {});
   return false;
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -652,8 +652,8 @@
   Ready lab;
   lab.receive(kCaller, set_up());
   lab.receive(kCaller, "{\"type\":\"setup\",\"id\":\"00000000000000dd\",\"fields\":{\"class\":\"no\"}}\n");
-  const jsonl::Message refusal = lab.line();
-  CHECK_EQ(refusal.id, "00000000000000dd");
+  const jsonl::Message rejection = lab.line();
+  CHECK_EQ(rejection.id, "00000000000000dd");
   CHECK(lab.closed.empty());
   const ConnId other{Concern::platform, 2};
   lab.tell(net::Accepted{other});
