--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -17,14 +17,12 @@
 // as at most 3 s, plus 0.7 s.
 constexpr Duration kLateArrivalWindow = 900ms;
 constexpr Duration kShutdownCheckInterval = 50ms;
-constexpr Duration kMaxCountedDeadline = 3s;
+constexpr Duration kMaxCountedTimeout = 3s;
 constexpr Duration kKillDelay = 700ms;
-// How long before the earliest SIGKILL all open requests are rejected; the process exits after half of this
-// time.
+// Margin before the earliest SIGKILL: open requests are rejected at its begin, the exit is due at its half.
 constexpr Duration kFinalAnswerMargin = 300ms;
-// With a successor process, the longest caller timeout counts as at most 5 s; after 5 s plus the grace period
-// the process exits even with established calls, and leaves them to the successor.
-constexpr Duration kMaxUpgradeDeadline = 5s;
+// Limits with a successor process, to which the remaining established calls are left after both have passed.
+constexpr Duration kMaxUpgradeTimeout = 5s;
 constexpr Duration kUpgradeGracePeriod = 2s;
 
 template <class... Fs>
@@ -257,7 +255,7 @@
 }
 
 std::string Gatekeeper::telemetry(Time now) const {
-  management::MetricsSnapshot snapshot{broker_.metrics()};
+  management::Figures snapshot{broker_.metrics()};
   snapshot.attempts = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
                              : all_counters().of("net.counted_written");
   snapshot.active = broker_.unanswered() + broker_.established();
@@ -383,10 +381,9 @@
   out.net.push_back(net::ReadFile{config_.path});
 }
 
-// Reload of the configuration file: applies new settings and a new address of the discovery service; calls
-// and connections continue. An invalid file changes nothing. Active service configurations stay applied over
-// the new file, which must also be valid alone, because the next start reads it before any service
-// configuration.
+// Reload: applies new settings and a new discovery address; calls and connections continue, and an invalid
+// file changes nothing. Active service configurations stay applied over the new file, which must also be
+// valid alone, because the next start reads it without them.
 void Gatekeeper::on(Time now, const net::FileRead& e, Outbox& out) {
   try {
     if (!e.text) throw ConfigError("cannot read " + e.path);
@@ -458,18 +455,18 @@
 void Gatekeeper::exit_if_drained(Time now, Outbox& out) {
   if (!stop_requested_at_) return;
   const Duration elapsed = now - *stop_requested_at_;
-  Duration longest_timeout{};
-  for (const CallClass& c : classes_.places) longest_timeout = std::max(longest_timeout, c.caller_timeout);
+  Duration max_timeout{};
+  for (const CallClass& c : classes_.places) max_timeout = std::max(max_timeout, c.caller_timeout);
   const Duration counted_timeout =
-      std::min(longest_timeout, config_.inherited ? kMaxUpgradeDeadline : kMaxCountedDeadline);
+      std::min(max_timeout, config_.inherited ? kMaxUpgradeTimeout : kMaxCountedTimeout);
   const Duration answers_due = counted_timeout + kKillDelay - kFinalAnswerMargin;
   // With a successor, established calls may end normally for a while; without one, SIGKILL is imminent.
   const Duration exit_due =
-      config_.inherited ? kMaxUpgradeDeadline + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
+      config_.inherited ? kMaxUpgradeTimeout + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
   // Every open request gets an answer before the exit, even if its deadline is later.
   if (broker_.unanswered() > 0 && elapsed >= answers_due) {
     out.log(net::Level::warning,
-            std::to_string(broker_.unanswered()) + " open requests are rejected before the exit");
+            std::to_string(broker_.unanswered()) + " open requests rejected before exit");
     out.notify_broker(core::ShutdownStarted{});
     drain_broker_events(now, out);
   }
--- a/src/net/ring.h
+++ b/src/net/ring.h
@@ -10,9 +10,9 @@
 
 namespace graniterun::net {
 
-class RingBuffer {
+class Ring {
  public:
-  explicit RingBuffer(std::size_t max_size) : max_size_(max_size) {}
+  explicit Ring(std::size_t max_size) : max_size_(max_size) {}
 
   std::size_t size() const { return size_; }
   std::size_t capacity() const { return storage_.size(); }  // allocated bytes, used or not
@@ -20,7 +20,7 @@
   std::size_t free_space() const { return max_size_ - size_; }
 
   // Appends all of `bytes`, or returns false and appends nothing if they do not fit.
-  bool append(std::string_view bytes) {
+  bool put(std::string_view bytes) {
     if (bytes.size() > free_space()) return false;
     reserve(size_ + bytes.size());
     for (std::size_t copied = 0; copied < bytes.size();) {
@@ -71,7 +71,7 @@
     size_ -= count;
   }
   // Removes the first `count` bytes.
-  void consume(std::size_t count) {
+  void drop(std::size_t count) {
     count = std::min(count, size_);
     size_ -= count;
     if (size_ == 0 && storage_.size() > kMaxRetainedBytes) std::vector<char>().swap(storage_);
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -198,8 +198,8 @@
     Impl& impl;
     ConnId id;
     GObjectPtr<GSocket> socket;
-    RingBuffer in;
-    RingBuffer out;
+    Ring in;
+    Ring out;
     // Requested epoll events. All connections share one epoll descriptor in GLib's loop: with a source for
     // each, every iteration of the loop went through all of them, however few were ready.
     std::uint32_t reading = 0;
@@ -565,7 +565,7 @@
   void carry_out(const Send& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end() || it->second->closing) return;
-    if (!it->second->out.append(e.bytes)) return close_overflowed(e.conn);
+    if (!it->second->out.put(e.bytes)) return close_overflowed(e.conn);
     const std::uint64_t begin = it->second->sent;
     it->second->sent += e.bytes.size();
     if (e.ticket != 0) it->second->ticketed.push_back({e.ticket, begin, it->second->sent});
@@ -630,7 +630,7 @@
   }
 
   void carry_out(const Consume& e) {
-    if (const auto it = connections_.find(e.conn); it != connections_.end()) it->second->in.consume(e.count);
+    if (const auto it = connections_.find(e.conn); it != connections_.end()) it->second->in.drop(e.count);
   }
 
   void carry_out(const Close& e) {
@@ -857,7 +857,7 @@
         return would_block;
       }
       counters.bytes_out += static_cast<std::uint64_t>(sent);
-      connection.out.consume(static_cast<std::size_t>(sent));
+      connection.out.drop(static_cast<std::size_t>(sent));
       outbound_ -= static_cast<std::size_t>(sent);
       while (!connection.ticketed.empty() && connection.ticketed.front().end <= connection.written()) {
         ++counters.counted_written;
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -51,11 +51,11 @@
 }
 
 void emptied_ring_buffer_releases_memory() {  // long-lived connections kept their peak memory
-  net::RingBuffer ring(1024 * 1024);
-  CHECK(ring.append(std::string(500'000, 'x')));
-  ring.consume(500'000);
+  net::Ring ring(1024 * 1024);
+  CHECK(ring.put(std::string(500'000, 'x')));
+  ring.drop(500'000);
   CHECK(ring.capacity() <= 4096);
-  CHECK(ring.append("again") && ring.contents() == "again");
+  CHECK(ring.put("again") && ring.contents() == "again");
 }
 
 // The descriptor that the platform passes is checked before it is used.
