--- a/bench/close_bench.cpp
+++ b/bench/close_bench.cpp
@@ -76,7 +76,7 @@
     }
   }
   void hear(Peer& peer, Clock::time_point now) {
-    const std::string got = peer.socket.some(65536);
+    const std::string got = peer.socket.read_available(65536);
     if (got.empty()) {
       peer.open = false;
       return;
@@ -174,13 +174,13 @@
   config["settings"]["familyInfo"]["poolsByClass"] = {{0, 1, 2}, {0, 1, 2}};
   const test::Program program(argv[1], config.dump());
   closes("", port, server);  // the load's servers refuse connections meanwhile
-  lab::Plan plan;
+  lab::LoadPlan plan;
   plan.gatekeepers = {at(port)};
   plan.servers = loaded;
   plan.flows.emplace_back();
   plan.flows[0].per_second = kRate;
-  plan.lasts = 8s;
-  lab::Load load(plan);
+  plan.duration = 8s;
+  lab::LoadGenerator load(plan);
   std::thread callers([&] {
     std::this_thread::sleep_for(2500ms);
     closes("_loaded", port, server);
@@ -188,7 +188,7 @@
   load.run();
   callers.join();
   std::size_t stood = 0;
-  for (const lab::CallRecord& c : load.calls()) stood += c.stood ? 1 : 0;
+  for (const lab::CallRecord& c : load.calls()) stood += c.established ? 1 : 0;
   const double share = static_cast<double>(stood) / static_cast<double>(load.calls().size());
   figure("load_stood", share, "share", share > 0.95);
   return good ? 0 : 1;
--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -12,58 +12,58 @@
 namespace {
 
 using namespace graniterun;
-using lab::ColdFleet;
+using lab::SlowStartFleet;
 
 struct Case {
   std::string name;
-  ColdFleet fleet;
+  SlowStartFleet fleet;
 };
 
 std::vector<Case> cases() {
   std::vector<Case> all;
   for (const std::uint32_t senders : {1U, 6U, 20U, 30U, 300U}) {
-    ColdFleet base;
+    SlowStartFleet base;
     base.senders = senders;
     base.load = 0.9;
     const std::string n = std::to_string(senders);
     all.push_back({n + "_even", base});
-    ColdFleet uneven = base;
-    uneven.uneven = 1.2;
+    SlowStartFleet uneven = base;
+    uneven.load_share_sigma = 1.2;
     all.push_back({n + "_uneven", uneven});
-    ColdFleet restarted = base;
-    restarted.restarted = 0.7;
+    SlowStartFleet restarted = base;
+    restarted.restarting_share = 0.7;
     all.push_back({n + "_restarted", restarted});
-    ColdFleet storm = restarted;
-    storm.times = 4;
-    storm.together = true;
-    storm.restarted = 1.0;
+    SlowStartFleet storm = restarted;
+    storm.restarts_per_sender = 4;
+    storm.simultaneous_restarts = true;
+    storm.restarting_share = 1.0;
     storm.load = 2.0;
-    storm.warm_after = std::chrono::hours(1);
+    storm.full_capacity_after = std::chrono::hours(1);
     all.push_back({n + "_restart_storm", storm});
-    ColdFleet small = storm;
-    small.warm_per_s = 6.0;
-    small.uneven = 1.2;
+    SlowStartFleet small = storm;
+    small.full_capacity_per_s = 6.0;
+    small.load_share_sigma = 1.2;
     all.push_back({n + "_small_server", small});
-    ColdFleet large = storm;
-    large.warm_per_s = 600.0;
+    SlowStartFleet large = storm;
+    large.full_capacity_per_s = 600.0;
     all.push_back({n + "_large_server", large});
-    ColdFleet idle = base;
+    SlowStartFleet idle = base;
     idle.idle_until = std::chrono::milliseconds(4000);
     all.push_back({n + "_idle_then_busy", idle});
-    ColdFleet losing = base;
-    losing.lost = 0.1;
+    SlowStartFleet losing = base;
+    losing.lost_answer_share = 0.1;
     all.push_back({n + "_losing", losing});
-    ColdFleet silent = base;
-    silent.reports = false;
-    silent.restarted = 0.7;
-    silent.uneven = 1.2;
+    SlowStartFleet silent = base;
+    silent.server_reports_circuits = false;
+    silent.restarting_share = 0.7;
+    silent.load_share_sigma = 1.2;
     all.push_back({n + "_no_reports", silent});
-    ColdFleet hard = restarted;
-    hard.uneven = 1.2;
-    hard.lost = 0.1;
+    SlowStartFleet hard = restarted;
+    hard.load_share_sigma = 1.2;
+    hard.lost_answer_share = 0.1;
     hard.load = 1.5;
     hard.idle_until = std::chrono::milliseconds(4000);
-    hard.warm_after = std::chrono::hours(1);  // as little as the rules allow
+    hard.full_capacity_after = std::chrono::hours(1);  // as little as the rules allow
     all.push_back({n + "_all_at_once", hard});
   }
   return all;
@@ -97,15 +97,15 @@
   for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w) {
     threads.emplace_back([&] {
       for (std::size_t at = next++; at < plays.size(); at = next++) {
-        ColdFleet fleet = all[plays[at].which].fleet;
+        SlowStartFleet fleet = all[plays[at].which].fleet;
         fleet.seed = static_cast<std::uint64_t>(plays[at].seed);
-        const ColdFleet::Result r = fleet.play();
+        const SlowStartFleet::Result r = fleet.run();
         const std::lock_guard lock(adding);
         Sum& sum = sums[plays[at].which];
-        sum.worst = std::max(sum.worst, r.worst);
-        sum.budget = std::max(sum.budget, r.of_budget);
+        sum.worst = std::max(sum.worst, r.max_excess);
+        sum.budget = std::max(sum.budget, r.max_budget_ratio);
         sum.served += r.served();
-        sum.over += r.worst > 1.0 ? 1 : 0;
+        sum.over += r.max_excess > 1.0 ? 1 : 0;
         ++sum.played;
       }
     });
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -57,12 +57,12 @@
     if (size > 100 && i % 10 == 9) sim.run(20ms);
   }
   const Duration patience = size > 300 ? 10s : 30s;
-  const bool settled = sim.until(patience,
-                                 [&, next = Time{}]() mutable {
-                                   if (sim.now() < next) return false;
-                                   next = sim.now() + 100ms;
-                                   return sim.all_agree();
-                                 })
+  const bool settled = sim.run_until_true(patience,
+                                          [&, next = Time{}]() mutable {
+                                            if (sim.now() < next) return false;
+                                            next = sim.now() + 100ms;
+                                            return sim.all_agree();
+                                          })
                            .has_value();
   // What is told of a fleet that never came to rest is no slope.
   const std::string name = settled ? "membership_" : "membership_unsettled_";
@@ -90,7 +90,7 @@
   figure(name + "datagrams", size, datagrams, "1/s");
   figure(name + "bytes", size, datagrams * each, "B/s");
   figure(name + "cpu", size, spent / all, "us/s");
-  figure(name + "state", size, static_cast<double>(sim.member(0).memory()), "B");
+  figure(name + "state", size, static_cast<double>(sim.member(0).memory_bytes()), "B");
 }
 
 // ---- discovery and the servers listed: the whole reducer of a gatekeeper, without callers
@@ -517,8 +517,8 @@
   core::RequestMetrics tallies;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < classes; ++i) names.push_back("class-" + std::to_string(i));
-  tallies.name(names);
-  const management::Figures f{tallies, 1'000'000, 400, 65, 2, 12, 0, {}};
+  tallies.add_classes(names);
+  const management::MetricsSnapshot f{tallies, 1'000'000, 400, 65, 2, 12, 0, {}};
   constexpr int kTimes = 1000;
   std::size_t bytes = 0;
   const double cpu = cpu_us();
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -29,10 +29,11 @@
 double known_everywhere(Rig& rig, std::size_t of, const std::string& what, Steady::time_point began) {
   const std::string name = "n" + std::to_string(of);
   double last = -1.0;
-  const bool all = Rig::until(10s, [&] {
+  const bool all = Rig::wait_until(10s, [&] {
     std::map<std::size_t, Steady::time_point> by;
-    for (const lab::Event& e : rig.events()) {
-      if (e.what == what && e.member == name && e.by != of && e.at >= began) by.emplace(e.by, e.at);
+    for (const lab::FleetEvent& e : rig.events()) {
+      if (e.kind == what && e.member == name && e.reported_by != of && e.at >= began)
+        by.emplace(e.reported_by, e.at);
     }
     if (by.size() < kFleet - 1) return false;
     for (const auto& [i, at] : by) last = std::max(last, ms(at - began));
@@ -51,7 +52,7 @@
   Rig rig(binary, kFleet, 1);
   rig.start_all();
   const auto began = Steady::now();
-  const bool agreed = Rig::until(10s, [&] { return rig.agree(); });
+  const bool agreed = Rig::wait_until(10s, [&] { return rig.agree(); });
   figure("all_agree_after_start", ms(Steady::now() - began), "ms", agreed);
 
   std::vector<double> killed;
@@ -72,47 +73,47 @@
     rig.program(i).exit_status();
     rig.kill(i);
     rig.start(i);
-    Rig::until(10s, [&] { return rig.state((i + 1) % kFleet, "n" + std::to_string(i)) == "alive"; });
+    Rig::wait_until(10s, [&] { return rig.state((i + 1) % kFleet, "n" + std::to_string(i)) == "alive"; });
   }
   tell("killed_known_everywhere", killed, 1500);
   tell("start_to_joined_everywhere", joined, 500);
   tell("left_known_everywhere", left, 300);
 
-  Rig::until(10s, [&] { return rig.agree(); });
+  Rig::wait_until(10s, [&] { return rig.agree(); });
   rig.relay().cut({0, 3, 6, 9});
-  const bool apart = Rig::until(15s, [&] {  // each side holds the other dead
-    return rig.ask(0, "view")["size"] == 4 && rig.ask(1, "view")["size"] == 8;
+  const bool apart = Rig::wait_until(15s, [&] {  // each side holds the other dead
+    return rig.query_fleet(0, "view")["size"] == 4 && rig.query_fleet(1, "view")["size"] == 8;
   });
   figure("cut_datagrams", static_cast<double>(rig.relay().counts().cut), "datagrams",
          rig.relay().counts().cut > 0);
   const auto healed = Steady::now();
   rig.relay().heal();
-  const bool again = Rig::until(10s, [&] { return rig.agree(); });
+  const bool again = Rig::wait_until(10s, [&] { return rig.agree(); });
   figure("agree_after_heal", ms(Steady::now() - healed), "ms", apart && again && Steady::now() - healed < 2s);
 
-  rig.forget_events();
-  lab::RealLink bad;
+  rig.clear_events();
+  lab::RelayLink bad;
   bad.loss = 0.2;
-  bad.most = 10ms;
-  rig.relay().all_links(bad);
+  bad.max_delay = 10ms;
+  rig.relay().set_all_links(bad);
   std::mt19937_64 random(3);
   const auto end = Steady::now() + std::chrono::seconds(weather_s);
   int stops = 0;
   while (Steady::now() < end) {
     const std::size_t a = random() % kFleet;
-    lab::RealLink cut = bad;
+    lab::RelayLink cut = bad;
     cut.cut = true;
-    rig.relay().link(random() % kFleet, random() % kFleet, cut);
+    rig.relay().set_link(random() % kFleet, random() % kFleet, cut);
     rig.stop(a);
     ++stops;
     std::this_thread::sleep_for(std::chrono::milliseconds(200 + random() % 1800));
-    rig.go_on(a);
+    rig.continue_process(a);
     std::this_thread::sleep_for(std::chrono::milliseconds(random() % 500));
   }
   rig.relay().heal();
   std::this_thread::sleep_for(5s);  // what is doubted has its time to end
   std::size_t deaths = 0;
-  for (const lab::Event& e : rig.events()) deaths += e.what == "died" ? 1 : 0;
+  for (const lab::FleetEvent& e : rig.events()) deaths += e.kind == "died" ? 1 : 0;
   std::uint64_t pauses = 0;
   for (std::size_t i = 0; i < kFleet; ++i) pauses += rig.counter(i, "fleet.own_pauses");
   figure("bad_weather", weather_s, "s");
@@ -129,11 +130,11 @@
   for (int round = 0; round < 6; ++round) {
     const bool on = round % 2 == 1;
     const std::vector<std::string> servers{bench::at(bench::free_port()), bench::at(bench::free_port())};
-    lab::Plan plan;
+    lab::LoadPlan plan;
     plan.servers = servers;
     plan.flows.emplace_back();
     plan.flows[0].per_second = 600;
-    plan.lasts = 1500ms;
+    plan.duration = 1500ms;
     std::vector<std::unique_ptr<test::Program>> programs;
     std::vector<std::string> ports;
     for (int i = 0; i < 3; ++i) ports.push_back(bench::at(test::Socket::bound(SOCK_DGRAM).port()));
@@ -153,11 +154,11 @@
     }
     for (const std::string& address : plan.gatekeepers)
       test::Socket::connected(std::stoi(address.substr(address.rfind(':') + 1)));
-    lab::Load load(plan);
+    lab::LoadGenerator load(plan);
     load.run();
     std::vector<double> waits;
     for (const lab::CallRecord& c : load.calls()) {
-      if (c.finals == 1)
+      if (c.final_answers == 1)
         waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
     }
     p99[on].push_back(lab::percentile(waits, 0.99));
--- a/bench/fleet_sim_bench.cpp
+++ b/bench/fleet_sim_bench.cpp
@@ -45,13 +45,14 @@
 std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, MemberEventKind what, Duration most) {
   const std::string name = FleetSim::name_of(of);
   std::set<std::size_t> by;
-  std::size_t looked = sim.found().size();
+  std::size_t looked = sim.reported_events().size();
   std::size_t there = 0;
   for (std::size_t i = 0; i < sim.size(); ++i) there += i != of && sim.up(i) ? 1 : 0;
-  return sim.until(most, [&] {
-    for (; looked < sim.found().size(); ++looked) {
-      const auto& f = sim.found()[looked];
-      if (f.what.kind == what && f.what.record.name == name && f.by != of) by.insert(f.by);
+  return sim.run_until_true(most, [&] {
+    for (; looked < sim.reported_events().size(); ++looked) {
+      const auto& f = sim.reported_events()[looked];
+      if (f.event.kind == what && f.event.record.name == name && f.reported_by != of)
+        by.insert(f.reported_by);
     }
     return by.size() >= there;
   });
@@ -64,7 +65,7 @@
     sim.start(i);
     if (sim.size() > 100 && i % 10 == 9) sim.run(20ms);
   }
-  return sim.until(30s, [&, next = Time{}]() mutable {
+  return sim.run_until_true(30s, [&, next = Time{}]() mutable {
     if (sim.now() < next) return false;
     next = sim.now() + 100ms;
     return sim.all_agree();
@@ -112,14 +113,14 @@
   // The last rumours of the start are told on for a while by members that agree already.
   const Time began = sim.now();
   std::uint64_t told = 1;
-  sim.tap = [&](std::size_t, std::size_t, const membership::Datagram& datagram) {
+  sim.on_datagram_sent = [&](std::size_t, std::size_t, const membership::Datagram& datagram) {
     told += datagram.records.size();
   };
   while (told > 0 && sim.now() - began < 30s) {
     told = 0;
     sim.run(500ms);
   }
-  sim.tap = {};
+  sim.on_datagram_sent = {};
   figure("rumours_told_after_settled" + at, ms(sim.now() - began), "ms", told == 0);
   quiet_figures(sim, "_quiet", size > 300 ? 5s : 10s);
   if (met) {
@@ -127,7 +128,7 @@
     sim.run(size * 250ms);
     quiet_figures(sim, "_met", size > 300 ? 5s : 10s);
   }
-  figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
+  figure("memory" + at, static_cast<double>(sim.member(0).memory_bytes()) / 1024.0, "KiB");
 }
 
 void at_size(std::size_t size, std::uint64_t seed) {
@@ -158,7 +159,7 @@
   figure("datagrams_quiet" + at, datagrams, "a_second");
   figure("bytes_quiet" + at, datagrams * each, "a_second", datagrams * each < 10'000);
   figure("cpu_quiet" + at, spent * 1e6 / member_seconds, "us_a_second");
-  figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
+  figure("memory" + at, static_cast<double>(sim.member(0).memory_bytes()) / 1024.0, "KiB");
 
   std::vector<double> killed;
   std::vector<double> vanished;
@@ -218,7 +219,7 @@
   sim.cut(side);
   sim.run(15s);
   sim.heal();
-  const auto healed = sim.until(20s, [&, next = Time{}]() mutable {
+  const auto healed = sim.run_until_true(20s, [&, next = Time{}]() mutable {
     if (sim.now() < next) return false;
     next = sim.now() + 50ms;
     return sim.all_agree();
@@ -264,11 +265,11 @@
                [&](std::size_t, membership::Settings& settings) { settings.refinements = refinements; });
   sim.start_all();
   sim.run(5s);
-  sim.take_found();
+  sim.take_reported_events();
   Link bad;
   bad.loss = 0.2;
-  bad.most = 10ms;
-  sim.all_links(bad);
+  bad.max_delay = 10ms;
+  sim.set_all_links(bad);
   Weather w;
   const Time began = sim.now();
   std::map<Time, std::vector<std::function<void()>>> ends;
@@ -294,14 +295,15 @@
     } else {
       Link cut = bad;
       cut.cut = true;
-      sim.link(f.a, f.b, cut);
+      sim.set_link(f.a, f.b, cut);
       ++w.cuts;
-      ends[sim.now() + f.lasts].push_back([&sim, bad, a = f.a, b = f.b] { sim.link(a, b, bad); });
+      ends[sim.now() + f.lasts].push_back([&sim, bad, a = f.a, b = f.b] { sim.set_link(a, b, bad); });
     }
   }
   pass(began + span + 15s);
   w.false_deaths = sim.false_deaths();
-  for (const auto& f : sim.found()) w.suspicions += f.what.kind == MemberEventKind::suspected ? 1 : 0;
+  for (const auto& f : sim.reported_events())
+    w.suspicions += f.event.kind == MemberEventKind::suspected ? 1 : 0;
   w.lost = sim.counts().lost;
   sim.kill(4);
   const auto known = known_everywhere(sim, 4, MemberEventKind::died, 30s);
--- a/bench/gap_bench.cpp
+++ b/bench/gap_bench.cpp
@@ -117,7 +117,8 @@
   std::map<std::int64_t, std::size_t> used;
   const auto slot_at = [&](Time time) { return (time - start) / interval; };
   for (const lab::CallRecord& c : calls) {
-    if (c.flow != flow || c.sent < begins || c.sent >= ends || c.finals == 0 || c.worded) continue;
+    if (c.flow != flow || c.sent < begins || c.sent >= ends || c.final_answers == 0 || c.has_reason_text)
+      continue;
     std::int64_t slot = slot_at(c.sent);
     const std::int64_t last = slot_at(c.answered);
     while (slot < last && used.contains(slot)) ++slot;
@@ -133,7 +134,7 @@
   constexpr Duration kInterval = 50ms;
   const std::vector<std::string> servers{at(free_port()), at(free_port())};
   const std::string announcer = at(free_port());
-  lab::Plan plan;
+  lab::LoadPlan plan;
   plan.servers = servers;
   std::vector<std::unique_ptr<test::Program>> programs;
   std::string controls;
@@ -151,13 +152,13 @@
   // Calls to other numbers all along; the flood evenly, then all of it at one gatekeeper, then none, with as
   // many calls to any number as the gap had let through: what the servers' own load costs the others shows
   // there. The servers can do 160 set-ups a second: without the gap the flood of 400 is too much for them.
-  plan.work = 12ms;
+  plan.setup_service_time = 12ms;
   plan.flows.resize(4);
   plan.flows[0].per_second = 80;
   plan.flows[1] = {400, "4711", {}, false, 0s, 20s};
   plan.flows[2] = {400, "4711", {0, 0, 1, 0, 0, 0, 0, 0}, false, 20s, 31s};
   plan.flows[3] = {20, "", {}, false, 31s, 44s};
-  plan.lasts = 44s;
+  plan.duration = 44s;
   Time began{};
   plan.tick = [&](Time now) {
     if (began == Time{}) began = now;
@@ -184,7 +185,7 @@
       std::this_thread::sleep_for(200ms);
     }
   });
-  lab::Load load(plan);
+  lab::LoadGenerator load(plan);
   load.run();
   desk.join();
 
@@ -212,18 +213,18 @@
   std::size_t not_once = 0;
   std::size_t gapped = 0;
   for (const lab::CallRecord& c : calls) {
-    if (c.finals != 1) ++not_once;
-    if (c.flow != 0 && c.worded) ++gapped;
+    if (c.final_answers != 1) ++not_once;
+    if (c.flow != 0 && c.has_reason_text) ++gapped;
     if (c.flow != 0) continue;
     const int with = c.sent < start ? 0 : c.sent < began + 31s ? 1 : 2;
     const bool changing = (with == 0 && c.sent < began + 1s) || (with == 1 && c.sent < start + 2s) ||
                           (with == 2 && c.sent < began + 32s);
     if (changing) continue;
     ++others[with];
-    const bool in_time = c.stood && c.answered - c.sent <= 1500ms;
+    const bool in_time = c.established && c.answered - c.sent <= 1500ms;
     other_stood[with] += in_time ? 1 : 0;
-    other_late[with] += c.stood && !in_time ? 1 : 0;
-    if (!c.stood) ++other_refused[with][c.cause];
+    other_late[with] += c.established && !in_time ? 1 : 0;
+    if (!c.established) ++other_refused[with][c.cause];
   }
   const auto share = [&](int with) {
     return others[with] == 0 ? 0.0
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -18,25 +18,25 @@
     const std::string listen = at(free_port());
     const auto program = gatekeeper(argv[1], listen, servers, 0, 1);
     test::Socket::connected(std::stoi(listen.substr(listen.rfind(':') + 1)));  // it listens
-    lab::Plan plan;
+    lab::LoadPlan plan;
     plan.gatekeepers = {listen};
     plan.servers = servers;
     plan.flows.emplace_back();
     plan.flows[0].per_second = rate;
-    plan.lasts = 5s;
+    plan.duration = 5s;
     std::uint64_t before = 0;
     plan.tick = [&](Time) {
       if (before == 0) before = lab::cpu_ns(program->pid());
     };
-    lab::Load load(plan);
+    lab::LoadGenerator load(plan);
     load.run();
     const double used = static_cast<double>(lab::cpu_ns(program->pid()) - before) / 1e3;
     std::vector<double> waits;
     std::size_t stood = 0;
     std::size_t one = 0;
     for (const lab::CallRecord& c : load.calls()) {
-      if (c.finals == 1) ++one;
-      if (c.stood) ++stood;
+      if (c.final_answers == 1) ++one;
+      if (c.established) ++stood;
       waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
     }
     const auto all = static_cast<double>(load.calls().size());
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -27,7 +27,7 @@
   test::Socket socket = test::Socket::connected(port);
   socket.send(call + "\n");
   std::string text = socket.line();
-  if (call == "telemetry") text += socket.until("END\n");
+  if (call == "telemetry") text += socket.read_until("END\n");
   if (took_ms != nullptr) *took_ms = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
   return text;
 }
@@ -42,12 +42,12 @@
   std::size_t twice = 0;
   std::size_t stood = 0;
 };
-Ends ends_of(const lab::Load& load) {
+Ends ends_of(const lab::LoadGenerator& load) {
   Ends ends;
   for (const lab::CallRecord& c : load.calls()) {
-    ends.unanswered += c.finals == 0 ? 1 : 0;
-    ends.twice += c.finals > 1 ? 1 : 0;
-    ends.stood += c.stood ? 1 : 0;
+    ends.unanswered += c.final_answers == 0 ? 1 : 0;
+    ends.twice += c.final_answers > 1 ? 1 : 0;
+    ends.stood += c.established ? 1 : 0;
   }
   return ends;
 }
@@ -56,13 +56,13 @@
   std::vector<std::string> servers{at(free_port()), at(free_port())};
   test::Socket listener = test::Socket::bound(SOCK_STREAM);  // held for all processes, as the platform does
   std::string listen = at(listener.port());
-  lab::Plan plan(double per_second, Duration lasts) const {
-    lab::Plan p;
+  lab::LoadPlan plan(double per_second, Duration lasts) const {
+    lab::LoadPlan p;
     p.gatekeepers = {listen};
     p.servers = servers;
     p.flows.emplace_back();
     p.flows[0].per_second = per_second;
-    p.lasts = lasts;
+    p.duration = lasts;
     return p;
   }
   json config(int management) const {
@@ -80,7 +80,7 @@
   const Site site;
   const int management = free_port();
   const auto program = site.start(binary, management);
-  lab::Load load(site.plan(2000, 6s));
+  lab::LoadGenerator load(site.plan(2000, 6s));
   double longest = 0.0;
   std::thread operators([&] {
     std::this_thread::sleep_for(4500ms);
@@ -117,7 +117,7 @@
   const std::size_t half = load.calls().size() / 2;
   for (std::size_t i = 0; i < load.calls().size(); ++i) {
     const lab::CallRecord& c = load.calls()[i];
-    if (c.finals > 0)
+    if (c.final_answers > 0)
       (i < half ? before : during)
           .push_back(std::chrono::duration<double, std::milli>(c.answered - c.sent).count());
   }
@@ -129,7 +129,7 @@
   const Site site;
   const int management = free_port();
   const auto program = site.start(binary, management);
-  lab::Load load(site.plan(500, 5s));
+  lab::LoadGenerator load(site.plan(500, 5s));
   std::thread operators([&] {
     std::this_thread::sleep_for(2s);
     for (int i = 0; i < 20; ++i) {
@@ -137,7 +137,7 @@
       fresh["settings"]["limits"]["maxAttempts"] = 2 + i % 3;
       std::string text = fresh.dump();
       if (i % 4 == 3) text.resize(text.size() / 2);
-      program->configure(text);
+      program->write_config(text);
       program->signal(SIGHUP);
       std::this_thread::sleep_for(150ms);
     }
@@ -159,7 +159,7 @@
   int management = free_port();
   std::vector<std::unique_ptr<test::Program>> programs;
   programs.push_back(site.start(binary, management));
-  lab::Load load(site.plan(500, 14s));
+  lab::LoadGenerator load(site.plan(500, 14s));
   double longest_start = 0.0;
   std::thread operators([&] {
     std::this_thread::sleep_for(2s);
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -23,8 +23,8 @@
 
 using namespace graniterun;
 using namespace std::chrono_literals;
-using lab::ConfigPlan;
-using lab::ConfigRig;
+using lab::ConfigClusterFixture;
+using lab::ConfigClusterPlan;
 using lab::Nanos;
 using nlohmann::json;
 using Steady = std::chrono::steady_clock;
@@ -69,7 +69,7 @@
     const std::size_t before = log().size();
     ::kill(pid, SIGUSR1);
     std::uint64_t all = 0;
-    ConfigRig::until(3s, [&] {
+    ConfigClusterFixture::wait_until(3s, [&] {
       const std::string text = log().substr(before);
       const auto number = [&text](const std::string& name) -> std::optional<std::uint64_t> {
         const std::size_t at = text.find("net." + name + " ");
@@ -90,7 +90,8 @@
 std::string content_of(const std::string& service, std::uint64_t serial) {
   json mark = {{"first", serial}, {"pad", std::string(1900, 'x')}, {"second", serial}};
   json settings = {{"marks", {{service, mark}}}};
-  if (service == lab::Spread::kForAll) settings["limits"] = {{"maxAttempts", 2 + serial % 4}};
+  if (service == lab::SubscriptionLayout::kCommonService)
+    settings["limits"] = {{"maxAttempts", 2 + serial % 4}};
   return json{{"settings", settings}}.dump();
 }
 
@@ -101,7 +102,7 @@
 
 class Scale {
  public:
-  Scale(ConfigPlan plan, bool is_short) : short_(is_short), rig_(std::move(plan)) {}
+  Scale(ConfigClusterPlan plan, bool is_short) : short_(is_short), rig_(std::move(plan)) {}
 
   bool run() {
     if (!start()) return false;
@@ -164,26 +165,26 @@
     return std::nullopt;
   }
   bool everywhere(const std::string& service, std::uint64_t version) const {
-    return rig_.force(service, version).now >= rig_.spread().subscribers(service);
+    return rig_.activation_of(service, version).active_now >= rig_.spread().subscribers(service);
   }
   // Milliseconds until it is in force at all; -1: it never was.
   double until_everywhere(const std::optional<Change>& change) {
-    if (!change ||
-        !ConfigRig::until(patience(), [&] { return everywhere(change->service, change->version); })) {
+    if (!change || !ConfigClusterFixture::wait_until(
+                       patience(), [&] { return everywhere(change->service, change->version); })) {
       if (change) {
-        const auto f = rig_.force(change->service, change->version);
+        const auto f = rig_.activation_of(change->service, change->version);
         std::fprintf(stderr, "%s %llu is in force at %zu of %zu\n", change->service.c_str(),
-                     static_cast<unsigned long long>(change->version), f.now,
+                     static_cast<unsigned long long>(change->version), f.active_now,
                      rig_.spread().subscribers(change->service));
       }
       ++never_;
       return -1.0;
     }
-    const double took = ms(rig_.force(change->service, change->version).last - change->began);
+    const double took = ms(rig_.activation_of(change->service, change->version).last_at - change->began);
     if (took >= kAimMs) std::fprintf(stderr, "%s took %.0f ms\n", change->service.c_str(), took);
     return took;
   }
-  bool all_equal() const {
+  bool all_in_sync() const {
     for (const auto& [service, version] : newest_) {
       if (!everywhere(service, version)) return false;
     }
@@ -194,20 +195,20 @@
     for (std::size_t i = 0; i < rig_.plan().distributors; ++i) up_.push_back(i);
     const Nanos began = lab::steady_now();
     rig_.start_all();
-    const bool up = ConfigRig::until(60s, [&] {
+    const bool up = ConfigClusterFixture::wait_until(60s, [&] {
       const auto t = rig_.totals();
       std::size_t ready = 0;
       for (std::size_t i = 0; i < rig_.plan().real; ++i) ready += rig_.real_ready(i) ? 1 : 0;
-      return t.ready == rig_.plan().light && ready == rig_.plan().real;
+      return t.ready == rig_.plan().lightweight && ready == rig_.plan().real;
     });
     tell("start_to_ready", ms(lab::steady_now() - began), "ms", up);
     // The distributors begin where all are new; then every service of some size has a first document.
-    const bool votes = ConfigRig::until(
+    const bool votes = ConfigClusterFixture::wait_until(
         30s, [&] { return rig_.publish(0, "all", content_of("all", ++serial_)).has_value(); });
     tell("start_to_first_commit", ms(lab::steady_now() - began), "ms", votes);
     if (!up || !votes) {
       const auto t = rig_.totals();
-      std::fprintf(stderr, "%zu of %zu are up, %zu ready\n", t.up, rig_.plan().light, t.ready);
+      std::fprintf(stderr, "%zu of %zu are up, %zu ready\n", t.up, rig_.plan().lightweight, t.ready);
       for (std::size_t i = 0; i < rig_.plan().real; ++i) {
         if (rig_.real_ready(i)) continue;
         const std::string log = rig_.real(i).log();
@@ -265,7 +266,7 @@
   // servers, and no calls; nobody asks them anything.
   void quiet() {
     const auto& plan = rig_.plan();
-    rig_.ask_real_ones(false);
+    rig_.set_polling(false);
     std::thread servers([&] { calls(15s, nothing_, 0.001); });
     std::this_thread::sleep_for(2s);
     const Usage a = usage();
@@ -278,7 +279,7 @@
     }
     const Usage c = usage();
     servers.join();
-    rig_.ask_real_ones(true);
+    rig_.set_polling(true);
     const double span = static_cast<double>(b.at - a.at) / 1e9;
     const double changing = static_cast<double>(c.at - b.at) / 1e9;
     const auto rate = [span](std::uint64_t from, std::uint64_t to, std::size_t of) {
@@ -290,16 +291,16 @@
       return (static_cast<double>(z - y) - quietly) / changes /
              static_cast<double>(std::max<std::size_t>(1, of));
     };
-    const double light_cpu = rate(a.light_cpu, b.light_cpu, plan.light) / 1e3;
-    const double light_bytes = rate(a.light_bytes, b.light_bytes, plan.light);
+    const double light_cpu = rate(a.light_cpu, b.light_cpu, plan.lightweight) / 1e3;
+    const double light_bytes = rate(a.light_bytes, b.light_bytes, plan.lightweight);
     tell("gatekeeper_cpu_quiet", light_cpu, "us/s", light_cpu < 16'000.0);
     tell("gatekeeper_bytes_quiet", light_bytes, "B/s", light_bytes < 3000.0);
-    tell("gatekeeper_cpu_of_a_change", of_change(a.light_cpu, b.light_cpu, c.light_cpu, plan.light) / 1e3,
-         "us");
-    tell("gatekeeper_bytes_of_a_change", of_change(a.light_bytes, b.light_bytes, c.light_bytes, plan.light),
-         "B");
+    tell("gatekeeper_cpu_of_a_change",
+         of_change(a.light_cpu, b.light_cpu, c.light_cpu, plan.lightweight) / 1e3, "us");
+    tell("gatekeeper_bytes_of_a_change",
+         of_change(a.light_bytes, b.light_bytes, c.light_bytes, plan.lightweight), "B");
     const auto t = rig_.totals();
-    tell("gatekeeper_memory", static_cast<double>(t.memory) / static_cast<double>(plan.light) / 1024.0,
+    tell("gatekeeper_memory", static_cast<double>(t.memory) / static_cast<double>(plan.lightweight) / 1024.0,
          "KiB");
     double most = 0.0;
     for (std::size_t i = 0; i < plan.real; ++i)
@@ -308,7 +309,8 @@
 
     // Control's part: what those with it cost above those without, hollow and real. These real
     // ones have no setup servers: what is said to them comes every 10 s and is more than control says.
-    const double light_part = light_cpu - rate(a.bare_light_cpu, b.bare_light_cpu, plan.bare_light) / 1e3;
+    const double light_part =
+        light_cpu - rate(a.bare_light_cpu, b.bare_light_cpu, plan.bare_lightweight) / 1e3;
     const double real_part = (rate(a.plain_real_cpu, b.plain_real_cpu, plan.bare_real) -
                               rate(a.bare_real_cpu, b.bare_real_cpu, plan.bare_real)) /
                              1e3;
@@ -318,7 +320,7 @@
     const double cpu_ratio = light_part / std::max(1e-9, real_part);
     tell("control_cpu_hollow_by_real", cpu_ratio, "times", std::abs(cpu_ratio - 1.0) <= 0.2);
     const double light_bytes_part =
-        light_bytes - rate(a.bare_light_bytes, b.bare_light_bytes, plan.bare_light);
+        light_bytes - rate(a.bare_light_bytes, b.bare_light_bytes, plan.bare_lightweight);
     const double real_bytes_part = rate(a.plain_real_bytes, b.plain_real_bytes, plan.bare_real) -
                                    rate(a.bare_real_bytes, b.bare_real_bytes, plan.bare_real);
     tell("control_bytes_hollow", light_bytes_part, "B/s");
@@ -342,7 +344,8 @@
   void polling() {
     using namespace distribution;
     std::vector<VersionsNotified::Entry> held;
-    for (const std::string& service : rig_.spread().of(0)) held.push_back({service, {1'790'000'000'000, {}}});
+    for (const std::string& service : rig_.spread().services_of(0))
+      held.push_back({service, {1'790'000'000'000, {}}});
     const double question = static_cast<double>(control::subscribe_line("g0", held, true).dump().size() + 1);
     const double answer = static_cast<double>(control::versions_line(NotifyVersions{}).dump().size() + 1);
     tell("polling_bytes_reckoned", (question + answer) / 3.0, "B/s");
@@ -407,7 +410,7 @@
     const std::size_t victim = up_.size() > 1 ? 1 : 0;
     const auto before = rig_.totals();
     const auto held_before = rig_.relay().counts().held_back.load();
-    rig_.relay().hold(victim, lab::StreamRelay::back, true);
+    rig_.relay().set_hold(victim, lab::StreamRelay::to_client, true);
     // One that is slower than its gatekeepers hears from them what they have, and has nothing to tell: so a
     // few times.
     for (int i = 0; i < 5; ++i) {
@@ -423,9 +426,10 @@
       longest = std::max(longest, took);
     }
     rig_.signal_distributor(victim, SIGCONT);
-    rig_.relay().hold(victim, lab::StreamRelay::back, false);
+    rig_.relay().set_hold(victim, lab::StreamRelay::to_client, false);
     tell_time("distributor_stopped_last", whole ? longest : -1.0);
-    const bool refused = ConfigRig::until(5s, [&] { return rig_.totals().stale > before.stale; });
+    const bool refused =
+        ConfigClusterFixture::wait_until(5s, [&] { return rig_.totals().stale > before.stale; });
     tell("stale_after_waking", static_cast<double>(rig_.totals().stale - before.stale), "versions refused",
          refused);
     tell("held_back", static_cast<double>(rig_.relay().counts().held_back - held_before), "times",
@@ -439,8 +443,8 @@
     std::size_t wanted = 0;
     const Nanos began = lab::steady_now();
     for (std::size_t h = 0; h < rig_.plan().processes; ++h) {
-      const std::size_t count = std::max<std::size_t>(1, rig_.light_of(h) / 10);
-      rig_.restart_hollow(h, count);
+      const std::size_t count = std::max<std::size_t>(1, rig_.lightweight_gatekeepers_of(h) / 10);
+      rig_.restart_lightweight(h, count);
       wanted += count;
     }
     const std::size_t killed = std::max<std::size_t>(1, rig_.plan().real / 10);
@@ -448,9 +452,10 @@
       rig_.kill_real(i);
       rig_.start_real(i);
     }
-    const bool began_anew =
-        ConfigRig::until(10s, [&] { return rig_.totals().restarts >= before.restarts + wanted; });
-    const bool back = began_anew && ConfigRig::until(patience(), [&] { return all_equal(); });
+    const bool began_anew = ConfigClusterFixture::wait_until(
+        10s, [&] { return rig_.totals().restarts >= before.restarts + wanted; });
+    const bool back =
+        began_anew && ConfigClusterFixture::wait_until(patience(), [&] { return all_in_sync(); });
     tell_time("tenth_restarted_until_all_equal", back ? ms(lab::steady_now() - began) : -1.0);
     tell("restarted", static_cast<double>(rig_.totals().restarts - before.restarts + killed), "gatekeepers",
          began_anew);
@@ -460,9 +465,9 @@
   // Those behind the relay hear nothing and are not heard while many changes are published.
   void third_cut_off() {
     const std::size_t changes = short_ ? 20 : 500;
-    const auto cut_before = rig_.relay().counts().cut.load();
+    const auto cut_before = rig_.relay().counts().dropped_bytes.load();
     rig_.relay().cut_all();
-    const auto names = rig_.spread().all();
+    const auto names = rig_.spread().service_names();
     const Nanos began = lab::steady_now();
     std::vector<std::thread> publishers;
     std::mutex mutex;
@@ -500,25 +505,27 @@
     const Nanos healed = lab::steady_now();
     rig_.relay().heal();
     double peak = 0.0;
-    std::uint64_t passed = rig_.relay().counts().passed;
+    std::uint64_t passed = rig_.relay().counts().forwarded_bytes;
     const std::uint64_t all_before = passed;
     Nanos looked = healed;
     bool quiet = false;
     while (!quiet && lab::steady_now() - healed < 30'000'000'000) {
       std::this_thread::sleep_for(50ms);
       const Nanos now = lab::steady_now();
-      const std::uint64_t then = std::exchange(passed, rig_.relay().counts().passed.load());
+      const std::uint64_t then = std::exchange(passed, rig_.relay().counts().forwarded_bytes.load());
       peak = std::max(peak, static_cast<double>(passed - then) * 1e9 /
                                 static_cast<double>(now - std::exchange(looked, now)));
-      quiet = all_equal();
+      quiet = all_in_sync();
     }
     if (!quiet) ++never_;
     tell_time("heal_to_quiet", quiet ? ms(lab::steady_now() - healed) : -1.0);
     tell("heal_bytes_peak", peak / 1024.0, "KiB/s");
     tell("heal_bytes", static_cast<double>(passed - all_before) / 1024.0, "KiB");
     const auto& counts = rig_.relay().counts();
-    tell("bytes_cut", static_cast<double>(counts.cut - cut_before), "B", counts.cut > cut_before);
-    tell("connections_cut", static_cast<double>(counts.cut_off), "connections", counts.cut_off > 0);
+    tell("bytes_cut", static_cast<double>(counts.dropped_bytes - cut_before), "B",
+         counts.dropped_bytes > cut_before);
+    tell("connections_cut", static_cast<double>(counts.damaged_connections), "connections",
+         counts.damaged_connections > 0);
   }
 
   void all_distributors_restarted() {
@@ -526,26 +533,27 @@
     for (const std::size_t i : up_) rig_.kill_distributor(i);
     for (const std::size_t i : up_) rig_.start_distributor(i);
     std::optional<Change> change;
-    ConfigRig::until(patience(), [&] {
+    ConfigClusterFixture::wait_until(patience(), [&] {
       change = publish("all");
       return change.has_value();
     });
     const double took = until_everywhere(change);
     tell_time("all_distributors_restarted_last",
-              took < 0.0 ? -1.0 : ms(rig_.force("all", change->version).last - began));
+              took < 0.0 ? -1.0 : ms(rig_.activation_of("all", change->version).last_at - began));
     ++faults_["all_distributors_restarted"];
   }
 
   void refused_by_all() {
     const auto bad = publish("all", {}, bad_content(++serial_));
-    const bool refused = bad && ConfigRig::until(patience(), [&] {
-                           return rig_.refused("all", bad->version) >= rig_.spread().subscribers("all");
-                         });
+    const bool refused =
+        bad && ConfigClusterFixture::wait_until(patience(), [&] {
+          return rig_.rejected_count("all", bad->version) >= rig_.spread().subscribers("all");
+        });
     tell_time("refused_by_all_told", refused ? ms(lab::steady_now() - bad->began) : -1.0);
     // What was in force stayed, but for the bad one's number; a good one goes above it.
     const std::uint64_t before = newest_["all"];
-    tell("kept_what_was_in_force", static_cast<double>(rig_.force("all", before).now), "gatekeepers",
-         everywhere("all", before));
+    tell("kept_what_was_in_force", static_cast<double>(rig_.activation_of("all", before).active_now),
+         "gatekeepers", everywhere("all", before));
     tell_time("after_a_refused_one_last", until_everywhere(publish("all")));
   }
 
@@ -557,9 +565,9 @@
       json config = json::parse(rig_.real_config(i));
       config["settings"]["limits"]["maxAttempts"] = 3;
       const std::size_t before = rig_.real(i).log().size();
-      rig_.real(i).configure(config.dump());
+      rig_.real(i).write_config(config.dump());
       rig_.real(i).signal(SIGHUP);
-      all = all && ConfigRig::until(2s, [&] {
+      all = all && ConfigClusterFixture::wait_until(2s, [&] {
               return rig_.real(i).log().find("the configuration was read again", before) != std::string::npos;
             });
     }
@@ -572,22 +580,22 @@
 
   // Calls to the real gatekeepers but the last tenth, which are killed.
   void calls(Duration lasts, std::vector<double>& waits, double per_second = 300.0) {
-    lab::Plan plan;
+    lab::LoadPlan plan;
     const std::size_t killed = std::max<std::size_t>(1, rig_.plan().real / 10);
     for (std::size_t i = 0; i + killed < rig_.plan().real; ++i)
       plan.gatekeepers.push_back(rig_.real_listen(i));
     plan.servers = rig_.servers();
     plan.flows.emplace_back();
     plan.flows[0].per_second = short_ ? 30.0 : per_second;
-    plan.lasts = lasts;
+    plan.duration = lasts;
     plan.seed = 1 + waits.size();
-    lab::Load load(plan);
+    lab::LoadGenerator load(plan);
     load.run();
     for (const lab::CallRecord& c : load.calls()) {
-      if (c.finals == 1)
+      if (c.final_answers == 1)
         waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
-      unanswered_ += c.finals == 0 ? 1 : 0;
-      twice_ += c.finals > 1 ? 1 : 0;
+      unanswered_ += c.final_answers == 0 ? 1 : 0;
+      twice_ += c.final_answers > 1 ? 1 : 0;
     }
   }
   void judge_calls() {
@@ -603,19 +611,21 @@
   }
 
   bool ends() {
-    const bool equal = ConfigRig::until(patience(), [&] { return all_equal(); });
+    const bool equal = ConfigClusterFixture::wait_until(patience(), [&] { return all_in_sync(); });
     std::this_thread::sleep_for(std::chrono::milliseconds(3 * rig_.plan().interval_ms));
     const auto t = rig_.totals();
     tell("all_equal_at_the_end", equal ? 1.0 : 0.0, "", equal);
     tell("services_published", static_cast<double>(newest_.size()), "services");
     tell("never_in_force_everywhere", static_cast<double>(never_), "changes", never_ == 0);
     tell("not_published", static_cast<double>(unpublished_), "changes", unpublished_ == 0);
-    tell("versions_that_went_back", static_cast<double>(t.back), "versions", t.back == 0);
-    tell("versions_mixed", static_cast<double>(t.mixed), "versions", t.mixed == 0);
+    tell("versions_that_went_back", static_cast<double>(t.version_decreases), "versions",
+         t.version_decreases == 0);
+    tell("versions_mixed", static_cast<double>(t.content_mismatches), "versions", t.content_mismatches == 0);
     tell("conflicts", static_cast<double>(t.conflict), "versions", t.conflict == 0);
     tell("unsound", static_cast<double>(t.unsound), "documents", t.unsound == 0);
     tell("stale_refused", static_cast<double>(t.stale), "versions", t.stale > 0);
-    tell("lists_of_servers_taken", static_cast<double>(t.lists), "lists", t.lists >= rig_.plan().light);
+    tell("lists_of_servers_taken", static_cast<double>(t.endpoint_lists), "lists",
+         t.endpoint_lists >= rig_.plan().lightweight);
     if (short_)
       tell("calls_answered", static_cast<double>(calls_during_.size()), "calls", !calls_during_.empty());
     for (const auto& [name, count] : faults_) tell(name, count, "times", count > 0);
@@ -623,7 +633,7 @@
   }
 
   bool short_;
-  ConfigRig rig_;
+  ConfigClusterFixture rig_;
   std::vector<std::size_t> up_;  // distributors
   std::size_t turn_ = 0;
   std::uint64_t serial_ = 0;
@@ -655,7 +665,7 @@
   settings.distributors = kDistributors;
   settings.gatekeepers = n;
   settings.services = std::max<std::size_t>(4, n * 2000 / 13'000);
-  settings.services_each = 1;
+  settings.services_per_gatekeeper = 1;
   settings.seed = n;
   lab::ConfigSim sim(settings);
   const auto tell = [n](const std::string& name, double value, const char* unit, bool holds = true) {
@@ -664,7 +674,7 @@
   };
   sim.start_all(false);
   bool votes = false;
-  for (int i = 0; i < 150 && !(votes = sim.all_vote()); ++i) sim.run(100ms);
+  for (int i = 0; i < 150 && !(votes = sim.all_voting()); ++i) sim.run(100ms);
   sim.run(2s);
   const auto bytes = [&sim, n] {
     std::pair<double, double> mean{};  // of a gatekeeper, of a distributor
@@ -688,7 +698,7 @@
   const auto b2 = bytes();
   const auto lines2 = sim.counts().lines;
   const double cpu2 = processor_ms();
-  sim.take_in_force();
+  sim.take_activations();
   std::vector<std::uint64_t> requests;
   std::vector<Time> began;
   constexpr std::size_t kChanges = 10;
@@ -700,7 +710,7 @@
   }
   double last = -1.0;
   std::size_t taken = 0;
-  for (const lab::ConfigSim::InForce& f : sim.take_in_force()) {
+  for (const lab::ConfigSim::VersionActivation& f : sim.take_activations()) {
     for (std::size_t i = 0; i < kChanges; ++i) {
       const auto& result = sim.result(requests[i]);
       if (!result || !result->committed || f.version != result->id.version ||
@@ -722,7 +732,7 @@
   tell("distributor_bytes_of_a_change",
        (b3.second - b2.second - (b1.second - b0.second) / 5.0 * changes) / changes, "B");
   tell("processor_changing_of_all", (processor_ms() - cpu2) / changes, "ms/s");
-  tell("all_equal", sim.all_equal() ? 1.0 : 0.0, "", sim.all_equal());
+  tell("all_equal", sim.all_in_sync() ? 1.0 : 0.0, "", sim.all_in_sync());
 }
 #endif
 
@@ -784,16 +794,16 @@
   }
 }
 
-ConfigPlan plan_of(char** argv, std::size_t size) {
-  ConfigPlan plan;
+ConfigClusterPlan plan_of(char** argv, std::size_t size) {
+  ConfigClusterPlan plan;
   plan.gatekeeper = argv[1];
   plan.distributor = argv[2];
   plan.hollow = argv[3];
   plan.real = 12;
-  plan.light = size - plan.real;
+  plan.lightweight = size - plan.real;
   plan.processes = std::clamp<std::size_t>(size / 250, 3, 24) / 3 * 3;
-  plan.behind_relay = plan.processes / 3;
-  plan.bare_light = 20;
+  plan.relayed_processes = plan.processes / 3;
+  plan.bare_lightweight = 20;
   plan.bare_real = 3;
   plan.seed = size;
   return plan;
@@ -813,14 +823,14 @@
   ::alarm(last == "short" ? 110 : 900);
   if (last == "short") {
     timed = false;
-    ConfigPlan plan = plan_of(argv, 42);
+    ConfigClusterPlan plan = plan_of(argv, 42);
     plan.distributors = 3;
     plan.real = 2;
-    plan.light = 40;
+    plan.lightweight = 40;
     plan.processes = 2;
-    plan.behind_relay = 1;
-    plan.bare_light = plan.bare_real = 0;
-    plan.lasts_s = 110;
+    plan.relayed_processes = 1;
+    plan.bare_lightweight = plan.bare_real = 0;
+    plan.lifetime_s = 110;
     good = Scale(plan, true).run() && good;
     return good ? 0 : 1;
   }
--- a/include/graniterun/controller.h
+++ b/include/graniterun/controller.h
@@ -222,7 +222,7 @@
   /// Whether the call is only in transit; such calls are rejected.
   bool in_transit{};
   /// Whether the call was established before, was interrupted and is requested again.
-  bool cut_before{};
+  bool is_reconnect{};
   /// Whether this is a redial; set only where callers mark redials (Settings::callers_flag_redial).
   bool redial{};
 };
@@ -354,10 +354,10 @@
 };
 
 /// Request the server list.
-struct FollowList {};
+struct RequestServerList {};
 
 /// The output of a controller, to be executed in order.
-using Action = std::variant<SendSetup, CancelAttempt, Reject, Fail, SetTimer, NotifyPeers, FollowList>;
+using Action = std::variant<SendSetup, CancelAttempt, Reject, Fail, SetTimer, NotifyPeers, RequestServerList>;
 
 // ---- Controller
 
--- a/lab/cold_fleet.h
+++ b/lab/cold_fleet.h
@@ -18,31 +18,31 @@
 
 namespace graniterun::lab {
 
-struct ColdFleet {
+struct SlowStartFleet {
   std::uint32_t senders = 6;
-  double warm_per_s = 100.0;                       // setups per second after the slow start
-  double cold_share = 0.35;                        // capacity at the start, as a share of warm_per_s
-  Duration warm_after = std::chrono::seconds(15);  // until the full capacity is reached
-  double load = 1.0;                               // offered load, as a share of warm_per_s
-  double uneven = 0.0;     // sigma of the log-normal distribution of the senders' shares of the load
-  double restarted = 0.0;  // share of the senders that restart while the server is warming up
-  int times = 1;           // restarts of each of those senders
-  bool together = false;   // the senders restart at the same times
-  double lost = 0.0;       // share of answers that are lost
-  Duration idle_until{};   // no calls before; then each sender's calls of one second arrive at once
-  bool reports = true;     // the server reports its circuits
+  double full_capacity_per_s = 100.0;    // setups per second after the slow start
+  double initial_capacity_share = 0.35;  // capacity at the start, as a share of full_capacity_per_s
+  Duration full_capacity_after = std::chrono::seconds(15);  // until the full capacity is reached
+  double load = 1.0;                                        // offered load, as a share of full_capacity_per_s
+  double load_share_sigma = 0.0;  // sigma of the log-normal distribution of the senders' shares of the load
+  double restarting_share = 0.0;  // share of the senders that restart while the server is warming up
+  int restarts_per_sender = 1;    // restarts of each of those senders
+  bool simultaneous_restarts = false;  // the senders restart at the same times
+  double lost_answer_share = 0.0;      // share of answers that are lost
+  Duration idle_until{};  // no calls before; then each sender's calls of one second arrive at once
+  bool server_reports_circuits = true;  // the server reports its circuits
   std::uint64_t seed = 1;
 
   struct Result {
     // Maximum of (sent - N) / tolerance(N) over the windows, N being the budget: above 1 is an overload.
-    double worst = -std::numeric_limits<double>::infinity();
-    double of_budget = 0.0;  // maximum of sent / N
+    double max_excess = -std::numeric_limits<double>::infinity();
+    double max_budget_ratio = 0.0;  // maximum of sent / N
     std::size_t offered = 0;
-    std::size_t stood = 0;
+    std::size_t established = 0;
     std::size_t restarts = 0;
     std::size_t sent = 0;
     double served() const {
-      return offered == 0 ? 0.0 : static_cast<double>(stood) / static_cast<double>(offered);
+      return offered == 0 ? 0.0 : static_cast<double>(established) / static_cast<double>(offered);
     }
   };
 
@@ -78,11 +78,12 @@
 
   // Setups per second that the server can handle, `since` its start.
   double capacity(Duration since) const {
-    const double t = std::chrono::duration<double>(since) / warm_after;
-    return warm_per_s * (cold_share + (1.0 - cold_share) * std::clamp(t, 0.0, 1.0));
+    const double t = std::chrono::duration<double>(since) / full_capacity_after;
+    return full_capacity_per_s *
+           (initial_capacity_share + (1.0 - initial_capacity_share) * std::clamp(t, 0.0, 1.0));
   }
 
-  Result play() const;
+  Result run() const;
 
  private:
   struct Sender {
@@ -110,20 +111,20 @@
   };
 };
 
-inline ColdFleet::Result ColdFleet::play() const {
+inline SlowStartFleet::Result SlowStartFleet::run() const {
   using namespace std::chrono_literals;
   const Time start{1000s};
   const Duration warm_period = 14s;  // the server runs at full capacity until it is replaced at 0
   constexpr Duration kStep = 5ms;
   Settings fleet_settings = settings();
   fleet_settings.senders = senders;
-  fleet_settings.slow_start_fraction = cold_share;
+  fleet_settings.slow_start_fraction = initial_capacity_share;
   std::mt19937_64 random(seed);
   const auto uniform = [&] { return std::uniform_real_distribution<double>(0.0, 1.0)(random); };
   const ServerEntry old_entry{ServerId{0}, Zone{0}, Pool{0}, ServerState::in_service, 1.0, {}};
   ServerEntry new_entry = old_entry;
   new_entry.online_since = start;
-  const double busy_circuits = warm_per_s * 8.0 * std::min(load, 1.0);
+  const double busy_circuits = full_capacity_per_s * 8.0 * std::min(load, 1.0);
   LoadReport busy_report;
   busy_report.circuits = busy_circuits * 1.2;
   busy_report.free_circuits = busy_circuits * 0.2;
@@ -133,7 +134,7 @@
   std::vector<Sender> fleet(senders);
   double weight = 0.0;
   for (Sender& s : fleet) {
-    s.calls_per_s = std::exp(std::normal_distribution<double>(0.0, uneven)(random));
+    s.calls_per_s = std::exp(std::normal_distribution<double>(0.0, load_share_sigma)(random));
     weight += s.calls_per_s;
   }
   std::deque<PendingSetup> server_queue;
@@ -174,18 +175,18 @@
   };
   for (std::uint32_t i = 0; i < senders; ++i) {
     Sender& s = fleet[i];
-    s.calls_per_s *= load * warm_per_s / weight;
+    s.calls_per_s *= load * full_capacity_per_s / weight;
     s.notified_at =
         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(0.2 + 2.0 * uniform()));
-    const bool restarts = uniform() < restarted;
-    for (int n = 0; restarts && n < times; ++n) {
-      const double at_s = together ? 2.5 + 0.5 * n : 0.3 + 3.0 * uniform();
+    const bool restarts = uniform() < restarting_share;
+    for (int n = 0; restarts && n < restarts_per_sender; ++n) {
+      const double at_s = simultaneous_restarts ? 2.5 + 0.5 * n : 0.3 + 3.0 * uniform();
       s.restarts.push_back(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(at_s)));
     }
     std::sort(s.restarts.rbegin(), s.restarts.rend());
     create_controller(i);
     handle_event(i, ServerList{ListKind::cached, {old_entry}});
-    if (reports) handle_event(i, ServerReport{ServerId{0}, busy_report});
+    if (server_reports_circuits) handle_event(i, ServerReport{ServerId{0}, busy_report});
   }
   double service_credit = 0.0;
   bool replaced = false;
@@ -207,14 +208,14 @@
       if (now >= s.notified_at && !s.notified && s.up) {
         s.notified = true;
         handle_event(i, ServerList{ListKind::changes, {new_entry}});
-        if (reports) handle_event(i, ServerReport{ServerId{0}, idle_report});
+        if (server_reports_circuits) handle_event(i, ServerReport{ServerId{0}, idle_report});
       }
       if (!s.restarts.empty() && now >= s.restarts.back()) {
         s.restarts.pop_back();
         s.up = false;
         ++s.incarnation;
         ++result.restarts;
-        const double downtime_s = together ? 0.1 : 0.1 + uniform();
+        const double downtime_s = simultaneous_restarts ? 0.1 : 0.1 + uniform();
         s.restarted_at =
             now + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(downtime_s));
       }
@@ -223,7 +224,7 @@
         create_controller(i);
         s.notified = now >= s.notified_at;
         handle_event(i, ServerList{ListKind::cached, {s.notified ? new_entry : old_entry}});
-        if (reports) handle_event(i, ServerReport{ServerId{0}, idle_report});
+        if (server_reports_circuits) handle_event(i, ServerReport{ServerId{0}, idle_report});
       }
       if (!s.up) continue;
       while (!s.timers.empty()) {
@@ -251,7 +252,7 @@
       }
     }
     // The server handles queued setups one after the other; an answer may be lost.
-    const double rate = now < 0ms ? warm_per_s : capacity(now);
+    const double rate = now < 0ms ? full_capacity_per_s : capacity(now);
     service_credit =
         server_queue.empty() ? 0.0 : service_credit + rate * std::chrono::duration<double>(kStep).count();
     for (; service_credit >= 1.0 && !server_queue.empty(); service_credit -= 1.0) {
@@ -261,10 +262,10 @@
       if (!s.up || s.incarnation != setup.incarnation) continue;
       if (setup.cancelled) {
         attempt_ends.emplace_back(setup, Outcome::cancelled);
-      } else if (now >= 0ms && uniform() < lost) {
+      } else if (now >= 0ms && uniform() < lost_answer_share) {
         unanswered[{setup.sender, setup.call}] = setup;
       } else {
-        if (now >= s.notified_at) ++result.stood;
+        if (now >= s.notified_at) ++result.established;
         handle_event(setup.sender,
                      CallEstablished{setup.call, setup.attempt, ServerId{0}, now - setup.sent_at});
       }
@@ -282,8 +283,8 @@
     if (static_cast<double>(notified) * 3.0 > count * 2.0) {
       const double budget = fleet_settings.overload_multiple * capacity(sent[first].at) *
                             std::chrono::duration<double>(fleet_settings.overload_window).count();
-      result.worst = std::max(result.worst, (count - budget) / tolerance(budget));
-      result.of_budget = std::max(result.of_budget, count / budget);
+      result.max_excess = std::max(result.max_excess, (count - budget) / tolerance(budget));
+      result.max_budget_ratio = std::max(result.max_budget_ratio, count / budget);
     }
     notified -= sent[first].sender_notified ? 1 : 0;
   }
--- a/lab/config_rig.cpp
+++ b/lab/config_rig.cpp
@@ -24,7 +24,7 @@
 
 // ---- child processes
 
-Child::Child(const std::vector<std::string>& command, const std::string& log) {
+ChildProcess::ChildProcess(const std::vector<std::string>& command, const std::string& log) {
   int in[2];
   int out[2];
   CHECK(::pipe2(in, O_CLOEXEC) == 0);
@@ -51,20 +51,20 @@
   ::fcntl(out_, F_SETFL, O_NONBLOCK);
 }
 
-Child::~Child() {
+ChildProcess::~ChildProcess() {
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, nullptr, 0);
   ::close(in_);
   ::close(out_);
 }
 
-void Child::say(const std::string& line) const {
+void ChildProcess::write_line(const std::string& line) const {
   [[maybe_unused]] const auto written = ::write(in_, line.data(), line.size());
 }
 
 // ---- the journal service
 
-JournalStandIn::JournalStandIn(const json& hosts) {
+DiscoveryStandIn::DiscoveryStandIn(const json& hosts) {
   first_response_ = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 1\ndata: " +
                     json{{"hosts", hosts}}.dump() + "\n\n";
   listener_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -77,12 +77,12 @@
   thread_ = std::thread([this] { run(); });
 }
 
-JournalStandIn::~JournalStandIn() {
+DiscoveryStandIn::~DiscoveryStandIn() {
   stopping_ = true;
   thread_.join();
 }
 
-void JournalStandIn::run() {
+void DiscoveryStandIn::run() {
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
   epoll_event event{EPOLLIN, {.fd = listener_}};
   ::epoll_ctl(epoll, EPOLL_CTL_ADD, listener_, &event);
@@ -133,30 +133,30 @@
 
 // ---- services and subscribers
 
-Spread::Spread(std::size_t gatekeepers)
+SubscriptionLayout::SubscriptionLayout(std::size_t gatekeepers)
     : gatekeepers_(gatekeepers), services_(std::max<std::size_t>(4, gatekeepers * 2000 / 13'000)) {
   for (std::size_t i = 0; i < gatekeepers_; ++i) {
-    for (const std::string& s : of(i)) ++subscribers_[s];
+    for (const std::string& s : services_of(i)) ++subscribers_[s];
   }
 }
 
 // A fifth of the gatekeepers belong to one in a hundred services; the rest are spread evenly over the others.
-std::string Spread::own(std::size_t i) const {
+std::string SubscriptionLayout::own_service(std::size_t i) const {
   const std::size_t large = std::max<std::size_t>(1, services_ / 100);
   const std::size_t one = i % 5 == 0 ? (i / 5) % large : large + (i - i / 5) % (services_ - large);
   return "s" + std::to_string(one);
 }
 
-std::vector<std::string> Spread::of(std::size_t i) const {
-  return {kForAll, "region-" + std::to_string(i % 3), "zone-" + std::to_string(i % 8), own(i)};
+std::vector<std::string> SubscriptionLayout::services_of(std::size_t i) const {
+  return {kCommonService, "region-" + std::to_string(i % 3), "zone-" + std::to_string(i % 8), own_service(i)};
 }
 
-std::size_t Spread::subscribers(const std::string& service) const {
+std::size_t SubscriptionLayout::subscribers(const std::string& service) const {
   const auto it = subscribers_.find(service);
   return it == subscribers_.end() ? 0 : it->second;
 }
 
-std::vector<std::string> Spread::all() const {
+std::vector<std::string> SubscriptionLayout::service_names() const {
   std::vector<std::string> names;
   for (const auto& [name, count] : subscribers_) names.push_back(name);
   return names;
@@ -198,9 +198,9 @@
 
 }  // namespace
 
-ConfigRig::ConfigRig(ConfigPlan plan)
+ConfigClusterFixture::ConfigClusterFixture(ConfigClusterPlan plan)
     : plan_(std::move(plan)),
-      spread_(plan_.light + plan_.real),
+      spread_(plan_.lightweight + plan_.real),
       servers_(addresses(std::max<std::size_t>(1, plan_.real))),
       journal_(hosts_of(servers_)),
       distributors_(plan_.distributors),
@@ -233,7 +233,7 @@
   reader_ = std::thread([this] { read_reports(); });
 }
 
-ConfigRig::~ConfigRig() {
+ConfigClusterFixture::~ConfigClusterFixture() {
   stopping_ = true;
   reader_.join();
   real_.clear();
@@ -245,44 +245,45 @@
   if (::getenv("GRANITERUN_KEEP") == nullptr) std::filesystem::remove_all(dir_, ignored);
 }
 
-std::size_t ConfigRig::light_of(std::size_t host) const {
-  return plan_.light * (host + 1) / plan_.processes - plan_.light * host / plan_.processes;
+std::size_t ConfigClusterFixture::lightweight_gatekeepers_of(std::size_t host) const {
+  return plan_.lightweight * (host + 1) / plan_.processes - plan_.lightweight * host / plan_.processes;
 }
-std::size_t ConfigRig::first_gatekeeper_of(std::size_t host) const {
-  return plan_.real + plan_.light * host / plan_.processes;
+std::size_t ConfigClusterFixture::first_gatekeeper_of(std::size_t host) const {
+  return plan_.real + plan_.lightweight * host / plan_.processes;
 }
 
-json ConfigRig::configuration_settings(std::size_t gatekeeper, bool through_relay) const {
+json ConfigClusterFixture::configuration_settings(std::size_t gatekeeper, bool through_relay) const {
   json list = json::array();
   for (std::size_t i = 0; i < distributors_.size(); ++i)
     list.push_back(bench::at(through_relay ? relay_->port(i) : distributors_[i].port));
-  return {{"distributors", list}, {"services", spread_.of(gatekeeper)}, {"key_file", key_file_}};
+  return {{"distributors", list}, {"services", spread_.services_of(gatekeeper)}, {"key_file", key_file_}};
 }
 
-void ConfigRig::start_distributor(std::size_t i) {
+void ConfigClusterFixture::start_distributor(std::size_t i) {
   Distributor& d = distributors_.at(i);
   std::string peers;
   for (const Distributor& one : distributors_) peers += (peers.empty() ? "" : ",") + bench::at(one.port);
   d.child.reset();
-  d.child = std::make_unique<Child>(
+  d.child = std::make_unique<ChildProcess>(
       std::vector<std::string>{plan_.distributor, "--listen", bench::at(d.port), "--peer", peers,
                                "--key-file", key_file_, "--dir", d.dir, "--name", "d" + std::to_string(i),
                                "--connections", "4096"},
       d.dir + ".log");
 }
-void ConfigRig::kill_distributor(std::size_t i) { distributors_.at(i).child.reset(); }
-std::string ConfigRig::distributor_log(std::size_t i) const {
+void ConfigClusterFixture::kill_distributor(std::size_t i) { distributors_.at(i).child.reset(); }
+std::string ConfigClusterFixture::distributor_log(std::size_t i) const {
   std::ifstream file(distributors_.at(i).dir + ".log");
   return {std::istreambuf_iterator<char>(file), {}};
 }
-void ConfigRig::forget_files(std::size_t i) {
+void ConfigClusterFixture::remove_files(std::size_t i) {
   std::error_code ignored;
   std::filesystem::remove_all(distributors_.at(i).dir, ignored);
   std::filesystem::create_directories(distributors_.at(i).dir);
 }
 
-std::unique_ptr<Child> ConfigRig::launch_host(const std::string& name, const json& gatekeepers,
-                                              const json& deploy) const {
+std::unique_ptr<ChildProcess> ConfigClusterFixture::launch_host(const std::string& name,
+                                                                const json& gatekeepers,
+                                                                const json& deploy) const {
   json base = bench::config_of("127.0.0.1:1", {}, 0, static_cast<int>(size()));
   base["journal"] = bench::at(journal_.port());
   base.erase("known");
@@ -291,16 +292,18 @@
                                         {"deploy", deploy},
                                         {"key_file", key_file_},
                                         {"interval_ms", plan_.interval_ms},
-                                        {"lasts_s", plan_.lasts_s},
+                                        {"lasts_s", plan_.lifetime_s},
                                         {"gatekeepers", gatekeepers}};
-  return std::make_unique<Child>(std::vector<std::string>{plan_.hollow, file + ".json"}, file + ".log");
+  return std::make_unique<ChildProcess>(std::vector<std::string>{plan_.hollow, file + ".json"},
+                                        file + ".log");
 }
 
-void ConfigRig::start_host(std::size_t i) {
-  const bool through_relay = i + plan_.behind_relay >= hosts_.size();
+void ConfigClusterFixture::start_host(std::size_t i) {
+  const bool through_relay = i + plan_.relayed_processes >= hosts_.size();
   json all = json::array();
-  for (std::size_t g = first_gatekeeper_of(i); g < first_gatekeeper_of(i) + light_of(i); ++g)
-    all.push_back({{"name", "g" + std::to_string(g)}, {"services", spread_.of(g)}});
+  for (std::size_t g = first_gatekeeper_of(i); g < first_gatekeeper_of(i) + lightweight_gatekeepers_of(i);
+       ++g)
+    all.push_back({{"name", "g" + std::to_string(g)}, {"services", spread_.services_of(g)}});
   auto child = launch_host("hollow-" + std::to_string(i), all,
                            {{"configuration", configuration_settings(first_gatekeeper_of(i), through_relay)},
                             {"control", {{"listen", "127.0.0.1:0"}}}});
@@ -308,27 +311,27 @@
   hosts_.at(i).child = std::move(child);
 }
 
-void ConfigRig::kill_host(std::size_t i) {
+void ConfigClusterFixture::kill_host(std::size_t i) {
   const std::lock_guard lock(mutex_);
   GatekeeperProcess& process = hosts_.at(i);
   process.child.reset();
-  for (const auto field :
-       {&Totals::stale, &Totals::back, &Totals::mixed, &Totals::conflict, &Totals::unsound, &Totals::refused,
-        &Totals::bytes, &Totals::cpu_ns, &Totals::lists, &Totals::restarts})
+  for (const auto field : {&Totals::stale, &Totals::version_decreases, &Totals::content_mismatches,
+                           &Totals::conflict, &Totals::unsound, &Totals::refused, &Totals::bytes,
+                           &Totals::cpu_ns, &Totals::endpoint_lists, &Totals::restarts})
     process.previous.*field += process.totals.*field;
   process.totals = {};
   process.activations.clear();
   process.partial_line.clear();
 }
 
-void ConfigRig::restart_hollow(std::size_t host, std::size_t count) {
-  hosts_.at(host).child->say(json{{"restart", count}}.dump() + "\n");
+void ConfigClusterFixture::restart_lightweight(std::size_t host, std::size_t count) {
+  hosts_.at(host).child->write_line(json{{"restart", count}}.dump() + "\n");
 }
 
-std::string ConfigRig::real_listen(std::size_t i) const { return bench::at(real_.at(i).listen); }
+std::string ConfigClusterFixture::real_listen(std::size_t i) const { return bench::at(real_.at(i).listen); }
 
-std::string ConfigRig::gatekeeper_config(std::size_t i, const std::string& name,
-                                         const std::string& listen) const {
+std::string ConfigClusterFixture::gatekeeper_config(std::size_t i, const std::string& name,
+                                                    const std::string& listen) const {
   json config = bench::config_of(listen, servers_, static_cast<int>(i), static_cast<int>(size()));
   // Every server serves both call classes.
   json pools = json::array();
@@ -339,11 +342,11 @@
   config["journal"] = bench::at(journal_.port());
   return config.dump();
 }
-std::string ConfigRig::real_config(std::size_t i) const {
+std::string ConfigClusterFixture::real_config(std::size_t i) const {
   return gatekeeper_config(i, "g" + std::to_string(i), real_listen(i));
 }
 
-void ConfigRig::start_real(std::size_t i) {
+void ConfigClusterFixture::start_real(std::size_t i) {
   const json deploy = {{"configuration", configuration_settings(i, false)},
                        {"control", {{"listen", bench::at(real_.at(i).control)}}}};
   auto program = std::make_unique<test::Program>(plan_.gatekeeper, real_config(i), deploy.dump(), -1,
@@ -351,7 +354,7 @@
   const std::lock_guard lock(mutex_);
   real_.at(i).program = std::move(program);
 }
-void ConfigRig::kill_real(std::size_t i) {
+void ConfigClusterFixture::kill_real(std::size_t i) {
   const std::lock_guard lock(mutex_);
   real_.at(i).program.reset();
   real_.at(i).active.clear();
@@ -359,12 +362,12 @@
   real_.at(i).partial_line.clear();
 }
 
-void ConfigRig::start_all() {
+void ConfigClusterFixture::start_all() {
   for (std::size_t i = 0; i < distributors_.size(); ++i) start_distributor(i);
   for (std::size_t i = 0; i < hosts_.size(); ++i) start_host(i);
   for (std::size_t i = 0; i < real_.size(); ++i) start_real(i);
   json bare = json::array();
-  for (std::size_t i = 0; i < plan_.bare_light; ++i)
+  for (std::size_t i = 0; i < plan_.bare_lightweight; ++i)
     bare.push_back({{"name", "b" + std::to_string(i)}, {"services", json::array()}});
   if (!bare.empty()) {
     auto child = launch_host("bare", bare, json::object());
@@ -388,7 +391,8 @@
 
 // ---- operator requests
 
-json ConfigRig::ask(std::size_t i, const json& line, std::chrono::milliseconds timeout) const {
+json ConfigClusterFixture::send_request(std::size_t i, const json& line,
+                                        std::chrono::milliseconds timeout) const {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const test::Socket socket(fd);
   const sockaddr_in address = test::loopback(distributors_.at(i).port);
@@ -413,10 +417,10 @@
   }
 }
 
-std::optional<std::uint64_t> ConfigRig::publish(std::size_t i, const std::string& service,
-                                                const std::string& content, std::string* trouble) {
-  const json answer =
-      ask(i, {{"op", "config"}, {"what", "publish"}, {"service", service}, {"content", content}}, 10s);
+std::optional<std::uint64_t> ConfigClusterFixture::publish(std::size_t i, const std::string& service,
+                                                           const std::string& content, std::string* trouble) {
+  const json answer = send_request(
+      i, {{"op", "config"}, {"what", "publish"}, {"service", service}, {"content", content}}, 10s);
   if (answer.is_object() && answer.value("ok", false)) return answer.value("version", std::uint64_t{0});
   if (trouble != nullptr) *trouble = answer.is_object() ? answer.value("trouble", "refused") : "no answer";
   return std::nullopt;
@@ -424,14 +428,15 @@
 
 // ---- collected state
 
-ConfigRig::Activation ConfigRig::force(const std::string& service, std::uint64_t version) const {
+ConfigClusterFixture::Activation ConfigClusterFixture::activation_of(const std::string& service,
+                                                                     std::uint64_t version) const {
   const std::lock_guard lock(mutex_);
   Activation sum;
   const auto add = [&sum](const Activation& activation) {
-    sum.now += activation.now;
-    if (activation.first != 0)
-      sum.first = sum.first == 0 ? activation.first : std::min(sum.first, activation.first);
-    sum.last = std::max(sum.last, activation.last);
+    sum.active_now += activation.active_now;
+    if (activation.first_at != 0)
+      sum.first_at = sum.first_at == 0 ? activation.first_at : std::min(sum.first_at, activation.first_at);
+    sum.last_at = std::max(sum.last_at, activation.last_at);
   };
   for (const GatekeeperProcess& process : hosts_) {
     if (const auto it = process.activations.find({service, version}); it != process.activations.end())
@@ -446,7 +451,7 @@
   return sum;
 }
 
-std::size_t ConfigRig::refused(const std::string& service, std::uint64_t version) const {
+std::size_t ConfigClusterFixture::rejected_count(const std::string& service, std::uint64_t version) const {
   const std::lock_guard lock(mutex_);
   std::size_t count = 0;
   for (const GatekeeperProcess& process : hosts_) {
@@ -458,40 +463,40 @@
   return count;
 }
 
-ConfigRig::Totals ConfigRig::process_totals(std::size_t host) const {
+ConfigClusterFixture::Totals ConfigClusterFixture::process_totals(std::size_t host) const {
   const std::lock_guard lock(mutex_);
   return hosts_.at(host).totals;
 }
 
-ConfigRig::Totals ConfigRig::bare_totals() const {
+ConfigClusterFixture::Totals ConfigClusterFixture::bare_totals() const {
   const std::lock_guard lock(mutex_);
   return bare_.totals;
 }
 
-ConfigRig::Totals ConfigRig::totals() const {
+ConfigClusterFixture::Totals ConfigClusterFixture::totals() const {
   const std::lock_guard lock(mutex_);
   Totals sum;
-  sum.mixed = digest_mismatches_;
-  sum.back = version_decreases_;
+  sum.content_mismatches = digest_mismatches_;
+  sum.version_decreases = version_decreases_;
   for (const GatekeeperProcess& process : hosts_) {
     sum.up += process.totals.up;
     sum.ready += process.totals.ready;
     sum.at = std::max(sum.at, process.totals.at);
     sum.memory += process.totals.memory;
-    for (const auto field :
-         {&Totals::stale, &Totals::back, &Totals::mixed, &Totals::conflict, &Totals::unsound,
-          &Totals::refused, &Totals::bytes, &Totals::cpu_ns, &Totals::lists, &Totals::restarts})
+    for (const auto field : {&Totals::stale, &Totals::version_decreases, &Totals::content_mismatches,
+                             &Totals::conflict, &Totals::unsound, &Totals::refused, &Totals::bytes,
+                             &Totals::cpu_ns, &Totals::endpoint_lists, &Totals::restarts})
       sum.*field += process.totals.*field + process.previous.*field;
   }
   return sum;
 }
 
-bool ConfigRig::real_ready(std::size_t i) const {
+bool ConfigClusterFixture::real_ready(std::size_t i) const {
   const std::lock_guard lock(mutex_);
   return real_.at(i).ready;
 }
 
-bool ConfigRig::until(std::chrono::milliseconds timeout, const std::function<bool()>& holds) {
+bool ConfigClusterFixture::wait_until(std::chrono::milliseconds timeout, const std::function<bool()>& holds) {
   const auto end = Steady::now() + timeout;
   while (!holds()) {
     if (Steady::now() > end) return false;
@@ -502,7 +507,7 @@
 
 // Reads the reports of the lightweight gatekeepers and polls the real ones. Real ones are polled only while a
 // test or measurement needs their versions, because polling is not part of their own work.
-void ConfigRig::read_reports() {
+void ConfigClusterFixture::read_reports() {
   while (!stopping_) {
     std::vector<pollfd> polls;
     {
@@ -550,7 +555,7 @@
   }
 }
 
-void ConfigRig::poll_real(RealGatekeeper& gatekeeper) {
+void ConfigClusterFixture::poll_real(RealGatekeeper& gatekeeper) {
   if (!polling_ || !gatekeeper.program ||
       (gatekeeper.answer_pending && steady_now() - gatekeeper.polled_at < 1'000'000'000))
     return;
@@ -570,13 +575,14 @@
   if (!gatekeeper.answer_pending) gatekeeper.control_connection.reset();
 }
 
-void ConfigRig::check_digest(const std::string& service, std::uint64_t version, const std::string& digest) {
+void ConfigClusterFixture::check_digest(const std::string& service, std::uint64_t version,
+                                        const std::string& digest) {
   std::string& first_digest = digests_[{service, version}];
   if (first_digest.empty()) first_digest = digest;
   digest_mismatches_ += first_digest != digest ? 1 : 0;
 }
 
-void ConfigRig::handle_report(RealGatekeeper& gatekeeper, const json& line) {
+void ConfigClusterFixture::handle_report(RealGatekeeper& gatekeeper, const json& line) {
   gatekeeper.answer_pending = false;
   gatekeeper.ready = line.value("ready", false);
   for (const json& one : line.value("services", json::array())) {
@@ -593,15 +599,15 @@
   }
 }
 
-void ConfigRig::handle_report(GatekeeperProcess& process, const json& line) {
+void ConfigClusterFixture::handle_report(GatekeeperProcess& process, const json& line) {
   Totals& totals = process.totals;
   const auto number = [&line](const char* name) { return line.value(name, std::uint64_t{0}); };
   totals.up = number("up");
   totals.ready = number("ready");
   totals.restarts = number("restarts");
-  totals.lists = number("lists");
-  totals.back = number("back");
-  totals.mixed = number("mixed");
+  totals.endpoint_lists = number("lists");
+  totals.version_decreases = number("back");
+  totals.content_mismatches = number("mixed");
   totals.stale = number("stale");
   totals.conflict = number("conflicts");
   totals.unsound = number("unsound");
--- a/lab/config_rig.h
+++ b/lab/config_rig.h
@@ -28,16 +28,16 @@
 
 // A child process with pipes on its standard input and standard output; `log` gets its standard error. The
 // kernel kills it when the thread that started it ends.
-class Child {
+class ChildProcess {
  public:
-  Child(const std::vector<std::string>& command, const std::string& log);
-  ~Child();
-  Child(const Child&) = delete;
-  Child& operator=(const Child&) = delete;
+  ChildProcess(const std::vector<std::string>& command, const std::string& log);
+  ~ChildProcess();
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
   void signal(int number) const { ::kill(pid_, number); }
   int pid() const { return pid_; }
   int out() const { return out_; }
-  void say(const std::string& line) const;
+  void write_line(const std::string& line) const;
 
  private:
   pid_t pid_ = -1;
@@ -47,12 +47,12 @@
 
 // A stand-in for the journal service: sends one endpoint list to each client, and then a comment line per
 // second.
-class JournalStandIn {
+class DiscoveryStandIn {
  public:
-  explicit JournalStandIn(const nlohmann::json& hosts);
-  ~JournalStandIn();
-  JournalStandIn(const JournalStandIn&) = delete;
-  JournalStandIn& operator=(const JournalStandIn&) = delete;
+  explicit DiscoveryStandIn(const nlohmann::json& hosts);
+  ~DiscoveryStandIn();
+  DiscoveryStandIn(const DiscoveryStandIn&) = delete;
+  DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
   int port() const { return port_; }
   std::size_t connections() const { return connections_; }
 
@@ -66,37 +66,38 @@
   std::thread thread_;
 };
 
-struct ConfigPlan {
+struct ConfigClusterPlan {
   std::string gatekeeper{};  // paths of the programs
   std::string distributor{};
   std::string hollow{};
   std::size_t distributors = 16;
-  std::size_t light = 100;    // lightweight gatekeepers
-  std::size_t processes = 2;  // that run the lightweight gatekeepers
+  std::size_t lightweight = 100;  // lightweight gatekeepers
+  std::size_t processes = 2;      // that run the lightweight gatekeepers
   std::size_t real = 2;
-  std::size_t behind_relay = 0;  // so many processes, the last ones, connect through the relay
+  std::size_t relayed_processes = 0;  // so many processes, the last ones, connect through the relay
   // Gatekeepers for measuring the cost of the control connections, by comparison with others that differ in
-  // nothing else: `bare_light` lightweight ones without `configuration` and `control`, in a process of their
-  // own; and twice `bare_real` real ones, half of them with both and half without, all without setup servers.
-  std::size_t bare_light = 0;
+  // nothing else: `bare_lightweight` lightweight ones without `configuration` and `control`, in a process of
+  // their own; and twice `bare_real` real ones, half of them with both and half without, all without setup
+  // servers.
+  std::size_t bare_lightweight = 0;
   std::size_t bare_real = 0;
   int interval_ms = 100;  // between the reports of a process of lightweight gatekeepers
-  int lasts_s = 240;      // after which a process of lightweight gatekeepers exits by itself
+  int lifetime_s = 240;   // after which a process of lightweight gatekeepers exits by itself
   std::uint64_t seed = 1;
 };
 
 // Services and their subscribers, with the proportions of the fleet expected in two years: 13,000 gatekeepers
 // of 2,000 services. A fifth of the gatekeepers belong to large services, which are one service in a hundred.
-class Spread {
+class SubscriptionLayout {
  public:
-  explicit Spread(std::size_t gatekeepers);
+  explicit SubscriptionLayout(std::size_t gatekeepers);
   std::size_t services() const { return services_; }  // without the common ones
   // Services of gatekeeper i: the common ones, then its own.
-  std::vector<std::string> of(std::size_t i) const;
-  std::string own(std::size_t i) const;
+  std::vector<std::string> services_of(std::size_t i) const;
+  std::string own_service(std::size_t i) const;
   std::size_t subscribers(const std::string& service) const;
-  static constexpr const char* kForAll = "all";
-  std::vector<std::string> all() const;
+  static constexpr const char* kCommonService = "all";
+  std::vector<std::string> service_names() const;
 
  private:
   std::size_t gatekeepers_;
@@ -104,25 +105,25 @@
   std::map<std::string, std::size_t> subscribers_;
 };
 
-class ConfigRig {
+class ConfigClusterFixture {
  public:
   using json = nlohmann::json;
 
-  explicit ConfigRig(ConfigPlan plan);
-  ~ConfigRig();
+  explicit ConfigClusterFixture(ConfigClusterPlan plan);
+  ~ConfigClusterFixture();
 
-  const Spread& spread() const { return spread_; }
-  std::size_t size() const { return plan_.light + plan_.real; }
-  const ConfigPlan& plan() const { return plan_; }
+  const SubscriptionLayout& spread() const { return spread_; }
+  std::size_t size() const { return plan_.lightweight + plan_.real; }
+  const ConfigClusterPlan& plan() const { return plan_; }
 
   void start_distributor(std::size_t i);  // keeps its files
   void kill_distributor(std::size_t i);
   void signal_distributor(std::size_t i, int number) { distributors_.at(i).child->signal(number); }
-  void forget_files(std::size_t i);
+  void remove_files(std::size_t i);
   void start_host(std::size_t i);
   void kill_host(std::size_t i);
   // Restarts the first `count` gatekeepers of the process without any state.
-  void restart_hollow(std::size_t host, std::size_t count);
+  void restart_lightweight(std::size_t host, std::size_t count);
   void start_real(std::size_t i);
   void kill_real(std::size_t i);
   test::Program& bare_real(std::size_t i) { return *bare_real_.at(i); }
@@ -138,12 +139,12 @@
   bool distributor_up(std::size_t i) const { return distributors_.at(i).child != nullptr; }
   // The relay between gatekeepers and distributors; its server i is distributor i.
   StreamRelay& relay() { return *relay_; }
-  std::size_t light_of(std::size_t host) const;
+  std::size_t lightweight_gatekeepers_of(std::size_t host) const;
   std::size_t first_gatekeeper_of(std::size_t host) const;
-  const JournalStandIn& journal() const { return journal_; }
+  const DiscoveryStandIn& journal() const { return journal_; }
 
   // Sends an operator's request to distributor i and returns the answer; null if none came within `timeout`.
-  json ask(std::size_t i, const json& line, std::chrono::milliseconds timeout) const;
+  json send_request(std::size_t i, const json& line, std::chrono::milliseconds timeout) const;
   // Publishes at distributor i. Returns the version if it was committed; otherwise nothing, with the reason
   // in `trouble`.
   std::optional<std::uint64_t> publish(std::size_t i, const std::string& service, const std::string& content,
@@ -152,20 +153,20 @@
   // Activation of a version: number of gatekeepers that have it active now, and times of the first and the
   // latest activation.
   struct Activation {
-    std::size_t now = 0;
-    Nanos first = 0;
-    Nanos last = 0;
+    std::size_t active_now = 0;
+    Nanos first_at = 0;
+    Nanos last_at = 0;
   };
-  Activation force(const std::string& service, std::uint64_t version) const;
-  std::size_t refused(const std::string& service, std::uint64_t version) const;
+  Activation activation_of(const std::string& service, std::uint64_t version) const;
+  std::size_t rejected_count(const std::string& service, std::uint64_t version) const;
   // Sums over all lightweight gatekeepers, including those of killed processes.
   struct Totals {
     std::size_t up = 0;
     std::size_t ready = 0;
     std::uint64_t restarts = 0;
-    std::uint64_t lists = 0;  // endpoint lists that the discovery client received
-    std::uint64_t back = 0;
-    std::uint64_t mixed = 0;
+    std::uint64_t endpoint_lists = 0;  // endpoint lists that the discovery client received
+    std::uint64_t version_decreases = 0;
+    std::uint64_t content_mismatches = 0;
     std::uint64_t stale = 0;
     std::uint64_t conflict = 0;
     std::uint64_t unsound = 0;
@@ -179,19 +180,19 @@
   Totals process_totals(std::size_t host) const;
   Totals bare_totals() const;
   // Whether real gatekeepers are polled for their active versions, at most 50 times a second.
-  void ask_real_ones(bool on) { polling_ = on; }
+  void set_polling(bool on) { polling_ = on; }
   bool real_ready(std::size_t i) const;
   // Polls `holds` each 10 ms; false if it has not become true within `timeout`.
-  static bool until(std::chrono::milliseconds timeout, const std::function<bool()>& holds);
+  static bool wait_until(std::chrono::milliseconds timeout, const std::function<bool()>& holds);
 
  private:
   struct Distributor {
     int port{};
     std::string dir;
-    std::unique_ptr<Child> child;
+    std::unique_ptr<ChildProcess> child;
   };
   struct GatekeeperProcess {
-    std::unique_ptr<Child> child;
+    std::unique_ptr<ChildProcess> child;
     std::string partial_line;
     Totals totals;
     Totals previous;  // sums of the processes that were killed
@@ -217,16 +218,16 @@
   void poll_real(RealGatekeeper& gatekeeper);
   void check_digest(const std::string& service, std::uint64_t version, const std::string& digest);
   json configuration_settings(std::size_t gatekeeper, bool through_relay) const;
-  std::unique_ptr<Child> launch_host(const std::string& name, const json& gatekeepers,
-                                     const json& deploy) const;
+  std::unique_ptr<ChildProcess> launch_host(const std::string& name, const json& gatekeepers,
+                                            const json& deploy) const;
   std::string gatekeeper_config(std::size_t i, const std::string& name, const std::string& listen) const;
 
-  ConfigPlan plan_;
-  Spread spread_;
+  ConfigClusterPlan plan_;
+  SubscriptionLayout spread_;
   std::string dir_;
   std::string key_file_;
   std::vector<std::string> servers_;
-  JournalStandIn journal_;
+  DiscoveryStandIn journal_;
   std::vector<Distributor> distributors_;
   std::vector<GatekeeperProcess> hosts_;
   std::vector<RealGatekeeper> real_;
--- a/lab/config_sim.h
+++ b/lab/config_sim.h
@@ -39,18 +39,20 @@
   std::size_t distributors = 3;
   std::size_t gatekeepers = 6;
   std::size_t services = 8;
-  std::size_t services_each = 3;  // of a gatekeeper: consecutive ones from its own index, modulo services
+  std::size_t services_per_gatekeeper =
+      3;  // of a gatekeeper: consecutive ones from its own index, modulo services
   std::uint64_t seed = 1;
-  Duration least{std::chrono::microseconds(200)};  // delay of a line, drawn uniformly from `least` to `most`
-  Duration most{std::chrono::milliseconds(3)};
-  double late = 0;     // share of lines with a delay of up to 1.5 s
-  double doubled = 0;  // share of messages that are processed twice
+  Duration min_delay{
+      std::chrono::microseconds(200)};  // delay of a line, drawn uniformly from `least` to `most`
+  Duration max_delay{std::chrono::milliseconds(3)};
+  double late_share = 0;       // share of lines with a delay of up to 1.5 s
+  double duplicate_share = 0;  // share of messages that are processed twice
   Duration tick{std::chrono::milliseconds(50)};
   Duration clock_error{};  // maximum error of a distributor's Unix time, either way
   std::size_t bytes_per_second = 16 * 1024 * 1024;
-  Duration wait{std::chrono::seconds(2)};  // startup timeout of the gatekeepers' subscribers
+  Duration startup_timeout{std::chrono::seconds(2)};  // startup timeout of the gatekeepers' subscribers
   // Reason for which a gatekeeper rejects the configurations; empty: it applies them.
-  std::function<std::string(std::size_t, const std::vector<distribution::ServiceConfig>&)> refuses{};
+  std::function<std::string(std::size_t, const std::vector<distribution::ServiceConfig>&)> rejection_reason{};
 };
 
 class ConfigSim {
@@ -59,20 +61,21 @@
 
   struct Counts {
     std::uint64_t lines = 0;
-    std::uint64_t bytes = 0;          // approximate, of all lines
-    std::uint64_t held_by_cut = 0;    // lines delayed by a cut
-    std::uint64_t held_by_stop = 0;   // events delayed because the process was stopped
-    std::uint64_t lost_by_reset = 0;  // lines on a connection that was closed before they arrived
+    std::uint64_t bytes = 0;            // approximate, of all lines
+    std::uint64_t delayed_by_cut = 0;   // lines delayed by a cut
+    std::uint64_t delayed_by_stop = 0;  // events delayed because the process was stopped
+    std::uint64_t lost_by_reset = 0;    // lines on a connection that was closed before they arrived
     std::uint64_t late = 0;
-    std::uint64_t doubled = 0;
+    std::uint64_t duplicated = 0;
     std::uint64_t refused_connections = 0;
     std::uint64_t steps = 0;
     std::uint64_t fetches = 0;  // sent by gatekeepers
     std::uint64_t applies = 0;
-    std::map<distribution::SubscriberLogKind, std::uint64_t> told{};    // log events of gatekeepers
-    std::map<distribution::DistributorLogKind, std::uint64_t> found{};  // log events of distributors
+    std::map<distribution::SubscriberLogKind, std::uint64_t> subscriber_logs{};  // log events of gatekeepers
+    std::map<distribution::DistributorLogKind, std::uint64_t>
+        distributor_logs{};  // log events of distributors
   };
-  struct InForce {
+  struct VersionActivation {
     Time at{};
     std::size_t gatekeeper{};
     std::string service{};
@@ -100,7 +103,7 @@
   static std::string service_of(std::size_t i) { return "s" + std::to_string(i); }
   std::vector<std::string> services_of(std::size_t gatekeeper) const {
     std::vector<std::string> all;
-    for (std::size_t i = 0; i < std::min(settings_.services_each, settings_.services); ++i)
+    for (std::size_t i = 0; i < std::min(settings_.services_per_gatekeeper, settings_.services); ++i)
       all.push_back(service_of((gatekeeper + i) % settings_.services));
     return all;
   }
@@ -120,7 +123,7 @@
     }
     distribution::DistributorSettings settings;
     settings.name = "d" + std::to_string(i);
-    settings.peers = settings_.distributors - 1;
+    settings.peer_count = settings_.distributors - 1;
     settings.key = key_;
     settings.bytes_per_second = settings_.bytes_per_second;
     settings.seed = random_();
@@ -143,7 +146,7 @@
     settings.distributors = addresses_;
     settings.services = services_of(g);
     settings.key = key_;
-    settings.wait = settings_.wait;
+    settings.startup_timeout = settings_.startup_timeout;
     settings.seed = random_();
     gatekeeper.reducer = std::make_unique<distribution::Subscriber>(std::move(settings));
     gatekeeper.up = true;
@@ -251,16 +254,16 @@
   }
   void set_rejections(
       std::function<std::string(std::size_t, const std::vector<distribution::ServiceConfig>&)> refuses) {
-    settings_.refuses = std::move(refuses);
+    settings_.rejection_reason = std::move(refuses);
   }
-  void take_within(Duration max_apply_time) { max_apply_time_ = max_apply_time; }
+  void set_max_apply_time(Duration max_apply_time) { max_apply_time_ = max_apply_time; }
   // Delivers an event to gatekeeper g that no distributor has sent.
   void inject(std::size_t g, const distribution::SubscriberEvent& event) {
     run_at_node(node_of_gatekeeper(g), [this, g, event] { step_gatekeeper(g, event); });
   }
   void set_faults(double late, double doubled) {
-    settings_.late = late;
-    settings_.doubled = doubled;
+    settings_.late_share = late;
+    settings_.duplicate_share = doubled;
   }
 
   void run(Duration span) {
@@ -268,7 +271,7 @@
   }
   // Runs until `holds` is true, checked after each event. Returns the simulated time that it took, or nothing
   // if `timeout` has passed.
-  std::optional<Duration> until(Duration timeout, const std::function<bool()>& holds) {
+  std::optional<Duration> run_until_true(Duration timeout, const std::function<bool()>& holds) {
     const Time start = now_;
     if (holds()) return Duration{};
     if (!run_until(now_ + timeout, holds)) return std::nullopt;
@@ -286,13 +289,13 @@
     return published_.at(request).result;
   }
   const Counts& counts() const { return counts_; }
-  std::uint64_t told(distribution::SubscriberLogKind what) const {
-    const auto it = counts_.told.find(what);
-    return it == counts_.told.end() ? 0 : it->second;
+  std::uint64_t subscriber_log_count(distribution::SubscriberLogKind what) const {
+    const auto it = counts_.subscriber_logs.find(what);
+    return it == counts_.subscriber_logs.end() ? 0 : it->second;
   }
-  std::uint64_t found(distribution::DistributorLogKind what) const {
-    const auto it = counts_.found.find(what);
-    return it == counts_.found.end() ? 0 : it->second;
+  std::uint64_t distributor_log_count(distribution::DistributorLogKind what) const {
+    const auto it = counts_.distributor_logs.find(what);
+    return it == counts_.distributor_logs.end() ? 0 : it->second;
   }
   // Active version at a gatekeeper, according to the ApplyConfigs effects carried out.
   distribution::VersionId running(std::size_t g, const std::string& service) const {
@@ -306,7 +309,7 @@
     return it == records.end() || !it->second.committed ? distribution::VersionId{}
                                                         : it->second.committed->id;
   }
-  bool all_vote() const {
+  bool all_voting() const {
     for (const Distributor& d : distributors_) {
       if (!d.up || d.reducer->voter_state() != distribution::VoterState::voting) return false;
     }
@@ -314,8 +317,8 @@
   }
   // Whether all running distributors have committed the same versions, and each running gatekeeper has
   // activated or rejected them. trouble() describes the first difference.
-  bool all_equal() const { return trouble().empty(); }
-  std::string trouble() const {
+  bool all_in_sync() const { return describe_difference().empty(); }
+  std::string describe_difference() const {
     std::map<std::string, distribution::VersionId> newest;
     for (std::size_t s = 0; s < settings_.services; ++s) {
       const std::string service = service_of(s);
@@ -349,7 +352,7 @@
     return true;
   }
   // Activations since the previous call.
-  std::vector<InForce> take_in_force() { return std::exchange(in_force_, {}); }
+  std::vector<VersionActivation> take_activations() { return std::exchange(in_force_, {}); }
   std::uint64_t bytes_to(Node n) const { return process(n).bytes_in; }
   std::uint64_t bytes_from(Node n) const { return process(n).bytes_out; }
 
@@ -439,11 +442,11 @@
   }
   bool chance(double share) { return share > 0 && std::bernoulli_distribution(share)(random_); }
   Duration delay() {
-    if (chance(settings_.late)) {
+    if (chance(settings_.late_share)) {
       ++counts_.late;
-      return draw(settings_.most, std::chrono::milliseconds(1500));
+      return draw(settings_.max_delay, std::chrono::milliseconds(1500));
     }
-    return draw(settings_.least, settings_.most);
+    return draw(settings_.min_delay, settings_.max_delay);
   }
   void schedule_after(Duration span, std::function<void()> action) {
     schedule_.push({now_ + span, ++last_number_, std::move(action)});
@@ -465,7 +468,7 @@
     Process& p = process(n);
     if (!p.up) return;
     if (!p.stopped) return action();
-    ++counts_.held_by_stop;
+    ++counts_.delayed_by_stop;
     p.inbox.push_back(std::move(action));
   }
   void start_ticks(Node n) {
@@ -647,7 +650,7 @@
     }
     Direction& d = direction(it->second, to_distributor);
     if (is_cut(it->second.client, it->second.distributor) || !d.held_messages.empty()) {
-      ++counts_.held_by_cut;
+      ++counts_.delayed_by_cut;
       d.held_messages.push_back(std::move(message));
       return;
     }
@@ -686,15 +689,17 @@
       if (std::holds_alternative<distribution::NotificationAcknowledged>(event))
         it->second.notification_pending = false;
       step_distributor(connection.distributor, event);
-      if (may_be_duplicated(event) && chance(settings_.doubled) && distributors_[connection.distributor].up) {
-        ++counts_.doubled;
+      if (may_be_duplicated(event) && chance(settings_.duplicate_share) &&
+          distributors_[connection.distributor].up) {
+        ++counts_.duplicated;
         step_distributor(connection.distributor, event);
       }
     } else if (connection.client < distributors_.size()) {
       const auto& event = std::get<distribution::DistributorEvent>(message);
       step_distributor(connection.client, event);
-      if (may_be_duplicated(event) && chance(settings_.doubled) && distributors_[connection.client].up) {
-        ++counts_.doubled;
+      if (may_be_duplicated(event) && chance(settings_.duplicate_share) &&
+          distributors_[connection.client].up) {
+        ++counts_.duplicated;
         step_distributor(connection.client, event);
       }
     } else {
@@ -704,8 +709,8 @@
       if (std::holds_alternative<distribution::VersionsNotified>(event))
         send(id, true, distribution::DistributorEvent{distribution::NotificationAcknowledged{id}});
       step_gatekeeper(g, event);
-      if (chance(settings_.doubled) && gatekeepers_[g].up) {
-        ++counts_.doubled;
+      if (chance(settings_.duplicate_share) && gatekeepers_[g].up) {
+        ++counts_.duplicated;
         step_gatekeeper(g, event);
       }
     }
@@ -770,7 +775,7 @@
             "commit event without a committed record");
     if (record.committed->id.version > version) return;  // a later commit of the same step
     const distribution::ServiceConfig& config = *record.committed;
-    require(distribution::is_sound(key_, config), "invalid configuration committed: " + service);
+    require(distribution::is_valid_config(key_, config), "invalid configuration committed: " + service);
     require(contents_[service].contains(config.content), "committed content was never published: " + service);
     const auto [it, inserted] = committed_.emplace(std::pair{service, version}, config);
     require(it->second == config,
@@ -901,7 +906,7 @@
             "publication committed with other content");
   }
   void carry_out(std::size_t i, const distribution::DistributorLogEvent& event) {
-    ++counts_.found[event.kind];
+    ++counts_.distributor_logs[event.kind];
     require(event.kind != distribution::DistributorLogKind::conflict,
             "version conflict at a distributor: " + event.service);
     if (event.kind == distribution::DistributorLogKind::committed)
@@ -970,7 +975,8 @@
     Gatekeeper& gatekeeper = gatekeepers_[g];
     ++counts_.applies;
     for (const distribution::ServiceConfig& config : e.configs) check_config(config, "activation");
-    const std::string reason = settings_.refuses ? settings_.refuses(g, e.configs) : std::string{};
+    const std::string reason =
+        settings_.rejection_reason ? settings_.rejection_reason(g, e.configs) : std::string{};
     if (reason.empty()) {
       std::map<std::string, distribution::ServiceConfig> next;
       for (const distribution::ServiceConfig& config : e.configs) next[config.service] = config;
@@ -998,7 +1004,7 @@
                    });
   }
   void carry_out_at(std::size_t g, const distribution::SubscriberLogEvent& event) {
-    ++counts_.told[event.kind];
+    ++counts_.subscriber_logs[event.kind];
     if (event.kind == distribution::SubscriberLogKind::activated)
       require(gatekeepers_[g].running.at(event.service).id.version == event.version,
               name_of(g) + ": activation event of a version that is not active");
@@ -1023,7 +1029,7 @@
   std::map<std::pair<std::string, distribution::Version>, distribution::ServiceConfig> committed_{};
   std::map<std::tuple<std::size_t, std::string, distribution::Version>, distribution::VersionId> proposed_{};
   std::set<std::pair<std::string, distribution::VersionId>> abandoned_{};
-  std::vector<InForce> in_force_{};
+  std::vector<VersionActivation> in_force_{};
   Counts counts_{};
 };
 
--- a/lab/fleet_rig.cpp
+++ b/lab/fleet_rig.cpp
@@ -45,11 +45,11 @@
   member.relay_port = ntohs(address.sin_port);
 }
 
-void Relay::link(std::size_t from, std::size_t to, const RealLink& l) {
+void Relay::set_link(std::size_t from, std::size_t to, const RelayLink& l) {
   const std::lock_guard lock(mutex_);
   links_[{from, to}] = l;
 }
-void Relay::all_links(const RealLink& l) {
+void Relay::set_all_links(const RelayLink& l) {
   const std::lock_guard lock(mutex_);
   links_.clear();
   default_link_ = l;
@@ -114,7 +114,7 @@
     }
     // The sender is running: its port is opened again.
     if (members_[sender].fd < 0) open(members_[sender]);
-    RealLink link;
+    RelayLink link;
     {
       const std::lock_guard lock(mutex_);
       const auto it = links_.find({sender, to});
@@ -131,16 +131,16 @@
       ++counts_.lost;
       continue;
     }
-    const int copies = chance(link.doubled) ? 2 : 1;
-    if (copies == 2) ++counts_.doubled;
+    const int copies = chance(link.duplication) ? 2 : 1;
+    if (copies == 2) ++counts_.duplicated;
     for (int c = 0; c < copies; ++c) {
-      if (link.most <= 0us) {
+      if (link.max_delay <= 0us) {
         forward(sender, to, bytes);
         continue;
       }
       ++counts_.delayed;
-      const auto wait =
-          std::uniform_int_distribution<std::int64_t>(link.least.count(), link.most.count())(random_);
+      const auto wait = std::uniform_int_distribution<std::int64_t>(link.min_delay.count(),
+                                                                    link.max_delay.count())(random_);
       delayed_.emplace(Steady::now() + std::chrono::microseconds(wait), DelayedDatagram{sender, to, bytes});
     }
   }
@@ -195,8 +195,8 @@
 
 }  // namespace
 
-Rig::Rig(std::string binary, std::size_t size, std::uint64_t seed,
-         std::function<void(std::size_t, json&)> edit)
+ClusterFixture::ClusterFixture(std::string binary, std::size_t size, std::uint64_t seed,
+                               std::function<void(std::size_t, json&)> edit)
     : binary_(std::move(binary)),
       seed_(seed),
       edit_(std::move(edit)),
@@ -216,7 +216,7 @@
   thread_ = std::thread([this] { read_events(); });
 }
 
-Rig::~Rig() {
+ClusterFixture::~ClusterFixture() {
   stopping_ = true;
   thread_.join();
   for (const std::size_t i : stopped_) programs_[i]->signal(SIGCONT);
@@ -225,7 +225,7 @@
   ::unlink(key_file_.c_str());
 }
 
-std::unique_ptr<test::Program> Rig::launch(std::size_t i, int inherited) {
+std::unique_ptr<test::Program> ClusterFixture::launch(std::size_t i, int inherited) {
   json fleet = {{"name", "trail"},
                 {"listen", bench::at(fleet_ports_[i])},
                 {"advertise", bench::at(relay_.port(i))},
@@ -240,13 +240,13 @@
   return std::make_unique<test::Program>(binary_, config.dump(), deploy.dump(), inherited);
 }
 
-void Rig::start(std::size_t i) {
+void ClusterFixture::start(std::size_t i) {
   programs_.at(i) = launch(i);
   const std::lock_guard lock(mutex_);
   event_streams_.erase(i);
 }
 
-void Rig::upgrade_begins(std::size_t i) {
+void ClusterFixture::restart_with_held_socket(std::size_t i) {
   kill(i);
   callers_socket_ = test::Socket::bound(SOCK_STREAM);
   listen_ports_[i] = callers_socket_.port();
@@ -254,7 +254,7 @@
 }
 
 // The new process has a control port of its own, as on the platform, where it has a second address.
-void Rig::upgrade(std::size_t i) {
+void ClusterFixture::start_successor(std::size_t i) {
   replaced_.push_back(std::move(programs_.at(i)));
   control_ports_[i] = free_ports(1, SOCK_STREAM)[0];
   programs_.at(i) = launch(i, callers_socket_.descriptor());
@@ -267,43 +267,43 @@
   replaced_.back()->signal(SIGTERM);
 }
 
-void Rig::start_all() {
+void ClusterFixture::start_all() {
   for (std::size_t i = 0; i < size(); ++i) start(i);
 }
 
-void Rig::kill(std::size_t i) {
+void ClusterFixture::kill(std::size_t i) {
   stopped_.erase(i);
   programs_.at(i).reset();  // SIGKILL
   const std::lock_guard lock(mutex_);
   event_streams_.erase(i);
 }
-void Rig::stop(std::size_t i) {
+void ClusterFixture::stop(std::size_t i) {
   programs_.at(i)->signal(SIGSTOP);
   stopped_.insert(i);
 }
-void Rig::go_on(std::size_t i) {
+void ClusterFixture::continue_process(std::size_t i) {
   programs_.at(i)->signal(SIGCONT);
   stopped_.erase(i);
 }
 
-json Rig::ask(std::size_t i, const std::string& what) const {
+json ClusterFixture::query_fleet(std::size_t i, const std::string& what) const {
   test::Socket socket = test::Socket::connected(control_ports_.at(i));
   socket.send(json{{"op", "fleet"}, {"what", what}}.dump() + "\n");
   return json::parse(socket.line(), nullptr, false);
 }
 
-std::string Rig::state(std::size_t i, const std::string& member) const {
-  for (const json& object : ask(i, "members").value("members", json::array())) {
+std::string ClusterFixture::state(std::size_t i, const std::string& member) const {
+  for (const json& object : query_fleet(i, "members").value("members", json::array())) {
     if (object.value("name", "") == member) return object.value("state", "");
   }
   return "";
 }
 
-bool Rig::agree(const std::set<std::string>& members) const {
+bool ClusterFixture::members_agree(const std::set<std::string>& members) const {
   std::optional<std::string> digest;
   for (std::size_t i = 0; i < size(); ++i) {
     if (!up(i)) continue;
-    const json view = ask(i, "members");
+    const json view = query_fleet(i, "members");
     if (!view.value("settled", false) || view.value("size", 0U) != members.size()) return false;
     if (digest && *digest != view.value("digest", "")) return false;
     digest = view.value("digest", "");
@@ -314,15 +314,15 @@
   return true;
 }
 
-bool Rig::agree() const {
+bool ClusterFixture::agree() const {
   std::set<std::string> members;
   for (std::size_t i = 0; i < size(); ++i) {
     if (up(i)) members.insert("n" + std::to_string(i));
   }
-  return agree(members);
+  return members_agree(members);
 }
 
-bool Rig::until(std::chrono::milliseconds timeout, const std::function<bool()>& holds) {
+bool ClusterFixture::wait_until(std::chrono::milliseconds timeout, const std::function<bool()>& holds) {
   const auto end = Steady::now() + timeout;
   while (!holds()) {
     if (Steady::now() > end) return false;
@@ -331,20 +331,20 @@
   return true;
 }
 
-std::vector<Event> Rig::events() const {
+std::vector<FleetEvent> ClusterFixture::events() const {
   const std::lock_guard lock(mutex_);
   return events_;
 }
-void Rig::forget_events() {
+void ClusterFixture::clear_events() {
   const std::lock_guard lock(mutex_);
   events_.clear();
 }
 
-std::uint64_t Rig::counter(std::size_t i, const std::string& name) {
+std::uint64_t ClusterFixture::counter(std::size_t i, const std::string& name) {
   const std::size_t before = program(i).log().size();
   program(i).signal(SIGUSR1);
   std::uint64_t value = 0;
-  CHECK(until(10s, [&] {
+  CHECK(wait_until(10s, [&] {
     const std::string text = program(i).log().substr(before);
     // Counters are printed sorted by name: once this one is complete, those of the fleet have been printed.
     if (text.find("net.timers_over_5ms_late ") == std::string::npos || text.back() != '\n') return false;
@@ -356,7 +356,7 @@
 }
 
 // Records the fleet events of each process, from the time at which its control listener accepts connections.
-void Rig::read_events() {
+void ClusterFixture::read_events() {
   while (!stopping_) {
     std::vector<pollfd> polls;
     std::vector<std::size_t> stream_members;
--- a/lab/fleet_rig.h
+++ b/lab/fleet_rig.h
@@ -23,12 +23,12 @@
 using Steady = std::chrono::steady_clock;
 
 // Faults of the relay for datagrams from one member to another.
-struct RealLink {
+struct RelayLink {
   bool cut = false;
-  double loss = 0.0;                   // share of datagrams
-  double doubled = 0.0;                // share of datagrams that are duplicated
-  std::chrono::microseconds least{0};  // delay, drawn uniformly from `least` to `most`
-  std::chrono::microseconds most{0};   // above `least`: datagrams are reordered
+  double loss = 0.0;                       // share of datagrams
+  double duplication = 0.0;                // share of datagrams that are duplicated
+  std::chrono::microseconds min_delay{0};  // delay, drawn uniformly from `least` to `most`
+  std::chrono::microseconds max_delay{0};  // above `least`: datagrams are reordered
 };
 
 // Relays the fleet's UDP datagrams on loopback, in a thread of its own.
@@ -38,7 +38,7 @@
     std::atomic<std::uint64_t> passed{0};
     std::atomic<std::uint64_t> cut{0};
     std::atomic<std::uint64_t> lost{0};
-    std::atomic<std::uint64_t> doubled{0};
+    std::atomic<std::uint64_t> duplicated{0};
     std::atomic<std::uint64_t> delayed{0};
     std::atomic<std::uint64_t> refused{0};  // ports closed because the process behind them refused
     std::atomic<std::uint64_t> unknown{0};  // from an unknown sender: forwarded unchanged
@@ -48,11 +48,11 @@
   Relay(std::vector<int> real, std::uint64_t seed);
   ~Relay();
   int port(std::size_t i) const { return members_[i].relay_port; }
-  void link(std::size_t from, std::size_t to, const RealLink& l);
-  void all_links(const RealLink& l);
+  void set_link(std::size_t from, std::size_t to, const RelayLink& l);
+  void set_all_links(const RelayLink& l);
   // Cuts both directions between the members of `side` and all others.
   void cut(const std::set<std::size_t>& side);
-  void heal() { all_links({}); }
+  void heal() { set_all_links({}); }
   const Counts& counts() const { return counts_; }
 
  private:
@@ -75,8 +75,8 @@
 
   std::vector<RelayedMember> members_;
   int send_fd_ = -1;  // sends the forwarded datagrams; its error queue receives the ICMP refusals
-  std::map<std::pair<std::size_t, std::size_t>, RealLink> links_;
-  RealLink default_link_{};
+  std::map<std::pair<std::size_t, std::size_t>, RelayLink> links_;
+  RelayLink default_link_{};
   std::multimap<Steady::time_point, DelayedDatagram> delayed_;
   std::mt19937_64 random_;
   std::mutex mutex_;
@@ -86,53 +86,54 @@
 };
 
 // A fleet event that a process reported on its control listener, with the time at which it was received.
-struct Event {
+struct FleetEvent {
   Steady::time_point at;
-  std::size_t by{};
-  std::string what;
+  std::size_t reported_by{};
+  std::string kind;
   std::string member;
-  std::uint64_t life{};
+  std::uint64_t incarnation{};
 };
 
 // Cluster fixture: the gatekeeper processes, the relay and a thread that records their events.
-class Rig {
+class ClusterFixture {
  public:
   using json = nlohmann::json;
 
   // `edit` changes the deploy file of member i; the key `name_for_tests` there sets its name.
-  Rig(std::string binary, std::size_t size, std::uint64_t seed,
-      std::function<void(std::size_t, json&)> edit = {});
-  ~Rig();
+  ClusterFixture(std::string binary, std::size_t size, std::uint64_t seed,
+                 std::function<void(std::size_t, json&)> edit = {});
+  ~ClusterFixture();
 
   void start(std::size_t i);
   void start_all();
   void kill(std::size_t i);
   void signal(std::size_t i, int number) { programs_.at(i)->signal(number); }
   void stop(std::size_t i);
-  void go_on(std::size_t i);
+  void continue_process(std::size_t i);
   bool up(std::size_t i) const { return programs_.at(i) != nullptr && !stopped_.contains(i); }
   test::Program& program(std::size_t i) { return *programs_.at(i); }
-  // `upgrade_begins` restarts i with a callers' socket that the fixture holds and the process inherits.
-  // `upgrade` starts a second process with the same socket; the old one hands over to it and is told to exit.
-  void upgrade_begins(std::size_t i);
-  void upgrade(std::size_t i);
+  // `restart_with_held_socket` restarts i with a callers' socket that the fixture holds and the process
+  // inherits. `upgrade` starts a second process with the same socket; the old one hands over to it and is
+  // told to exit.
+  void restart_with_held_socket(std::size_t i);
+  void start_successor(std::size_t i);
   int control(std::size_t i) const { return control_ports_.at(i); }
   const std::string& key_file() const { return key_file_; }
   Relay& relay() { return relay_; }
   std::size_t size() const { return programs_.size(); }
 
   // Sends a request to the control listener of process i and returns the answer.
-  json ask(std::size_t i, const std::string& what) const;
+  json query_fleet(std::size_t i, const std::string& what) const;
   // State of the member in the member table of i: alive, suspect, dead, left, or empty if unknown.
   std::string state(std::size_t i, const std::string& member) const;
   // Whether all running processes have exactly `members` alive, suspect nobody and report the same digest.
-  bool agree(const std::set<std::string>& members) const;
+  bool members_agree(const std::set<std::string>& members) const;
   bool agree() const;
   // Polls `holds` each 10 ms; false if it has not become true within `timeout`.
-  static bool until(std::chrono::milliseconds timeout, const std::function<bool()>& holds);
+  static bool wait_until(std::chrono::milliseconds timeout, const std::function<bool()>& holds);
 
-  std::vector<Event> events() const;
-  void forget_events();
+  std::vector<FleetEvent> events() const;
+  void clear_events();
   // Value of a counter of process i, printed to its log on SIGUSR1; 0 if it is not printed.
   std::uint64_t counter(std::size_t i, const std::string& name);
 
@@ -159,7 +160,7 @@
   };
   mutable std::mutex mutex_;
   std::map<std::size_t, EventStream> event_streams_;
-  std::vector<Event> events_;
+  std::vector<FleetEvent> events_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
--- a/lab/fleet_sim.h
+++ b/lab/fleet_sim.h
@@ -22,30 +22,30 @@
 // Faults of datagrams from one member to another.
 struct Link {
   bool cut = false;
-  double loss = 0.0;                               // share of datagrams
-  double doubled = 0.0;                            // share of datagrams that are duplicated
-  Duration least{std::chrono::microseconds(200)};  // delay, drawn uniformly from `least` to `most`
-  Duration most{std::chrono::milliseconds(2)};
+  double loss = 0.0;                                   // share of datagrams
+  double duplication = 0.0;                            // share of datagrams that are duplicated
+  Duration min_delay{std::chrono::microseconds(200)};  // delay, drawn uniformly from `least` to `most`
+  Duration max_delay{std::chrono::milliseconds(2)};
 };
 
 class FleetSim {
  public:
   using Datagram = membership::Datagram;
   // An event that a member reported.
-  struct Found {
+  struct ReportedEvent {
     Time at{};
-    std::size_t by{};
-    membership::MemberEvent what;
+    std::size_t reported_by{};
+    membership::MemberEvent event;
   };
   struct Counts {
     std::uint64_t sent = 0;
     std::uint64_t bytes = 0;  // as counted by `size_of`
     std::uint64_t cut = 0;    // datagrams dropped by a cut link
     std::uint64_t lost = 0;
-    std::uint64_t doubled = 0;
-    std::uint64_t refused = 0;            // to a process that has ended
-    std::uint64_t unheard_datagrams = 0;  // to a machine that has vanished
-    std::uint64_t held = 0;               // arrived while the receiver was paused
+    std::uint64_t duplicated = 0;
+    std::uint64_t refused = 0;                // to a process that has ended
+    std::uint64_t undelivered_datagrams = 0;  // to a machine that has vanished
+    std::uint64_t held = 0;                   // arrived while the receiver was paused
     std::uint64_t steps = 0;
   };
 
@@ -113,8 +113,8 @@
   }
   void leave(std::size_t i, bool successor = false) { feed(i, membership::LeaveRequested{successor}); }
 
-  void link(std::size_t from, std::size_t to, const Link& l) { links_[{from, to}] = l; }
-  void all_links(const Link& l) {
+  void set_link(std::size_t from, std::size_t to, const Link& l) { links_[{from, to}] = l; }
+  void set_all_links(const Link& l) {
     links_.clear();
     default_link_ = l;
   }
@@ -135,7 +135,7 @@
   }
   // Runs until `holds` is true, checked after each event. Returns the simulated time that it took, or nothing
   // if `timeout` has passed.
-  std::optional<Duration> until(Duration timeout, const std::function<bool()>& holds) {
+  std::optional<Duration> run_until_true(Duration timeout, const std::function<bool()>& holds) {
     const Time began = now_;
     if (holds()) return Duration{};
     if (!run_until(now_ + timeout, holds)) return std::nullopt;
@@ -146,8 +146,8 @@
   std::size_t size() const { return nodes_.size(); }
   bool up(std::size_t i) const { return nodes_[i].up; }
   const membership::Membership& member(std::size_t i) const { return *nodes_[i].member; }
-  const std::vector<Found>& found() const { return found_; }
-  std::vector<Found> take_found() { return std::exchange(found_, {}); }
+  const std::vector<ReportedEvent>& reported_events() const { return found_; }
+  std::vector<ReportedEvent> take_reported_events() { return std::exchange(found_, {}); }
   const Counts& counts() const { return counts_; }
   std::uint64_t sent_by(std::size_t i) const { return nodes_[i].sent; }
 
@@ -181,24 +181,24 @@
   // caller lists those that it killed.
   std::size_t false_deaths(const std::set<std::size_t>& but = {}) const {
     std::size_t count = 0;
-    for (const Found& f : found_) {
-      if (f.what.kind != membership::MemberEventKind::died ||
-          f.what.record.evidence == membership::Evidence::replaced)
+    for (const ReportedEvent& f : found_) {
+      if (f.event.kind != membership::MemberEventKind::died ||
+          f.event.record.state_reason == membership::StateReason::replaced)
         continue;
-      const std::size_t of = index_of(f.what.record.name);
-      count += !but.contains(of) && !but.contains(f.by) ? 1 : 0;
+      const std::size_t of = index_of(f.event.record.name);
+      count += !but.contains(of) && !but.contains(f.reported_by) ? 1 : 0;
     }
     return count;
   }
   static std::size_t index_of(const std::string& name) { return std::stoul(name.substr(1)); }
 
   // Called with each datagram that is sent.
-  std::function<void(std::size_t from, std::size_t to, const Datagram&)> tap;
+  std::function<void(std::size_t from, std::size_t to, const Datagram&)> on_datagram_sent;
   // Size of a datagram in bytes, for the counts.
   std::function<std::size_t(const Datagram&)> size_of;
   // Overrides the fault of the nth datagram, counted from 1; none: the link's own faults apply.
-  enum class Fate : std::uint8_t { passes, lost, doubled, late };
-  std::function<std::optional<Fate>(std::uint64_t nth)> fate;
+  enum class DatagramFault : std::uint8_t { passes, lost, doubled, late };
+  std::function<std::optional<DatagramFault>(std::uint64_t nth)> datagram_fault;
 
   static constexpr Time kStart{std::chrono::seconds(1'000'000)};
 
@@ -280,7 +280,7 @@
     const auto receiver = index_by_address_.find(address);
     if (receiver == index_by_address_.end()) return;
     const std::size_t to = receiver->second;
-    if (tap) tap(from, to, datagram);
+    if (on_datagram_sent) on_datagram_sent(from, to, datagram);
     const auto it = links_.find({from, to});
     const Link& link = it == links_.end() ? default_link_ : it->second;
     if (link.cut) {
@@ -291,23 +291,25 @@
       ++counts_.lost;
       return;
     }
-    Time arrives = now_ + draw(link.least, link.most);
-    const auto outcome = fate ? fate(counts_.sent) : std::nullopt;
-    if (outcome == Fate::lost) {
+    Time arrives = now_ + draw(link.min_delay, link.max_delay);
+    const auto outcome = datagram_fault ? datagram_fault(counts_.sent) : std::nullopt;
+    if (outcome == DatagramFault::lost) {
       ++counts_.lost;
       return;
     }
-    if (outcome == Fate::late) arrives += std::chrono::milliseconds(400);
+    if (outcome == DatagramFault::late) arrives += std::chrono::milliseconds(400);
     if (!nodes_[to].up && !nodes_[to].vanished) {
       ++counts_.refused;
-      schedule(arrives + draw(link.least, link.most), [this, from, address, run_id = nodes_[from].run_id] {
-        if (nodes_[from].run_id == run_id) feed(from, membership::PortUnreachable{address});
-      });
+      schedule(arrives + draw(link.min_delay, link.max_delay),
+               [this, from, address, run_id = nodes_[from].run_id] {
+                 if (nodes_[from].run_id == run_id) feed(from, membership::PortUnreachable{address});
+               });
       return;
     }
-    if (outcome == Fate::doubled || chance(link.doubled)) {
-      ++counts_.doubled;
-      schedule(arrives + draw(link.least, link.most), [this, to, datagram] { deliver(to, datagram); });
+    if (outcome == DatagramFault::doubled || chance(link.duplication)) {
+      ++counts_.duplicated;
+      schedule(arrives + draw(link.min_delay, link.max_delay),
+               [this, to, datagram] { deliver(to, datagram); });
     }
     schedule(arrives, [this, to, d = std::move(datagram)] { deliver(to, d); });
   }
@@ -315,7 +317,7 @@
   void deliver(std::size_t to, const Datagram& datagram) {
     Node& n = nodes_[to];
     if (!n.up) {
-      ++counts_.unheard_datagrams;
+      ++counts_.undelivered_datagrams;
       return;
     }
     if (n.paused) {
@@ -335,7 +337,7 @@
   std::priority_queue<ScheduledEvent> schedule_;
   std::uint64_t next_order_ = 0;
   Time now_ = kStart;
-  std::vector<Found> found_;
+  std::vector<ReportedEvent> found_;
   Counts counts_;
 };
 
--- a/lab/hollow.cpp
+++ b/lab/hollow.cpp
@@ -76,7 +76,7 @@
                                              VersionRecord& record)
     : config_(std::move(config)),
       record_(record),
-      discovery_(config_.journal, config_.known_position, counters_) {
+      discovery_(config_.journal, config_.cached_position, counters_) {
   if (deploy.configuration) {
     subscription_.emplace(*deploy.configuration, counters_,
                           [this](Time, const std::vector<distribution::ServiceConfig>& configs, Outbox&) {
@@ -135,7 +135,7 @@
 std::optional<std::string> LightweightGatekeeper::apply(
     const std::vector<distribution::ServiceConfig>& configs) {
   try {
-    const std::string text = with_overlay(config_.text, configs);
+    const std::string text = apply_service_configs(config_.text, configs);
     const PlatformConfig new_config = read_platform_config(text);
     check_keys(config_, new_config);
     if (!is_complete(text, configs)) ++record_.content_mismatches;
@@ -172,7 +172,7 @@
 
 void LightweightGatekeeper::update_metrics(GatekeeperMetrics& metrics) const {
   const auto set_from_counter = [this](std::atomic<std::uint64_t>& target, const char* name) {
-    target.store(counters_.of(name), std::memory_order_relaxed);
+    target.store(counters_.value(name), std::memory_order_relaxed);
   };
   metrics.ready.store(!subscription_ || subscription_->ready(), std::memory_order_relaxed);
   if (subscription_)
@@ -227,8 +227,8 @@
   const std::uint64_t incarnation = ++instance.starts;
   const std::unique_ptr<LightweightGatekeeper> gatekeeper = create_(instance.index, record_);
   net::RuntimeLimits limits;
-  limits.signals = false;
-  limits.connections = 64;
+  limits.handle_signals = false;
+  limits.max_connections = 64;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   Time updated_at{};
   const auto update = [&] {
--- a/lab/hollow_main.cpp
+++ b/lab/hollow_main.cpp
@@ -86,7 +86,7 @@
   const std::string base = file.at("base").dump();
   const json common_deploy = file.value("deploy", json::object());
   const PlatformConfig config = read_platform_config(base);
-  const auto key = fleet::key_in(read_file(file.at("key_file").get<std::string>()));
+  const auto key = fleet::parse_key(read_file(file.at("key_file").get<std::string>()));
   if (!key) throw ConfigError("the key file does not hold 64 hex digits");
   const auto interval = std::chrono::milliseconds(file.value("interval_ms", 200));
   const auto deadline = Clock::now() + std::chrono::seconds(file.value("lasts_s", 60));
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -23,15 +23,16 @@
 
 }  // namespace
 
-Load::Load(Plan plan) : plan_(std::move(plan)), random_(plan_.seed), next_call_at_(plan_.flows.size()) {}
+LoadGenerator::LoadGenerator(LoadPlan plan)
+    : plan_(std::move(plan)), random_(plan_.seed), next_call_at_(plan_.flows.size()) {}
 
-void Load::run() {
+void LoadGenerator::run() {
   net::Runtime runtime({}, net::Logger(net::Level::error));
   runtime.run(
       [this](Time now, const net::Event& event, net::Effects& effects) { step(now, event, effects); });
 }
 
-void Load::step(Time now, const net::Event& event, net::Effects& effects) {
+void LoadGenerator::step(Time now, const net::Event& event, net::Effects& effects) {
   std::visit(
       [&](const auto& notice) {
         if constexpr (requires { on(now, notice, effects); }) on(now, notice, effects);
@@ -39,7 +40,7 @@
       event);
 }
 
-void Load::on(Time now, const net::Started&, net::Effects& out) {
+void LoadGenerator::on(Time now, const net::Started&, net::Effects& out) {
   for (const std::string& address : plan_.servers) out.push_back(net::Listen{net::Concern::server, address});
   for (std::uint32_t i = 0; i < plan_.gatekeepers.size(); ++i)
     out.push_back(net::Connect{{net::Concern::platform, i}, plan_.gatekeepers[i], 2s});
@@ -49,7 +50,7 @@
   out.push_back(net::ArmTimer{{net::Concern::process, 0}, now + kTick});
 }
 
-void Load::on(Time, const net::Accepted& event, net::Effects& out) {
+void LoadGenerator::on(Time, const net::Accepted& event, net::Effects& out) {
   if (event.conn.concern == net::Concern::server)
     out.push_back(net::Send{event.conn,
                             "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nP-Load: eps:0;latency_ms:1\r\n"
@@ -58,18 +59,19 @@
 
 // A gatekeeper may close a connection without open setups: it is opened again, and setups that were sent
 // while it closed are sent again.
-void Load::on(Time now, const net::Closed& event, net::Effects& out) {
+void LoadGenerator::on(Time now, const net::Closed& event, net::Effects& out) {
   if (event.conn.concern != net::Concern::platform) return;
   out.push_back(net::Connect{event.conn, plan_.gatekeepers[event.conn.number], 2s});
   for (auto it = calls_.rbegin(); it != calls_.rend() && now - it->sent < kResendWindow; ++it) {
-    if (it->gatekeeper != event.conn.number || it->finals > 0 || std::exchange(it->resent, true)) continue;
+    if (it->gatekeeper != event.conn.number || it->final_answers > 0 || std::exchange(it->resent, true))
+      continue;
     ++resent_;
     out.push_back(net::Send{event.conn, it->line});
   }
 }
 
-void Load::place_call(Time now, std::size_t flow, net::Effects& out) {
-  const Flow& f = plan_.flows[flow];
+void LoadGenerator::place_call(Time now, std::size_t flow, net::Effects& out) {
+  const CallFlow& f = plan_.flows[flow];
   CallRecord call;
   call.flow = flow;
   call.sent = now;
@@ -89,10 +91,10 @@
   calls_.push_back(call);
 }
 
-void Load::on(Time now, const net::TimerFired&, net::Effects& out) {
-  const Time end = calls_start_at_ + plan_.lasts;
+void LoadGenerator::on(Time now, const net::TimerFired&, net::Effects& out) {
+  const Time end = calls_start_at_ + plan_.duration;
   for (std::size_t i = 0; i < next_call_at_.size(); ++i) {
-    const Flow& f = plan_.flows[i];
+    const CallFlow& f = plan_.flows[i];
     while (next_call_at_[i] <= now && next_call_at_[i] < std::min(end, calls_start_at_ + f.ends)) {
       place_call(now, i, out);
       const double gap = std::exponential_distribution<double>(f.per_second)(random_);
@@ -127,7 +129,7 @@
   out.push_back(net::ArmTimer{{net::Concern::process, 0}, now + kTick});
 }
 
-void Load::on(Time now, const net::Received& event, net::Effects& out) {
+void LoadGenerator::on(Time now, const net::Received& event, net::Effects& out) {
   std::size_t used = 0;
   while (used < event.bytes.size()) {
     if (event.conn.concern == net::Concern::platform) {
@@ -146,25 +148,25 @@
 }
 
 // Handles a message to a caller.
-void Load::handle_caller_message(Time now, std::size_t gatekeeper, const jsonl::Message& message,
-                                 net::Effects& out) {
+void LoadGenerator::handle_caller_message(Time now, std::size_t gatekeeper, const jsonl::Message& message,
+                                          net::Effects& out) {
   const auto it = by_id_.find(message.id);
   if (it == by_id_.end()) return;
   CallRecord& call = calls_[it->second];
   const net::ConnId conn{net::Concern::platform, static_cast<std::uint32_t>(gatekeeper)};
-  if (message.type == "answer" || (message.type == "release" && !call.stood)) {
-    if (++call.finals == 1) {
+  if (message.type == "answer" || (message.type == "release" && !call.established)) {
+    if (++call.final_answers == 1) {
       call.answered = now;
       --unanswered_;
     }
-    call.stood = message.type == "answer";
+    call.established = message.type == "answer";
     call.cause = message.cause.value_or(0);
-    call.worded = !message.field("reason").empty();
+    call.has_reason_text = !message.field("reason").empty();
     if (const std::string_view wait = message.field("wait"); !wait.empty())
       call.wait_ms = std::atoi(std::string(wait).c_str());
-    if (call.stood && it->second % 2 == 0)
-      pending_releases_.push_back({now + plan_.holds, conn, message.id, true});
-    if (call.stood || !plan_.flows[call.flow].redials) return;
+    if (call.established && it->second % 2 == 0)
+      pending_releases_.push_back({now + plan_.holding_time, conn, message.id, true});
+    if (call.established || !plan_.flows[call.flow].redial_when_rejected) return;
     if (random_() % 2 == 0) place_call(now, call.flow, out);
   } else if (message.type == "release") {
     out.push_back(net::Send{conn, R"({"type":"released","id":")" + message.id + R"(","fields":{}})" + "\n"});
@@ -172,7 +174,8 @@
 }
 
 // Handles a message to a setup server.
-void Load::handle_server_message(Time now, net::ConnId conn, const sip::Message& message, net::Effects& out) {
+void LoadGenerator::handle_server_message(Time now, net::ConnId conn, const sip::Message& message,
+                                          net::Effects& out) {
   if (!message.is_request() || message.method == "ACK") return;
   sip::Message answer;
   answer.status = 200;
@@ -181,8 +184,9 @@
   Time at = now;
   if (message.method == "INVITE") {
     ++invites_;
-    if (plan_.work > Duration{}) {
-      busy_until_ = std::max(busy_until_, now) + plan_.work / static_cast<int>(plan_.servers.size());
+    if (plan_.setup_service_time > Duration{}) {
+      busy_until_ =
+          std::max(busy_until_, now) + plan_.setup_service_time / static_cast<int>(plan_.servers.size());
       at = busy_until_;
     }
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(at - now).count();
@@ -190,7 +194,8 @@
     answer.body = "answer";
     const auto it = by_id_.find(std::string(message.header("Call-ID")));
     if (it != by_id_.end() && it->second % 2 == 1)
-      pending_releases_.push_back({at + plan_.holds, conn, std::string(message.header("Call-ID")), false});
+      pending_releases_.push_back(
+          {at + plan_.holding_time, conn, std::string(message.header("Call-ID")), false});
   }
   if (at > now) {
     pending_answers_.emplace_back(at, net::Send{conn, answer.text()});
--- a/lab/load.h
+++ b/lab/load.h
@@ -18,23 +18,24 @@
 namespace graniterun::lab {
 
 // Calls to one number or to random numbers at a constant mean rate (Poisson arrivals).
-struct Flow {
+struct CallFlow {
   double per_second{};
-  std::string number{};           // hex digits; empty: drawn at random for each call
-  std::vector<double> weights{};  // relative share of each gatekeeper; empty: equal shares
-  bool redials = false;           // half of the rejected calls redial, at once
+  std::string number{};               // hex digits; empty: drawn at random for each call
+  std::vector<double> weights{};      // relative share of each gatekeeper; empty: equal shares
+  bool redial_when_rejected = false;  // half of the rejected calls redial, at once
   Duration begins{};
   Duration ends{std::chrono::hours(1)};
 };
 
-struct Plan {
+struct LoadPlan {
   std::vector<std::string> gatekeepers{};  // addresses of their callers' listeners
   std::vector<std::string> servers{};      // addresses on which the setup servers listen
-  std::vector<Flow> flows{};
-  Duration lasts{};
-  Duration work{};  // processing time of a setup at a server with one queue; 0: it answers at once
+  std::vector<CallFlow> flows{};
+  Duration duration{};
+  Duration
+      setup_service_time{};  // processing time of a setup at a server with one queue; 0: it answers at once
   // Duration of an established call; then its caller or its server releases it, in turn.
-  Duration holds{std::chrono::milliseconds(100)};
+  Duration holding_time{std::chrono::milliseconds(100)};
   std::uint64_t seed = 1;
   std::function<void(Time now)> tick{};  // called each millisecond from the first call on
 };
@@ -44,18 +45,18 @@
   std::size_t gatekeeper{};
   Time sent{};
   Time answered{};
-  int finals = 0;
-  bool stood = false;
-  bool worded = false;  // the rejection carried a reason text, from a call gap that has one
+  int final_answers = 0;
+  bool established = false;
+  bool has_reason_text = false;  // the rejection carried a reason text, from a call gap that has one
   int cause = 0;
   int wait_ms = 0;
   std::string line{};  // the setup, kept for sending it again
   bool resent = false;
 };
 
-class Load {
+class LoadGenerator {
  public:
-  explicit Load(Plan plan);
+  explicit LoadGenerator(LoadPlan plan);
   // Runs the plan until it has ended and all calls are answered, or the answer timeout has passed.
   void run();
   const std::vector<CallRecord>& calls() const { return calls_; }
@@ -75,7 +76,7 @@
                              net::Effects& out);
   void handle_server_message(Time now, net::ConnId conn, const sip::Message& message, net::Effects& out);
 
-  Plan plan_;
+  LoadPlan plan_;
   std::mt19937_64 random_;
   std::vector<Time> next_call_at_;  // next arrival, by flow
   std::vector<CallRecord> calls_;
--- a/lab/stream_relay.cpp
+++ b/lab/stream_relay.cpp
@@ -61,14 +61,14 @@
   [[maybe_unused]] const auto written = ::write(wake_, &one, sizeof one);
 }
 
-void StreamRelay::hold(std::size_t i, Way way, bool on) {
+void StreamRelay::set_hold(std::size_t i, Way way, bool on) {
   {
     const std::lock_guard lock(mutex_);
     servers_.at(i).held[way] = on;
   }
   wake_up();
 }
-void StreamRelay::cut(std::size_t i, Way way, bool on) {
+void StreamRelay::set_cut(std::size_t i, Way way, bool on) {
   {
     const std::lock_guard lock(mutex_);
     servers_.at(i).cut[way] = on;
@@ -103,7 +103,7 @@
         for (auto it = connections_.begin(); it != connections_.end();) {
           const auto next = std::next(it);
           const RelayedServer& server = servers_[it->second.server_index];
-          if (healed && it->second.lost_bytes && !server.cut[there] && !server.cut[back])
+          if (healed && it->second.lost_bytes && !server.cut[to_server] && !server.cut[to_client])
             close_connection(it->first, true);
           else
             process(it->first, it->second);
@@ -144,9 +144,9 @@
     Connection connection;
     connection.server_index = server_index;
     connection.fds[0] = fd;
-    if (servers_[server_index].cut[there] || servers_[server_index].cut[back]) {
+    if (servers_[server_index].cut[to_server] || servers_[server_index].cut[to_client]) {
       connection.lost_bytes = true;  // no connection to the server is opened
-      ++counts_.cut_off;
+      ++counts_.damaged_connections;
     } else {
       connection.fds[1] = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
       ::setsockopt(connection.fds[1], IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -167,23 +167,23 @@
 
 // Forwards bytes of one direction; false if the connection is to be closed.
 bool StreamRelay::forward(Connection& connection, Way way) {
-  const int from = connection.fds[way == there ? 0 : 1];
-  const int to = connection.fds[way == there ? 1 : 0];
+  const int from = connection.fds[way == to_server ? 0 : 1];
+  const int to = connection.fds[way == to_server ? 1 : 0];
   const RelayedServer& server = servers_[connection.server_index];
   std::string& pending = connection.pending[way];
   if (from < 0) return true;
   std::array<char, 16384> buffer;
   for (int round = 0; round < 8; ++round) {
     if (server.cut[way] || connection.lost_bytes) {
-      counts_.cut += pending.size();
-      if (!pending.empty() && !std::exchange(connection.lost_bytes, true)) ++counts_.cut_off;
+      counts_.dropped_bytes += pending.size();
+      if (!pending.empty() && !std::exchange(connection.lost_bytes, true)) ++counts_.damaged_connections;
       pending.clear();
     }
     while (!pending.empty() && to >= 0 && !connection.connecting && !server.held[way]) {
       const ssize_t sent = ::send(to, pending.data(), pending.size(), MSG_NOSIGNAL);
       if (sent < 0 && errno != EAGAIN) return false;
       if (sent <= 0) break;
-      counts_.passed += static_cast<std::uint64_t>(sent);
+      counts_.forwarded_bytes += static_cast<std::uint64_t>(sent);
       pending.erase(0, static_cast<std::size_t>(sent));
     }
     if (connection.ended[way] || pending.size() >= kMaxPendingBytes) break;
@@ -206,7 +206,7 @@
 }
 
 void StreamRelay::process(std::uint64_t id, Connection& connection) {
-  if (!forward(connection, there) || !forward(connection, back))
+  if (!forward(connection, to_server) || !forward(connection, to_client))
     return close_connection(id, connection.lost_bytes);
   update_epoll(id, connection, false);
 }
@@ -214,8 +214,8 @@
 void StreamRelay::update_epoll(std::uint64_t id, Connection& connection, bool is_new) {
   for (std::size_t i = 0; i < 2; ++i) {
     if (connection.fds[i] < 0) continue;
-    const Way in = i == 0 ? there : back;
-    const Way out = i == 0 ? back : there;
+    const Way in = i == 0 ? to_server : to_client;
+    const Way out = i == 0 ? to_client : to_server;
     std::uint32_t events = 0;
     if (!connection.ended[in] && connection.pending[in].size() < kMaxPendingBytes) events |= EPOLLIN;
     const bool held = servers_[connection.server_index].held[out];
--- a/lab/stream_relay.h
+++ b/lab/stream_relay.h
@@ -16,12 +16,13 @@
 
 class StreamRelay {
  public:
-  enum Way : std::uint8_t { there, back };  // client to server, server to client
+  enum Direction : std::uint8_t { to_server, to_client };  // client to server, server to client
   struct Counts {
     std::atomic<std::uint64_t> connections{0};
-    std::atomic<std::uint64_t> passed{0};     // bytes
-    std::atomic<std::uint64_t> cut{0};        // bytes dropped by a cut
-    std::atomic<std::uint64_t> cut_off{0};    // connections that lost bytes, or were opened during a cut
+    std::atomic<std::uint64_t> forwarded_bytes{0};  // bytes
+    std::atomic<std::uint64_t> dropped_bytes{0};    // bytes dropped by a cut
+    std::atomic<std::uint64_t> damaged_connections{
+        0};                                   // connections that lost bytes, or were opened during a cut
     std::atomic<std::uint64_t> held_back{0};  // reads whose bytes were held back
   };
 
@@ -33,9 +34,9 @@
 
   int port(std::size_t i) const { return servers_[i].relay_port; }
   // Holds back the bytes of one direction, up to the sockets' buffers; none are lost.
-  void hold(std::size_t i, Way way, bool on);
+  void set_hold(std::size_t i, Way way, bool on);
   // Drops the bytes of one direction; new connections to the server hang.
-  void cut(std::size_t i, Way way, bool on);
+  void set_cut(std::size_t i, Way way, bool on);
   void cut_all();
   // Ends all holds and cuts, and resets the connections that lost bytes.
   void heal();
--- a/src/call_gapping/gap.h
+++ b/src/call_gapping/gap.h
@@ -28,10 +28,10 @@
 };
 
 // How a gapped call is answered: a Q.850 cause that callers treat as a rejection (34, 42 or 102) and a text.
-struct Treatment {
+struct GapTreatment {
   int cause = 42;
   std::string text{};
-  bool operator==(const Treatment&) const = default;
+  bool operator==(const GapTreatment&) const = default;
 };
 
 struct Gap {
@@ -40,7 +40,7 @@
   // At most one call passes per interval; 0: all pass; absent: none. Absent for a percentage.
   std::optional<Duration> interval{};
   double percent{};  // percentage of calls that pass, 0 to 100; only for Shape::percentage
-  Treatment treatment{};
+  GapTreatment treatment{};
   bool operator==(const Gap&) const = default;
 };
 
--- a/src/call_gapping/gap_register.cpp
+++ b/src/call_gapping/gap_register.cpp
@@ -52,7 +52,7 @@
   return hash(text, kPrefixSeed);
 }
 
-GapRegister::GapRegister(Fleet fleet, std::uint64_t seed, Time started_at, Duration max_retry_after)
+GapRegister::GapRegister(FleetPosition fleet, std::uint64_t seed, Time started_at, Duration max_retry_after)
     : fleet_(fleet),
       started_at_(started_at),
       max_retry_after_(max_retry_after),
@@ -68,7 +68,7 @@
     gap.last_fenced_slot = std::max(gap.last_fenced_slot, slot_at(a, started_at_ + kMaxCedeAhead));
 }
 
-void GapRegister::set_place_owned(Time now, bool owned) {
+void GapRegister::set_port_owned(Time now, bool owned) {
   port_owned_ = owned;
   if (!owned) return;
   started_at_ = now;
@@ -211,7 +211,7 @@
     if (!after.empty() && id <= after) continue;
     GapState state;
     state.announcement = &entry.newest;
-    state.in_force = entry.current && now < entry.current->announcement.end;
+    state.active = entry.current && now < entry.current->announcement.end;
     if (entry.current) {
       state.passed = entry.current->passed;
       state.gapped = entry.current->gapped;
@@ -319,9 +319,9 @@
       1ms, wait + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(offset_s)));
 }
 
-Verdict GapRegister::check(Time now, std::string_view number, std::string_view class_name) {
+GapDecision GapRegister::check(Time now, std::string_view number, std::string_view class_name) {
   if (const auto next = due_.next(); next && *next <= now) process_due_changes(now);
-  Verdict verdict;
+  GapDecision verdict;
   if (keys_ == 0 && by_class_.empty()) return verdict;
   matches_.clear();
   for_each_match(number, class_name, [&](Active* gap) {
@@ -396,7 +396,7 @@
 }
 
 void GapRegister::grant(Time now, const std::string& id, std::uint64_t fingerprint,
-                        const std::vector<SlotOf>& slots) {
+                        const std::vector<OwnedSlot>& slots) {
   process_due_changes(now);
   const auto it = entries_.find(id);
   if (it == entries_.end() || !it->second.current) return;
--- a/src/call_gapping/gap_register.h
+++ b/src/call_gapping/gap_register.h
@@ -53,16 +53,16 @@
 };
 
 // Result of checking a new call against the gaps.
-struct Verdict {
+struct GapDecision {
   bool passes = true;
   std::string_view id{};  // id of the gap that rejects the call
-  Treatment treatment{};
+  GapTreatment treatment{};
   Duration retry_after{};  // minimum time before the caller's next request
 };
 
 struct GapState {
   const Announcement* announcement = nullptr;  // the highest version, which may have ended or be a lift
-  bool in_force = false;
+  bool active = false;
   std::uint64_t passed{};
   std::uint64_t gapped{};
 };
@@ -71,13 +71,13 @@
  public:
   // `started_at`: when this gatekeeper started. Slots that an earlier incarnation may have used or ceded, in
   // a gap that was active then, are not used. `max_retry_after`: upper bound on Verdict::retry_after.
-  GapRegister(Fleet fleet, std::uint64_t seed, Time started_at,
+  GapRegister(FleetPosition fleet, std::uint64_t seed, Time started_at,
               Duration max_retry_after = std::chrono::seconds(2));
 
   // In a fleet with membership, the process that holds a gatekeeper's fleet port owns its slots. Without the
   // port, no call passes that needs a slot. A process that acquires the port counts as started at that
   // moment.
-  void set_place_owned(Time now, bool owned);
+  void set_port_owned(Time now, bool owned);
   // Sets which other gatekeepers' slots may be used; must outlive the register. Null: none.
   void use_failover(const SlotFailover* failover) { failover_ = failover; }
 
@@ -85,7 +85,7 @@
   AnnounceResult announce(Time now, Announcement a);
   // Checks a new call. It passes if every matching gap lets it pass; it then uses a slot of each, else of
   // none.
-  Verdict check(Time now, std::string_view number, std::string_view class_name);
+  GapDecision check(Time now, std::string_view number, std::string_view class_name);
 
   // Registered gaps in order of id: active, future, and retained lifted or ended ones. At most `limit`
   // entries with ids greater than `after`. O(n) in the number of registered gaps.
@@ -110,7 +110,7 @@
   std::vector<Slot> cede(Time now, const std::string& id, std::uint64_t fingerprint,
                          const std::vector<double>& demand, Duration ahead);
   // Records slots that the gap publisher granted to this gatekeeper.
-  void grant(Time now, const std::string& id, std::uint64_t fingerprint, const std::vector<SlotOf>& slots);
+  void grant(Time now, const std::string& id, std::uint64_t fingerprint, const std::vector<OwnedSlot>& slots);
 
   // Calls rejected because kMaxUsedNumbers was reached, so their number could not be recorded.
   std::uint64_t rejected_for_capacity() const { return rejected_for_capacity_; }
@@ -118,7 +118,7 @@
  private:
   // An active version of a gap, with its counts and slots.
   struct Active {
-    explicit Active(Announcement a, Fleet fleet) : announcement(std::move(a)), slots(fleet) {}
+    explicit Active(Announcement a, FleetPosition fleet) : announcement(std::move(a)), slots(fleet) {}
     Announcement announcement;
     Slots slots;
     std::uint64_t salt{};
@@ -159,7 +159,7 @@
   Duration retry_after(Time now, const Match& match);
   void clear_used(Active& gap, Slot slot);
 
-  Fleet fleet_;
+  FleetPosition fleet_;
   Time started_at_;
   Duration max_retry_after_;
   bool port_owned_ = true;
--- a/src/call_gapping/hot_numbers.h
+++ b/src/call_gapping/hot_numbers.h
@@ -30,10 +30,10 @@
 
 struct HotNumber {
   std::string number{};
-  double rate{};   // upper bound of the calls per second
-  double error{};  // part of `rate` that may be calls to other numbers
-  Time since{};    // when the rate rose above hot_threshold
-  bool gapped{};   // the program has announced a gap for it
+  double rate{};     // upper bound of the calls per second
+  double error{};    // part of `rate` that may be calls to other numbers
+  Time hot_since{};  // when the rate rose above hot_threshold
+  bool gapped{};     // the program has announced a gap for it
 };
 
 class HotNumbers {
@@ -47,7 +47,7 @@
   void record_call(Time now, std::string_view number);
 
   struct Change {
-    enum class What : std::uint8_t { hot, cool, gap, lift } what{};
+    enum class Kind : std::uint8_t { hot, cool, gap, lift } kind{};
     HotNumber number{};
   };
   // Returns the changes since the last update. To be called a few times per second.
--- a/src/call_gapping/slot_failover.h
+++ b/src/call_gapping/slot_failover.h
@@ -39,7 +39,7 @@
   // Time from the first refusal to the first slot that may be taken over.
   static constexpr Duration kTakeoverDelay = std::chrono::milliseconds(2500);
 
-  explicit SlotFailover(Fleet fleet) : fleet_(fleet), refusals_(fleet.size) {}
+  explicit SlotFailover(FleetPosition fleet) : fleet_(fleet), refusals_(fleet.size) {}
 
   // The port of the gatekeeper refused, at `now`, a probe sent at `probe_sent_at`.
   void mark_unreachable(Time now, std::uint32_t gatekeeper, Time probe_sent_at);
@@ -62,7 +62,7 @@
   // Whether the gatekeeper's port is known to be free at `now`.
   bool has_ended(Time now, std::uint32_t gatekeeper) const;
 
-  Fleet fleet_;
+  FleetPosition fleet_;
   std::vector<std::optional<RefusalSeries>> refusals_;  // by index of the gatekeeper
 };
 
--- a/src/call_gapping/slots.cpp
+++ b/src/call_gapping/slots.cpp
@@ -35,8 +35,8 @@
   return ceded;
 }
 
-void Slots::grant(const std::vector<SlotOf>& slots, Slot current) {
-  for (const SlotOf& slot : slots) {
+void Slots::grant(const std::vector<OwnedSlot>& slots, Slot current) {
+  for (const OwnedSlot& slot : slots) {
     if (slot.slot < current || granted_.size() >= kMaxSlots) continue;
     granted_.insert(slot);
   }
@@ -85,10 +85,10 @@
   return all;
 }
 
-std::map<std::uint32_t, std::vector<SlotOf>> QuotaAllocator::allocate(Time now, std::uint64_t incarnation,
-                                                                      std::uint32_t from,
-                                                                      const std::vector<Slot>& slots) {
-  std::map<std::uint32_t, std::vector<SlotOf>> grants;
+std::map<std::uint32_t, std::vector<OwnedSlot>> QuotaAllocator::allocate(Time now, std::uint64_t incarnation,
+                                                                         std::uint32_t from,
+                                                                         const std::vector<Slot>& slots) {
+  std::map<std::uint32_t, std::vector<OwnedSlot>> grants;
   if (incarnation != incarnation_) return grants;
   std::vector<double> excess = demand(now);
   const double total_demand = std::accumulate(excess.begin(), excess.end(), 0.0);
--- a/src/call_gapping/slots.h
+++ b/src/call_gapping/slots.h
@@ -23,16 +23,16 @@
 using Slot = std::int64_t;
 
 // The size of the fleet and the position of this gatekeeper in it.
-struct Fleet {
+struct FleetPosition {
   std::uint32_t size = 1;   // number of gatekeepers
   std::uint32_t index = 0;  // of this gatekeeper, from 0
 };
 
 // A slot and the gatekeeper that owns it in turn.
-struct SlotOf {
+struct OwnedSlot {
   Slot slot{};
   std::uint32_t owner{};
-  auto operator<=>(const SlotOf&) const = default;
+  auto operator<=>(const OwnedSlot&) const = default;
 };
 
 // The gatekeeper that owns the slot in turn. `salt` differs between gaps and numbers, so that the first slots
@@ -47,7 +47,7 @@
  public:
   static constexpr std::size_t kMaxSlots = 1024;
 
-  explicit Slots(Fleet fleet) : fleet_(fleet) {}
+  explicit Slots(FleetPosition fleet) : fleet_(fleet) {}
 
   // Whether this gatekeeper owns the slot and has not ceded it, or was granted it.
   bool may_use(Slot slot, std::uint64_t salt) const {
@@ -62,14 +62,14 @@
   std::vector<Slot> cede(const std::vector<double>& demand, Slot first, Slot last, std::uint64_t salt,
                          bool each_number);
   // Records granted slots, unless they are before `current`.
-  void grant(const std::vector<SlotOf>& slots, Slot current);
+  void grant(const std::vector<OwnedSlot>& slots, Slot current);
   // Forgets slots before `slot`.
   void drop_before(Slot slot);
 
  private:
-  Fleet fleet_;
+  FleetPosition fleet_;
   std::set<Slot> ceded_;
-  std::set<SlotOf> granted_;
+  std::set<OwnedSlot> granted_;
   Slot last_decided_slot_ = -1;  // the last slot that cede() has decided
   double credit_ = 0.0;          // fraction of a slot still to be ceded
 };
@@ -90,8 +90,9 @@
   std::vector<double> demand(Time now) const;
   // Allocates the slots that gatekeeper `from` has ceded to `incarnation`; returns the grants by gatekeeper.
   // Slots that were allocated before, or ceded to another incarnation, are ignored.
-  std::map<std::uint32_t, std::vector<SlotOf>> allocate(Time now, std::uint64_t incarnation,
-                                                        std::uint32_t from, const std::vector<Slot>& slots);
+  std::map<std::uint32_t, std::vector<OwnedSlot>> allocate(Time now, std::uint64_t incarnation,
+                                                           std::uint32_t from,
+                                                           const std::vector<Slot>& slots);
   std::uint64_t incarnation() const { return incarnation_; }
   // Forgets allocated slots before `slot`.
   void drop_before(Slot slot);
@@ -107,7 +108,7 @@
   std::uint64_t incarnation_{};
   std::vector<DemandRate> demand_rates_;
   std::vector<double> credit_;  // fractions of a slot due to each gatekeeper
-  std::set<SlotOf> allocated_;
+  std::set<OwnedSlot> allocated_;
 };
 
 }  // namespace graniterun::call_gapping
--- a/src/cli/distributor.cpp
+++ b/src/cli/distributor.cpp
@@ -98,7 +98,7 @@
                              " distributors");
   if (!control::is_gatekeeper_name(settings.name))
     throw std::runtime_error("--name is empty, too long or has control characters");
-  const auto key = fleet::key_in(read_file(key_file));
+  const auto key = fleet::parse_key(read_file(key_file));
   if (!key) throw std::runtime_error("the key file " + key_file + " does not hold 64 hex digits");
   settings.key = *key;
   prepare_directory(settings.directory);
@@ -106,18 +106,19 @@
   settings.seed = std::uint64_t{device()} << 32 | device();
 
   net::RuntimeLimits limits;
-  limits.connections = settings.max_connections + kMaxClosingConnections;
-  limits.outbound = 4 * 1024 * 1024;  // all outstanding proposals, to a slow peer
-  limits.outbound_all = 128 * 1024 * 1024;
-  const std::size_t needed = limits.connections + distributors + kOwnDescriptors;
+  limits.max_connections = settings.max_connections + kMaxClosingConnections;
+  limits.max_outbound_bytes = 4 * 1024 * 1024;  // all outstanding proposals, to a slow peer
+  limits.max_total_outbound_bytes = 128 * 1024 * 1024;
+  const std::size_t needed = limits.max_connections + distributors + kOwnDescriptors;
   const std::size_t descriptor_limit = raise_descriptor_limit(needed);
   const net::Logger logger(net::Level::info);
   logger.line(net::Level::info, "at most " + std::to_string(settings.max_connections) +
                                     " connections: " + std::to_string(needed) +
                                     " descriptors needed, limit " + std::to_string(descriptor_limit));
   net::Runtime runtime(limits, logger);
-  control::ConfigDistributor distributor(
-      std::move(settings), [&runtime](Counters& counters) { net::add_to(counters, runtime.counters()); });
+  control::ConfigDistributor distributor(std::move(settings), [&runtime](Counters& counters) {
+    net::add_runtime_counters(counters, runtime.counters());
+  });
   return runtime.run([&distributor](Time now, const net::Event& event, net::Effects& effects) {
     distributor.step(now, event, effects);
   });
--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -29,8 +29,8 @@
 
 HeadState read_head(std::string_view bytes, Head& head) {
   const std::size_t end = bytes.find("\r\n\r\n");
-  if (end == std::string_view::npos || end > kHeadBound)
-    return bytes.size() > kHeadBound ? HeadState::malformed : HeadState::more;
+  if (end == std::string_view::npos || end > kMaxHeadBytes)
+    return bytes.size() > kMaxHeadBytes ? HeadState::malformed : HeadState::more;
   std::string_view rest = bytes.substr(0, end + 2);
   bool first = true;
   while (!rest.empty()) {
@@ -59,7 +59,7 @@
   return HeadState::whole;
 }
 
-std::optional<std::size_t> Body::take(std::string_view bytes, std::string& body) {
+std::optional<std::size_t> BodyReader::take(std::string_view bytes, std::string& body) {
   std::size_t used = 0;
   while (used < bytes.size() && !done_) {
     const std::string_view rest = bytes.substr(used);
@@ -82,7 +82,7 @@
   return used;
 }
 
-std::size_t Body::take_plain(std::string_view rest, std::string& body) {
+std::size_t BodyReader::take_plain(std::string_view rest, std::string& body) {
   const std::size_t part = remaining_ ? std::min(*remaining_, rest.size()) : rest.size();
   body.append(rest.substr(0, part));
   if (remaining_) {
@@ -92,7 +92,7 @@
   return part;
 }
 
-std::size_t Body::take_chunk(std::string_view rest, std::string& body) {
+std::size_t BodyReader::take_chunk(std::string_view rest, std::string& body) {
   const std::size_t part = std::min(chunk_remaining_, rest.size());
   body.append(rest.substr(0, part));
   chunk_remaining_ -= part;
@@ -102,7 +102,7 @@
 
 // Handles the empty line after a chunk, a trailer line, or a line with a chunk's size. Returns false if
 // malformed.
-bool Body::take_chunk_line(std::string_view line) {
+bool BodyReader::take_chunk_line(std::string_view line) {
   if (chunk_end_) {
     chunk_end_ = false;
     return line.empty();
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -9,7 +9,7 @@
 
 namespace graniterun::http {
 
-constexpr std::size_t kHeadBound = 16 * 1024;
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 constexpr std::size_t kEventBound = 1024 * 1024;  // fits a complete endpoint list
 
 struct Head {
@@ -23,9 +23,9 @@
 HeadState read_head(std::string_view bytes, Head& head);
 
 // Decodes a response body, plain or chunked.
-class Body {
+class BodyReader {
  public:
-  explicit Body(const Head& head) : chunked_(head.chunked), remaining_(head.length) {}
+  explicit BodyReader(const Head& head) : chunked_(head.chunked), remaining_(head.length) {}
   // Appends the decoded part of `bytes` to `body` and returns how many bytes it consumed; nullopt if
   // malformed.
   std::optional<std::size_t> take(std::string_view bytes, std::string& body);
--- a/src/codec/sip.cpp
+++ b/src/codec/sip.cpp
@@ -117,7 +117,7 @@
   return {};
 }
 
-std::vector<std::string_view> Message::all(std::string_view name) const {
+std::vector<std::string_view> Message::header_values(std::string_view name) const {
   std::vector<std::string_view> values;
   for (const auto& [header_name, value] : headers) {
     if (equals_ignore_case(header_name, name)) values.push_back(value);
@@ -219,7 +219,7 @@
     return result;
   }
   std::string error = read_head(rest.substr(0, head), result.message);
-  const auto lengths = result.message.all("Content-Length");
+  const auto lengths = result.message.header_values("Content-Length");
   // In a stream only the length separates messages: without it nothing after this message can be read.
   if (lengths.empty()) return malformed(std::move(result), "there is no Content-Length", true);
   const auto length = number_in<std::size_t>(lengths.front());
--- a/src/codec/sip.h
+++ b/src/codec/sip.h
@@ -27,7 +27,7 @@
   // has expanded compact forms.
   std::string_view header(std::string_view name) const;
   // The values of all headers of this name, in order.
-  std::vector<std::string_view> all(std::string_view name) const;
+  std::vector<std::string_view> header_values(std::string_view name) const;
   void add(std::string name, std::string value) { headers.emplace_back(std::move(name), std::move(value)); }
   void set(std::string_view name, std::string value);  // replaces all headers of that name
   std::string text() const;                            // with the Content-Length of `body`
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -201,7 +201,7 @@
             : std::optional<std::uint64_t>(static_cast<std::uint64_t>(read_number(seed, "seed")));
     if (!seed_number) throw ConfigError("'seed' is not hex digits");
     config.seed = *seed_number;
-    if (root.contains("limits")) config.sockets = root["limits"].value("sockets", config.sockets);
+    if (root.contains("limits")) config.max_sockets = root["limits"].value("sockets", config.max_sockets);
 
     const json& settings = require(root, "settings");
     if (!settings.is_object()) throw ConfigError("'settings' is not an object");
@@ -209,7 +209,7 @@
     std::string flat = "SETTINGS";
     flatten(settings, {}, flat);
     config.settings = wire::parse_settings(wire::Message(flat, 1));
-    if (settings.contains("me")) config.index = settings["me"].get<std::uint32_t>();
+    if (settings.contains("me")) config.fleet_index = settings["me"].get<std::uint32_t>();
     if (settings.contains("areas")) config.areas = settings["areas"].get<std::vector<std::string>>();
     for (const json& element : require(settings, "classes"))
       config.class_names.push_back(read_text(element, "name"));
@@ -220,9 +220,9 @@
 
     if (root.contains("known")) {
       const json& known = root["known"];
-      config.known_position = known.value("pos", std::uint64_t{0});
+      config.cached_position = known.value("pos", std::uint64_t{0});
       for (const json& event : known.value("entries", json::array())) {
-        if (event.contains("hosts")) config.known.push_back(read_endpoints(event["hosts"]));
+        if (event.contains("hosts")) config.cached_endpoints.push_back(read_endpoints(event["hosts"]));
       }
     }
     return config;
@@ -254,7 +254,8 @@
   return static_cast<std::int64_t>(value);
 }
 
-control::ControlSettings read_control(const json& control, const json& gaps, call_gapping::Fleet fleet) {
+control::ControlSettings read_control(const json& control, const json& gaps,
+                                      call_gapping::FleetPosition fleet) {
   using std::chrono::milliseconds;
   constexpr std::int64_t kDayMs = 86'400'000;
   control::ControlSettings settings;
@@ -264,7 +265,7 @@
   settings.fleet.index = static_cast<std::uint32_t>(read_integer(gaps, "fleet_index", fleet.index, 0, 1023));
   if (settings.fleet.index >= settings.fleet.size)
     throw ConfigError("'fleet_index' is not below 'fleet_size'");
-  settings.publisher_wait = milliseconds(read_integer(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
+  settings.publisher_sync_timeout = milliseconds(read_integer(gaps, "wait_for_announcer_ms", 0, 0, 60'000));
   if (!gaps.contains("hot")) return settings;
   const json& hot = gaps["hot"];
   call_gapping::HotSettings hot_settings;
@@ -371,7 +372,8 @@
     if (!distribution::is_service_name(service))
       throw ConfigError("the service '" + service + "' is not letters, digits, '.', '-' and '_'");
   }
-  settings.wait = std::chrono::milliseconds(read_integer(configuration, "wait_ms", 2000, 0, 60'000));
+  settings.startup_timeout =
+      std::chrono::milliseconds(read_integer(configuration, "wait_ms", 2000, 0, 60'000));
   deploy.configuration_key_file = read_text(configuration, "key_file");
   deploy.configuration = std::move(settings);
 }
@@ -416,7 +418,7 @@
   if (!deploy.control || roster.empty()) return;
   if (gaps.contains("fleet_size") || gaps.contains("fleet_index"))
     throw ConfigError("'fleet_size' and 'fleet_index' follow from the fleet's 'roster': leave them out");
-  deploy.control->places.assign(roster.begin(), roster.end());
+  deploy.control->member_names.assign(roster.begin(), roster.end());
   deploy.control->fleet.size = static_cast<std::uint32_t>(roster.size());
   deploy.control->fleet.index =
       static_cast<std::uint32_t>(std::distance(roster.begin(), roster.find(deploy.fleet->membership.name)));
@@ -432,7 +434,7 @@
 }  // namespace
 
 DeployConfig read_deploy_config(std::string_view source, const std::vector<std::string>& class_names,
-                                call_gapping::Fleet fleet, const std::string& name) {
+                                call_gapping::FleetPosition fleet, const std::string& name) {
   const json file = parse(source, "the deploy file");
   try {
     DeployConfig deploy;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -49,17 +49,18 @@
   std::string listen{};
   std::string file_listen{};  // as in the file; the environment overrides `listen`
   std::string file_management{};
-  std::string journal{};           // address of the discovery service; empty: none
-  std::string management{};        // address of the management listener; empty: none
-  std::optional<int> inherited{};  // descriptor of the callers' listening socket, if the platform passes one
+  std::string journal{};     // address of the discovery service; empty: none
+  std::string management{};  // address of the management listener; empty: none
+  std::optional<int>
+      inherited_socket{};  // descriptor of the callers' listening socket, if the platform passes one
   std::uint64_t seed{};
-  std::size_t sockets{1024};
-  std::uint64_t known_position{};
-  std::vector<EndpointList> known{};
+  std::size_t max_sockets{1024};
+  std::uint64_t cached_position{};
+  std::vector<EndpointList> cached_endpoints{};
   std::vector<std::string> areas{};
   std::vector<std::string> class_names{};
   std::set<std::string> keys{};  // paths of all keys in the file except those below `known`
-  std::uint32_t index{};         // of this gatekeeper, below settings.senders
+  std::uint32_t fleet_index{};   // of this gatekeeper, below settings.senders
   Settings settings{};
 };
 PlatformConfig read_platform_config(std::string_view text);  // throws ConfigError
@@ -88,6 +89,6 @@
 // Throws ConfigError. `class_names` and `name` come from the platform's configuration, and so does `fleet`,
 // which is used if the file does not set the fleet's size and index.
 DeployConfig read_deploy_config(std::string_view text, const std::vector<std::string>& class_names,
-                                call_gapping::Fleet fleet = {}, const std::string& name = {});
+                                call_gapping::FleetPosition fleet = {}, const std::string& name = {});
 
 }  // namespace graniterun
--- a/src/config/overlay.cpp
+++ b/src/config/overlay.cpp
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& configs) {
+std::string apply_service_configs(std::string_view base,
+                                  const std::vector<distribution::ServiceConfig>& configs) {
   if (configs.size() > distribution::kMaxSubscribedServices)
     throw ConfigError("there are more than " + std::to_string(distribution::kMaxSubscribedServices) +
                       " documents");
--- a/src/config/overlay.h
+++ b/src/config/overlay.h
@@ -19,6 +19,7 @@
 // 7396) applied in order. Throws ConfigError if the base or a configuration is no JSON object, if a
 // configuration sets anything but `settings` and `journal`, is longer than kMaxConfigBytes or nested deeper
 // than kMaxNestingDepth, or if there are more than kMaxSubscribedServices. Cost: linear in the texts.
-std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& configs);
+std::string apply_service_configs(std::string_view base,
+                                  const std::vector<distribution::ServiceConfig>& configs);
 
 }  // namespace graniterun
--- a/src/control/config_distributor.cpp
+++ b/src/control/config_distributor.cpp
@@ -156,7 +156,7 @@
       if (Distributor::bucket_of(service) != *bucket)
         return reject_file(event.path, "service " + service + " belongs to another bucket", out);
       for (const auto& config : {record.committed, record.accepted}) {
-        if (config && !is_sound(settings_.key, *config))
+        if (config && !is_valid_config(settings_.key, *config))
           return reject_file(event.path, "digest mismatch of service " + service + " (another key?)", out);
       }
       restored_.records.emplace(service, std::move(record));
@@ -536,7 +536,7 @@
   for (const json& entry : *names) {
     if (!entry.is_string()) throw ProtocolError("'names' holds what is not text");
     const std::string name = entry.get<std::string>();
-    if (distributor_.is_attached(name)) attached.push_back(name);
+    if (distributor_.is_gatekeeper_connected(name)) attached.push_back(name);
   }
   return {{"ok", true}, {"names", std::move(attached)}};
 }
@@ -549,7 +549,7 @@
   step_distributor(now, Tick{}, out);
   for (std::uint32_t i = 0; i < peers_.size(); ++i) {
     Peer& peer = peers_[i];
-    if (peer.connected && now - peer.last_received_at > kSilentSource) {
+    if (peer.connected && now - peer.last_received_at > kSourceTimeout) {
       out.close({net::Concern::control_client, peer.conn});
       handle_peer_lost(now, i, out);
     }
@@ -587,7 +587,7 @@
   for (const Peer& peer : peers_) connected_peers += peer.connected ? 1 : 0;
   text += "distributor.now.standing_" + std::string(control::to_string(distributor_.voter_state())) + " 1\n";
   text += "distributor.now.services " + std::to_string(distributor_.records().size()) + "\n";
-  text += "distributor.now.clients " + std::to_string(distributor_.clients()) + "\n";
+  text += "distributor.now.clients " + std::to_string(distributor_.client_count()) + "\n";
   text += "distributor.now.connections " + std::to_string(callers_.size()) + "\n";
   text += "distributor.now.peers_up " + std::to_string(connected_peers) + "\n";
   out.net.push_back(net::Print{text});
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -42,11 +42,11 @@
          pair[0].get<std::uint64_t>() <= 1ULL << 62;
 }
 
-std::vector<SlotOf> parse_slots(const json& line, std::uint32_t fleet_size) {
+std::vector<OwnedSlot> parse_slots(const json& line, std::uint32_t fleet_size) {
   const auto pairs = line.find("slots");
   if (pairs == line.end() || !pairs->is_array() || pairs->size() > kMaxSlotsInLine)
     throw ProtocolError("'slots' is not a list of at most 1024 pairs");
-  std::vector<SlotOf> slots;
+  std::vector<OwnedSlot> slots;
   for (const json& pair : *pairs) {
     if (!is_slot_pair(pair, fleet_size)) throw ProtocolError("'slots' holds what is no slot and gatekeeper");
     slots.push_back({pair[0].get<Slot>(), pair[1].get<std::uint32_t>()});
@@ -65,10 +65,10 @@
 void Control::start(Time now, Outbox& out) {
   started_at_ = demand_reported_at_ = now;
   register_.emplace(settings_.fleet, settings_.seed, now, settings_.max_retry_after);
-  if (!settings_.places.empty()) {
+  if (!settings_.member_names.empty()) {
     failover_.emplace(settings_.fleet);
     register_->use_failover(&*failover_);
-    register_->set_place_owned(now, false);  // until this process has bound its fleet port
+    register_->set_port_owned(now, false);  // until this process has bound its fleet port
   }
   if (!settings_.listen) return;
   out.net.push_back(net::Listen{net::Concern::control, *settings_.listen});
@@ -76,12 +76,12 @@
 }
 
 bool Control::ready(Time now) const {
-  return !settings_.listen || synced_ || now - started_at_ >= settings_.publisher_wait;
+  return !settings_.listen || synced_ || now - started_at_ >= settings_.publisher_sync_timeout;
 }
 
-Verdict Control::check(Time now, std::string_view number, std::string_view class_name) {
+GapDecision Control::check(Time now, std::string_view number, std::string_view class_name) {
   if (hot_numbers_) hot_numbers_->record_call(now, number.substr(0, kMaxTextLength));
-  Verdict verdict = register_->check(now, number, class_name);
+  GapDecision verdict = register_->check(now, number, class_name);
   if (!verdict.passes) counters_.add("gaps.gapped");
   return verdict;
 }
@@ -94,7 +94,7 @@
                       "{call}/s",
                       hot.rate,
                       {{"number", hot.number},
-                       {"since_unix_ms", std::to_string(to_unix_ms(hot.since))},
+                       {"since_unix_ms", std::to_string(to_unix_ms(hot.hot_since))},
                        {"gapped", hot.gapped ? "true" : "false"}}});
   }
   return gauges;
@@ -237,19 +237,19 @@
 
 void Control::handle_grant(Time now, net::ConnId conn, const json& line) {
   if (!peers_.at(conn).publisher_incarnation) throw ProtocolError("only an announcer grants slots");
-  const std::vector<SlotOf> slots = parse_slots(line, settings_.fleet.size);
+  const std::vector<OwnedSlot> slots = parse_slots(line, settings_.fleet.size);
   counters_.add("gaps.slots_granted", slots.size());
   register_->grant(now, text_in(line, "id"), fingerprint_in(line, "mark"), slots);
 }
 
-void Control::set_place_owned(Time now, bool owned) {
-  if (failover_) register_->set_place_owned(now, owned);
+void Control::set_port_owned(Time now, bool owned) {
+  if (failover_) register_->set_port_owned(now, owned);
 }
 
 std::optional<std::uint32_t> Control::fleet_index_of(const std::string& name) const {
-  const auto it = std::lower_bound(settings_.places.begin(), settings_.places.end(), name);
-  if (!failover_ || it == settings_.places.end() || *it != name) return std::nullopt;
-  return static_cast<std::uint32_t>(it - settings_.places.begin());
+  const auto it = std::lower_bound(settings_.member_names.begin(), settings_.member_names.end(), name);
+  if (!failover_ || it == settings_.member_names.end() || *it != name) return std::nullopt;
+  return static_cast<std::uint32_t>(it - settings_.member_names.begin());
 }
 
 void Control::port_released(Time now, const std::string& name, Time probed_at) {
@@ -261,7 +261,7 @@
 std::set<std::string> Control::ports_to_watch(Time now) const {
   std::set<std::string> names;
   for (const std::uint32_t index : failover_ ? failover_->ports_to_watch(now) : std::vector<std::uint32_t>{})
-    names.insert(settings_.places[index]);
+    names.insert(settings_.member_names[index]);
   return names;
 }
 
@@ -361,8 +361,8 @@
   using Kind = HotNumbers::Change::What;
   for (const HotNumbers::Change& change : hot_numbers_->update(now)) {
     const HotNumber& hot_number = change.number;
-    if (change.what == Kind::hot || change.what == Kind::cool) {
-      const bool hot = change.what == Kind::hot;
+    if (change.kind == Kind::hot || change.kind == Kind::cool) {
+      const bool hot = change.kind == Kind::hot;
       counters_.add(hot ? "gaps.numbers_hot" : "gaps.numbers_cool");
       out.log(net::Level::warning, "number " + hot_number.number +
                                        (hot ? " is hot: " : " is no longer hot: ") +
@@ -380,7 +380,7 @@
     announcement.version = static_cast<std::uint64_t>(to_unix_ms(now));
     announcement.author = settings_.name;
     announcement.created_at = announcement.start = announcement.end = from_unix_ms(to_unix_ms(now));
-    if (change.what == Kind::gap) {
+    if (change.kind == Kind::gap) {
       announcement.end += settings_.hot_gap_duration;
       Gap gap;
       gap.criteria.numbers = {hot_number.number};
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -39,7 +39,7 @@
   void on(Time now, const net::Closed& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
 
-  call_gapping::Verdict check(Time now, std::string_view number, std::string_view class_name);
+  call_gapping::GapDecision check(Time now, std::string_view number, std::string_view class_name);
   bool ready(Time now) const;
   // Stores an announcement from any source in the register. If it takes effect, watching connections and gap
   // publishers are notified.
@@ -48,7 +48,7 @@
   // Slot failover, where the gatekeepers of the fleet know each other: whether this one owns its fleet port,
   // which member's port refused a probe that was sent at `probed_at`, which member joined, and which members'
   // ports are to be probed.
-  void set_place_owned(Time now, bool owned);
+  void set_port_owned(Time now, bool owned);
   void port_released(Time now, const std::string& name, Time probed_at);
   void member_joined(const std::string& name);
   std::set<std::string> ports_to_watch(Time now) const;
--- a/src/control/gap_json.cpp
+++ b/src/control/gap_json.cpp
@@ -143,7 +143,7 @@
   std::size_t bytes = 0;
   for (const GapState& state : stored.list(now, after, kMaxGapsInPage + 1)) {
     json gap = to_json(*state.announcement);
-    gap["in_force"] = state.in_force;
+    gap["in_force"] = state.active;
     if (counts) {
       gap["passed"] = state.passed;
       gap["gapped"] = state.gapped;
@@ -175,7 +175,7 @@
     objects.push_back({{"number", hot_number.number},
                        {"per_second", std::round(hot_number.rate * 10) / 10},
                        {"error", std::round(hot_number.error * 10) / 10},
-                       {"since", to_unix_ms(hot_number.since)},
+                       {"since", to_unix_ms(hot_number.hot_since)},
                        {"gapped", hot_number.gapped}});
   return objects;
 }
--- a/src/control/gap_publisher.cpp
+++ b/src/control/gap_publisher.cpp
@@ -291,7 +291,7 @@
   for (const auto& [index, granted] :
        it->second.allocator.allocate(now, fingerprint_in(line, "life"), *gatekeeper.index, ceded)) {
     json pairs = json::array();
-    for (const SlotOf& slot : granted) pairs.push_back({slot.slot, slot.owner});
+    for (const OwnedSlot& slot : granted) pairs.push_back({slot.slot, slot.owner});
     for (const Gatekeeper& other : gatekeepers_) {
       if (!other.connected || other.index != index) continue;
       counters_.add("announcer.slots_granted", granted.size());
--- a/src/control/load_control.cpp
+++ b/src/control/load_control.cpp
@@ -141,19 +141,19 @@
       const auto kind = std::find(std::begin(kLimitKinds), std::end(kLimitKinds), local_name(limit));
       if (kind == std::end(kLimitKinds)) throw_unsupported(limit);
       rule.limit_kind = static_cast<LoadRule::LimitKind>(kind - std::begin(kLimitKinds));
-      rule.figure = parse_limit(limit.child_value());
+      rule.limit = parse_limit(limit.child_value());
       ++limits;
     }
   }
   if (limits != 1) throw LoadControlError("a rule does not have exactly one limit");
-  if (rule.limit_kind == LoadRule::LimitKind::percent && rule.figure > 100.0)
+  if (rule.limit_kind == LoadRule::LimitKind::percent && rule.limit > 100.0)
     throw LoadControlError("a percentage exceeds 100");
 }
 
 }  // namespace
 
 LoadControlDocument read_load_control(std::string_view xml) {
-  if (xml.size() > kLargestDocument) throw LoadControlError("the document exceeds 12 KiB");
+  if (xml.size() > kMaxLoadControlBytes) throw LoadControlError("the document exceeds 12 KiB");
   pugi::xml_document parsed;
   // parse_default skips document type declarations: entities that they declare are not expanded.
   const pugi::xml_parse_result result = parsed.load_buffer(xml.data(), xml.size(), pugi::parse_default);
@@ -219,7 +219,7 @@
     accept.append_attribute("alt-action") = "reject";
     const std::string name = std::string("lc:") + kLimitKinds[static_cast<std::size_t>(rule.limit_kind)];
     char digits[32];
-    const auto [end, error] = std::to_chars(digits, digits + sizeof digits, rule.figure);
+    const auto [end, error] = std::to_chars(digits, digits + sizeof digits, rule.limit);
     accept.append_child(name.c_str()).text() = std::string(digits, end).c_str();
   }
   std::ostringstream text;
@@ -242,10 +242,10 @@
   rule.until = announcement.end;
   if (gap.shape == call_gapping::Shape::percentage) {
     rule.limit_kind = LoadRule::LimitKind::percent;
-    rule.figure = gap.percent;
+    rule.limit = gap.percent;
   } else {
     rule.limit_kind = LoadRule::LimitKind::rate;
-    rule.figure = gap.interval ? 1.0 / std::chrono::duration<double>(*gap.interval).count() : 0.0;
+    rule.limit = gap.interval ? 1.0 / std::chrono::duration<double>(*gap.interval).count() : 0.0;
   }
   return rule;
 }
@@ -273,11 +273,11 @@
     gap.criteria.prefixes = rule.prefixes;
     if (rule.limit_kind == LoadRule::LimitKind::percent) {
       gap.shape = call_gapping::Shape::percentage;
-      gap.percent = rule.figure;
-    } else if (rule.figure > 0.0) {
+      gap.percent = rule.limit;
+    } else if (rule.limit > 0.0) {
       // Rates above 100 a second become 100 a second, the shortest interval being 10 ms. Rates below one a
       // day become a gap that no call passes.
-      const double interval = 1.0 / rule.figure;
+      const double interval = 1.0 / rule.limit;
       if (interval < 86'400.0)
         gap.interval =
             std::max<Duration>(call_gapping::kMinInterval,
--- a/src/control/load_control.h
+++ b/src/control/load_control.h
@@ -31,7 +31,7 @@
   std::optional<Time> from{};
   std::optional<Time> until{};
   LimitKind limit_kind{};
-  double figure{};  // the limit, in the unit of `limit_kind`
+  double limit{};  // the limit, in the unit of `limit_kind`
   bool operator==(const LoadRule&) const = default;
 };
 
@@ -42,7 +42,7 @@
 };
 
 constexpr std::size_t kMaxRules = 200;
-constexpr std::size_t kLargestDocument = 12 * 1024;  // bytes: it must fit into a SIP message
+constexpr std::size_t kMaxLoadControlBytes = 12 * 1024;  // bytes: it must fit into a SIP message
 
 LoadControlDocument read_load_control(std::string_view xml);  // throws LoadControlError
 std::string write_load_control(const LoadControlDocument& document);
--- a/src/control/subscription.cpp
+++ b/src/control/subscription.cpp
@@ -79,7 +79,7 @@
 Subscription::Subscription(SubscriberSettings settings, Counters& counters, Apply apply, IdRange ids)
     : name_(settings.name),
       distributors_(settings.distributors),
-      wait_(settings.wait),
+      wait_(settings.startup_timeout),
       counters_(counters),
       apply_(std::move(apply)),
       ids_(ids),
--- a/src/control/subscription.h
+++ b/src/control/subscription.h
@@ -4,9 +4,9 @@
 // Subscription carries its effects out and counts them as config.distribution.*.
 // docs/design/distribution.md describes the lines.
 //
-// Bounds: kMaxLineBytes per line (a longer or malformed line closes its connection), kSources connections,
-// kMaxSentReasonLength bytes of a rejection reason in a line or in the log, kMaxLogLinesPerSecond log lines
-// of each kind.
+// Bounds: kMaxLineBytes per line (a longer or malformed line closes its connection), kSourcesPerGatekeeper
+// connections, kMaxSentReasonLength bytes of a rejection reason in a line or in the log,
+// kMaxLogLinesPerSecond log lines of each kind.
 #pragma once
 
 #include <cstdint>
--- a/src/controller.cpp
+++ b/src/controller.cpp
@@ -532,7 +532,7 @@
   void on(const ServerList& list) {
     if (!polling_list_ && settings_.discovery == Discovery::on_request) {
       polling_list_ = true;
-      emit(FollowList{});
+      emit(RequestServerList{});
     }
     if (list.kind == ListKind::rejected) {  // keeps the old list, and asks again after a delay
       if (settings_.discovery == Discovery::on_request)
@@ -663,7 +663,7 @@
   }
 
   void on(const TimerDue& event) {
-    if (event.timer == kListPollTimer) return emit(FollowList{});
+    if (event.timer == kListPollTimer) return emit(RequestServerList{});
     const auto timer = timers_.find(event.timer);
     if (timer == timers_.end()) return;
     const CallId id = timer->second;
--- a/src/core/broker.cpp
+++ b/src/core/broker.cpp
@@ -83,7 +83,7 @@
   by_correlation_id_.insert_or_assign(event.request.correlation_id, event.request.call);
   ++unanswered_;
   const auto answer_without_call = [&](bool rejected, RejectReason reason, Duration retry_after,
-                                       call_gapping::Treatment treatment = {}) {
+                                       call_gapping::GapTreatment treatment = {}) {
     answer_request(call, false, rejected, reason, retry_after, {}, std::move(treatment));
     erase_if_finished(event.request.call);
   };
@@ -91,7 +91,7 @@
   // slot used by a call is not returned if the call fails later, since a second call would then pass in the
   // same interval.
   if (admission_check_ && call.deadline > now_) {
-    if (call_gapping::Verdict verdict = admission_check_(now_, event.request); !verdict.passes) {
+    if (call_gapping::GapDecision verdict = admission_check_(now_, event.request); !verdict.passes) {
       counters_.add("broker.gapped");
       return answer_without_call(true, RejectReason::gapped, verdict.retry_after,
                                  std::move(verdict.treatment));
@@ -114,7 +114,7 @@
   new_call.destination = event.request.destination;
   new_call.deadline = call.deadline;
   new_call.circuits = event.request.circuits;
-  new_call.cut_before = event.request.cut_before;
+  new_call.is_reconnect = event.request.is_reconnect;
   new_call.redial = event.request.redial;
   notify_controller(new_call);
 }
@@ -281,7 +281,7 @@
   notify_controller(SettingsChanged{event.settings});
 }
 
-std::vector<bool> Broker::places_in_use() const {
+std::vector<bool> Broker::class_indexes_in_use() const {
   std::vector<bool> in_use(settings_.classes.size());
   for (const auto& [id, call] : calls_) {
     if (call.request->call_class < in_use.size()) in_use[call.request->call_class] = true;
@@ -480,7 +480,7 @@
 // ---- helpers
 
 void Broker::answer_request(Call& call, bool served, bool rejected, RejectReason reason, Duration retry_after,
-                            const std::string& description, call_gapping::Treatment treatment) {
+                            const std::string& description, call_gapping::GapTreatment treatment) {
   call.answered = true;
   call.rejected = !served;
   --unanswered_;
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -24,12 +24,12 @@
 namespace graniterun::core {
 
 // Each front end numbers its own calls. The top 8 bits of a CallId identify the front end.
-enum class Front : std::uint8_t { platform = 0, sip = 1 };
+enum class FrontEnd : std::uint8_t { platform = 0, sip = 1 };
 constexpr int kFrontEndShift = 56;
 constexpr CallId call_id(Front front_end, std::uint64_t number) {
   return CallId{static_cast<std::uint64_t>(front_end) << kFrontEndShift | number};
 }
-constexpr Front front_of(CallId call) {
+constexpr Front front_end_of(CallId call) {
   return static_cast<Front>(static_cast<std::uint64_t>(call) >> kFrontEndShift);
 }
 
@@ -46,7 +46,7 @@
   Time deadline{};            // when the client stops waiting
   double circuits{1};         // circuits that the call occupies at a server
   bool redial{};              // the caller's own repeat of a call
-  bool cut_before{};          // the call was established, was cut and is requested again
+  bool is_reconnect{};        // the call was established, was cut and is requested again
   std::string description{};  // session description (SDP)
 };
 
@@ -148,8 +148,8 @@
   CallId call{};
   bool rejected{};  // false: failed
   RejectReason reason{};
-  Duration retry_after{};               // minimum time before the caller's next request
-  call_gapping::Treatment treatment{};  // set for RejectReason::gapped
+  Duration retry_after{};                  // minimum time before the caller's next request
+  call_gapping::GapTreatment treatment{};  // set for RejectReason::gapped
 };
 struct ReleaseCaller {
   CallId call{};
@@ -194,7 +194,7 @@
   using DecisionFunction = std::function<void(Time, const graniterun::Event&, std::vector<Action>&)>;
 
   // Checks a new request of either front end before the Controller sees it.
-  using AdmissionCheck = std::function<call_gapping::Verdict(Time, const Request&)>;
+  using AdmissionCheck = std::function<call_gapping::GapDecision(Time, const Request&)>;
 
   Broker(const Settings& settings, std::uint64_t seed, Contracts contracts, Counters& counters,
          AdmissionCheck admission_check = {});
@@ -209,7 +209,7 @@
   // Established calls.
   std::size_t established() const { return established_; }
   // For each ClassIndex of the settings, whether an open call uses it.
-  std::vector<bool> places_in_use() const;
+  std::vector<bool> class_indexes_in_use() const;
   RequestMetrics& metrics() { return metrics_; }
   const RequestMetrics& metrics() const { return metrics_; }
   // Setup servers that the Controller ejects at `now`; 0 with a DecisionFunction given from outside.
@@ -278,7 +278,7 @@
   void apply(const Fail& action);
   void apply(const SetTimer& action);
   void apply(const NotifyPeers&) {}
-  void apply(const FollowList&) {}
+  void apply(const RequestServerList&) {}
 
   void notify_controller(const graniterun::Event& event);
   void drain_controller_events();
@@ -294,7 +294,7 @@
     return !server.online_since || now_ >= *server.online_since + settings_.slow_start_duration;
   }
   void answer_request(Call& call, bool served, bool rejected, RejectReason reason, Duration retry_after,
-                      const std::string& description, call_gapping::Treatment treatment = {});
+                      const std::string& description, call_gapping::GapTreatment treatment = {});
   void record_attempt(Call& call, std::optional<Outcome> outcome);
   void erase_if_finished(CallId id);
   void arm_timer(Time at, PendingTimer timer);
--- a/src/core/classes.h
+++ b/src/core/classes.h
@@ -14,7 +14,7 @@
 
 struct NamedClass {
   std::string name{};
-  ClassIndex place{};
+  ClassIndex index{};
   CallClass terms{};
 };
 
@@ -30,7 +30,7 @@
 // The class table of the Controller: the classes that the settings name and those that open calls still use.
 struct ClassTable {
   static constexpr std::size_t kMaxClasses = 128;
-  std::vector<CallClass> places{};
+  std::vector<CallClass> by_index{};
   std::shared_ptr<const Classes> classes = std::make_shared<const Classes>();
 };
 
@@ -38,7 +38,9 @@
 // unchanged name and unchanged terms keeps its index; every other class gets a free index or a new one. An
 // index is free if it is neither kept by a named class nor `in_use` by open calls. `in_use` is by index;
 // indexes beyond its end are not in use. Returns nothing if the table would exceed kMaxClasses.
-std::optional<ClassTable> assign_places(const ClassTable& before, const std::vector<std::string>& names,
-                                        const std::vector<CallClass>& terms, const std::vector<bool>& in_use);
+std::optional<ClassTable> assign_class_indexes(const ClassTable& before,
+                                               const std::vector<std::string>& names,
+                                               const std::vector<CallClass>& terms,
+                                               const std::vector<bool>& in_use);
 
 }  // namespace graniterun::core
--- a/src/core/counters.h
+++ b/src/core/counters.h
@@ -29,7 +29,7 @@
       it->second += count;
     }
   }
-  std::uint64_t of(std::string_view name) const {
+  std::uint64_t value(std::string_view name) const {
     const auto it = values_.find(name);
     return it == values_.end() ? 0 : it->second;
   }
--- a/src/core/request_metrics.h
+++ b/src/core/request_metrics.h
@@ -21,7 +21,7 @@
  public:
   // Adds the classes of the active settings, up to kMaxClasses in all. Classes of earlier settings keep their
   // counts.
-  void name(const std::vector<std::string>& classes) {
+  void add_classes(const std::vector<std::string>& classes) {
     for (const std::string& class_name : classes) {
       if (by_class_.size() < kMaxClasses) by_class_.try_emplace(class_name);
     }
--- a/src/distribution/distributor.cpp
+++ b/src/distribution/distributor.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 Distributor::Distributor(DistributorSettings settings)
-    : settings_(std::move(settings)), random_(settings_.seed), peers_(settings_.peers) {}
+    : settings_(std::move(settings)), random_(settings_.seed), peers_(settings_.peer_count) {}
 
 std::size_t Distributor::bucket_of(std::string_view service) {
   std::uint64_t hash = 14695981039346656037ULL;  // FNV-1a, the same in every version of the program
@@ -312,7 +312,7 @@
 
 void Distributor::on(Time, const ProposalReceived& event, DistributorEffects& out) {
   const ServiceConfig& config = event.config;
-  if (!is_sound(settings_.key, config)) {
+  if (!is_valid_config(settings_.key, config)) {
     log_event(DistributorLogKind::unsound, config.service, config.id.version, "in a proposal", out);
     out.emplace_back(AnswerProposal{event.client, event.proposal, false, 0});
     return;
@@ -435,7 +435,7 @@
     it->second.asked_peer.reset();
     --fetches_in_flight_;
   }
-  if (!is_sound(settings_.key, config)) {
+  if (!is_valid_config(settings_.key, config)) {
     log_event(DistributorLogKind::unsound, config.service, config.id.version, "from a peer", out);
     if (it != pending_fetches_.end()) it->second.not_before[event.peer] = now + kPeerRetryDelay;
   } else {
@@ -751,7 +751,7 @@
 void Distributor::on(Time now, const ConfigReturned& event, DistributorEffects& out) {
   const ServiceConfig& config = event.config;
   if (!clients_.contains(event.client)) return;
-  if (!is_sound(settings_.key, config)) {
+  if (!is_valid_config(settings_.key, config)) {
     log_event(DistributorLogKind::unsound, config.service, config.id.version, "returned by a gatekeeper",
               out);
     return;
@@ -842,8 +842,10 @@
   return all;
 }
 
-bool Distributor::is_attached(std::string_view name) const { return by_name_.find(name) != by_name_.end(); }
+bool Distributor::is_gatekeeper_connected(std::string_view name) const {
+  return by_name_.find(name) != by_name_.end();
+}
 
-std::size_t Distributor::clients() const { return clients_.size(); }
+std::size_t Distributor::client_count() const { return clients_.size(); }
 
 }  // namespace graniterun::distribution
--- a/src/distribution/distributor.h
+++ b/src/distribution/distributor.h
@@ -62,7 +62,7 @@
 
 struct DistributorSettings {
   std::string name{};
-  std::size_t peers = 0;  // number of other distributors, with index 0 to peers - 1; all are voters
+  std::size_t peer_count = 0;  // number of other distributors, with index 0 to peers - 1; all are voters
   Key key{};
   // Rate of configurations delivered to all clients; a burst may be a tenth of it.
   std::size_t bytes_per_second = 16 * 1024 * 1024;
@@ -301,8 +301,9 @@
   };
   // Gatekeepers whose primary this distributor was and that are not connected here any more.
   std::vector<LostGatekeeper> lost_gatekeepers() const;
-  bool is_attached(std::string_view name) const;  // whether a gatekeeper of that name is connected here
-  std::size_t clients() const;                    // number of connected clients
+  bool is_gatekeeper_connected(
+      std::string_view name) const;  // whether a gatekeeper of that name is connected here
+  std::size_t client_count() const;  // number of connected clients
 
  private:
   struct Peer {
@@ -384,7 +385,7 @@
   void on(Time now, const PublishRequested& event, DistributorEffects& out);
   void on(Time now, const Tick& event, DistributorEffects& out);
 
-  std::size_t majority() const { return (settings_.peers + 1) / 2 + 1; }
+  std::size_t majority() const { return (settings_.peer_count + 1) / 2 + 1; }
   ServiceRecord& record_of(const std::string& service);
   VersionId committed(const std::string& service) const;
   Version highest_seen(const std::string& service) const;
--- a/src/distribution/service_config.cpp
+++ b/src/distribution/service_config.cpp
@@ -41,7 +41,7 @@
   return digest;
 }
 
-bool is_sound(const Key& key, const ServiceConfig& config) {
+bool is_valid_config(const Key& key, const ServiceConfig& config) {
   if (config.id.none() || !is_service_name(config.service)) return false;
   if (config.content.size() > kMaxConfigBytes) return false;
   return digest_of(key, config.service, config.id.version, config.content) == config.id.digest;
--- a/src/distribution/service_config.h
+++ b/src/distribution/service_config.h
@@ -49,7 +49,7 @@
 Digest digest_of(const Key& key, std::string_view service, Version version, std::string_view content);
 // Whether the digest matches, the service's name and the content are within their bounds, and the version is
 // not 0.
-bool is_sound(const Key& key, const ServiceConfig& config);
+bool is_valid_config(const Key& key, const ServiceConfig& config);
 bool is_service_name(std::string_view name);  // 1 to 64 characters of a-z, A-Z, 0-9, '.', '-', '_'
 
 std::string to_hex(const Digest& digest);  // 64 lower-case digits
--- a/src/distribution/subscriber.cpp
+++ b/src/distribution/subscriber.cpp
@@ -131,15 +131,16 @@
 }
 
 void Subscriber::maintain_sources(Time now, SubscriberEffects& out) {
-  // Once the best ranked kSources connections are complete, the others are closed.
+  // Once the best ranked kSourcesPerGatekeeper connections are complete, the others are closed.
   std::vector<std::uint32_t> connected;
   std::size_t opening = 0;
   for (const std::uint32_t index : ranking_) {
     if (is_connected(index)) connected.push_back(index);
     opening += sources_[index].state == Source::State::opening ? 1 : 0;
   }
-  while (connected.size() > kSources && std::all_of(connected.begin(), connected.begin() + kSources,
-                                                    [&](std::uint32_t i) { return sources_[i].complete; })) {
+  while (connected.size() > kSourcesPerGatekeeper &&
+         std::all_of(connected.begin(), connected.begin() + kSourcesPerGatekeeper,
+                     [&](std::uint32_t i) { return sources_[i].complete; })) {
     const std::uint32_t worst = connected.back();
     connected.pop_back();
     out.emplace_back(CloseSource{worst});
@@ -149,10 +150,10 @@
     sources_[worst].complete = false;
     forget_source(worst);
   }
-  bool tries_better = connected.size() > kSources || opening > 0;
+  bool tries_better = connected.size() > kSourcesPerGatekeeper || opening > 0;
   for (const std::uint32_t index : ranking_) {
     Source& source = sources_[index];
-    const bool wanted = connected.size() + opening < kSources;
+    const bool wanted = connected.size() + opening < kSourcesPerGatekeeper;
     if (!wanted && (tries_better || index == connected.back())) break;
     if (source.state != Source::State::closed || source.reopen_at > now) continue;
     tries_better = true;
@@ -178,7 +179,7 @@
   for (std::uint32_t i = 0; i < sources_.size(); ++i) {
     const Source& source = sources_[i];
     const bool silent =
-        source.state == Source::State::connected && now - source.last_received_at >= kSilentSource;
+        source.state == Source::State::connected && now - source.last_received_at >= kSourceTimeout;
     const bool open_timed_out =
         source.state == Source::State::opening && now - source.state_since >= kOpenTimeout;
     if (!silent && !open_timed_out) continue;
@@ -267,11 +268,11 @@
   const auto offer = service->offers.find(event.source);
   const bool differs = offer != service->offers.end() && offer->second.id.version == config.id.version &&
                        offer->second.id != config.id;
-  if (!is_sound(settings_.key, config) || differs) {
+  if (!is_valid_config(settings_.key, config) || differs) {
     if (offer != service->offers.end()) offer->second.not_before = now + kOfferRetryDelay;
     if (service->fetch->source == event.source) service->fetch->deadline = Time::max();
-    return log(differs && is_sound(settings_.key, config) ? SubscriberLogKind::conflict
-                                                          : SubscriberLogKind::unsound);
+    return log(differs && is_valid_config(settings_.key, config) ? SubscriberLogKind::conflict
+                                                                 : SubscriberLogKind::unsound);
   }
   service->fetch.reset();
   service->candidate = config;
@@ -451,7 +452,7 @@
   if (is_current()) {
     ready_ = true;
     out.emplace_back(SubscriberLogEvent{SubscriberLogKind::current, {}, 0, {}});
-  } else if (now - started_at_ >= settings_.wait) {
+  } else if (now - started_at_ >= settings_.startup_timeout) {
     ready_ = true;
     out.emplace_back(SubscriberLogEvent{SubscriberLogKind::wait_expired, {}, 0, {}});
   }
