--- a/src/distribution/subscriber.h
+++ b/src/distribution/subscriber.h
@@ -13,8 +13,9 @@
 //  4. Of two configurations under one version, the first active one stays; the other is logged as `conflict`.
 //  5. At most kMaxFetches fetches are in flight, and a service has at most one of them.
 //
-// Bounds: kMaxSubscribedServices services with two configurations each (active, candidate); kSources
-// connections, and one more while a better ranked distributor that was lost is tried again.
+// Bounds: kMaxSubscribedServices services with two configurations each (active, candidate);
+// kSourcesPerGatekeeper connections, and one more while a better ranked distributor that was lost is tried
+// again.
 #pragma once
 
 #include <cstdint>
@@ -29,11 +30,11 @@
 
 namespace graniterun::distribution {
 
-constexpr std::size_t kSources = 2;     // distributors that a gatekeeper keeps connections to
-constexpr std::size_t kMaxFetches = 4;  // fetches in flight of one gatekeeper
+constexpr std::size_t kSourcesPerGatekeeper = 2;  // distributors that a gatekeeper keeps connections to
+constexpr std::size_t kMaxFetches = 4;            // fetches in flight of one gatekeeper
 constexpr Duration kFetchTimeout = std::chrono::seconds(1);  // then the next source
 // A connection without input for three heartbeat intervals is closed.
-constexpr Duration kSilentSource = std::chrono::seconds(15);
+constexpr Duration kSourceTimeout = std::chrono::seconds(15);
 // Bounds of the backoff before a lost distributor is tried again. The delay is drawn between half of the
 // backoff and all of it; the backoff doubles with each failure.
 constexpr Duration kMinReconnectBackoff = std::chrono::milliseconds(100);
@@ -46,7 +47,7 @@
   std::vector<std::string> distributors{};  // addresses, 1 to 64; the same list in every process
   std::vector<std::string> services{};      // 1 to kMaxSubscribedServices; applied in this order
   Key key{};
-  Duration wait{std::chrono::seconds(2)};  // maximum time before ready()
+  Duration startup_timeout{std::chrono::seconds(2)};  // maximum time before ready()
   std::uint64_t seed{};
 };
 
@@ -145,7 +146,7 @@
   rejected,         // a configuration was rejected, with the reason
   stale,            // an older version was offered and ignored
   conflict,         // other content under the active, fetched or notified version; ignored
-  unsound,          // a fetched configuration failed its check (is_sound)
+  unsound,          // a fetched configuration failed its check (is_valid_config)
   unrequested,      // a configuration that was not fetched, or of a service that is not subscribed
   fetch_timed_out,  // a source did not answer a FetchConfig within kFetchTimeout
   source_connected,
--- a/src/downstream/load_control.cpp
+++ b/src/downstream/load_control.cpp
@@ -65,7 +65,7 @@
   message.uri = dialog.target;
   const auto& address = dialog.flow.reliable ? settings_.tcp : settings_.udp;
   message.add("Via", std::string(dialog.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") +
-                         address.value_or("") + ";branch=" + std::string(sip::kCookie) + ids_.next());
+                         address.value_or("") + ";branch=" + std::string(sip::kBranchCookie) + ids_.next());
   message.add("Max-Forwards", "70");
   for (const std::string& route : dialog.routes) message.add("Route", route);
   message.add("From", dialog.local);
@@ -116,7 +116,8 @@
     dialog.remote = message.header("From");
     const std::string_view contact = message.header("Contact");
     dialog.target = sip::uri_in(contact.empty() ? message.header("From") : contact);
-    for (const std::string_view route : message.all("Record-Route")) dialog.routes.emplace_back(route);
+    for (const std::string_view route : message.header_values("Record-Route"))
+      dialog.routes.emplace_back(route);
     dialog.flow = flow;
     it = subscriptions_.emplace(dialog_key(dialog.call_id, tag, remote_tag), std::move(subscription)).first;
   }
@@ -156,7 +157,7 @@
     document.rules.push_back(*rule);
   }
   std::string body = control::write_load_control(document);
-  while (body.size() > control::kLargestDocument && !document.rules.empty()) {
+  while (body.size() > control::kMaxLoadControlBytes && !document.rules.empty()) {
     omitted += document.rules.size() - document.rules.size() / 2;
     document.rules.resize(document.rules.size() / 2);
     body = control::write_load_control(document);
--- a/src/downstream/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -74,7 +74,7 @@
       if (!is_integer || *value < 1 || *value > kMaxCircuits) return "'width' is not from 1 to 64";
       request.circuits = *value;
     }
-    if (name == "again") request.cut_before = *value != 0.0;
+    if (name == "again") request.is_reconnect = *value != 0.0;
   }
   return {};
 }
@@ -102,7 +102,7 @@
   }
 }
 
-void Platform::hand_over(Outbox& out) {
+void Platform::begin_handover(Outbox& out) {
   handed_over_ = true;
   close_idle(out);
 }
@@ -246,7 +246,7 @@
 std::string Platform::read_request(Time now, const jsonl::Message& message, core::Request& request) const {
   const core::NamedClass* call_class = settings_.classes->find(message.field("class"));
   if (call_class == nullptr) return "the class is not one of the settings";
-  request.call_class = call_class->place;
+  request.call_class = call_class->index;
   request.class_name = call_class->name;
   const auto left = number_in<double>(message.field("left"));
   if (!left || !(*left >= 0.0) || *left > 1e8) return "'left' is not a time in milliseconds";
--- a/src/downstream/platform.h
+++ b/src/downstream/platform.h
@@ -36,15 +36,15 @@
   void on(Time now, const net::Closed& event, Outbox& out);
   void on(Time now, const net::PeerClosed& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
-  void ready(bool ready) { ready_ = ready; }
+  void set_ready(bool ready) { ready_ = ready; }
   // Sets the classes of later requests; requests that are open keep theirs.
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
     settings_.classes = std::move(classes);
   }
   // Called when another process accepts the callers from now on: closes each connection as soon as it has no
   // open setup, no partial line and no unconfirmed release.
-  void hand_over(Outbox& out);
-  std::size_t connected() const { return connections_.size(); }
+  void begin_handover(Outbox& out);
+  std::size_t connection_count() const { return connections_.size(); }
 
   void apply(const core::AnswerCaller& effect, Outbox& out);
   void apply(const core::RejectRequest& effect, Outbox& out);
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -27,7 +27,7 @@
 
 // The Reason header (RFC 3326). The text holds no control characters; quotes and backslashes, which would end
 // it early, are removed.
-std::string reason_header(const call_gapping::Treatment& treatment) {
+std::string reason_header(const call_gapping::GapTreatment& treatment) {
   std::string value = "Q.850;cause=" + std::to_string(treatment.cause);
   std::string text = treatment.text;
   std::erase_if(text, [](char c) { return c == '"' || c == '\\'; });
@@ -323,7 +323,8 @@
   dialog.remote = message.header("From");
   const std::string_view contact = message.header("Contact");
   dialog.target = sip::uri_in(contact.empty() ? message.header("From") : contact);
-  for (const std::string_view route : message.all("Record-Route")) dialog.routes.emplace_back(route);
+  for (const std::string_view route : message.header_values("Record-Route"))
+    dialog.routes.emplace_back(route);
   dialog.remote_cseq = sip::cseq_of(message)->number;
   dialog.flow = flow;
   by_dialog_.emplace(dialog_key(dialog.call_id, tag, sip::parameter(dialog.remote, "tag")), request.call);
@@ -345,7 +346,7 @@
     call_class = classes.find(name);
     if (call_class == nullptr) return "Priority-Class names no class";
   }
-  request.call_class = call_class->place;
+  request.call_class = call_class->index;
   request.class_name = call_class->name;
   request.deadline = now + call_class->terms.caller_timeout;
   const std::string_view ms = message.header("Expires-Ms");
@@ -439,10 +440,10 @@
     load_control_.tick(now, out);
     return make_room(now, out);
   }
-  for (const sip::TimerExpiry& expiry : transactions_.fired(now, event.key.number, out)) {
-    if (expiry.what == sip::TimerExpiry::What::no_answer)
+  for (const sip::TimerExpiry& expiry : transactions_.handle_timer(now, event.key.number, out)) {
+    if (expiry.kind == sip::TimerExpiry::What::no_answer)
       load_control_.handle_request_timeout(now, expiry.key);
-    if (expiry.what != sip::TimerExpiry::What::no_ack) continue;
+    if (expiry.kind != sip::TimerExpiry::What::no_ack) continue;
     const auto it = by_invite_.find(expiry.key);
     if (it == by_invite_.end()) continue;
     Call* call = find(it->second);
@@ -517,7 +518,7 @@
   message.method = "BYE";
   message.uri = dialog.target;
   message.add("Via", std::string(dialog.flow.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") +
-                         address(dialog.flow) + ";branch=" + std::string(sip::kCookie) + ids_.next());
+                         address(dialog.flow) + ";branch=" + std::string(sip::kBranchCookie) + ids_.next());
   message.add("Max-Forwards", "70");
   for (const std::string& route : dialog.routes) message.add("Route", route);
   message.add("From", dialog.local);
--- a/src/downstream/sip.h
+++ b/src/downstream/sip.h
@@ -47,7 +47,7 @@
   void on(Time now, const net::PeerClosed& event, Outbox& out);
   void on(Time now, const net::Datagram& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
-  void ready(bool ready) { ready_ = ready; }
+  void set_ready(bool ready) { ready_ = ready; }
   void replace_classes(std::shared_ptr<const core::Classes> classes) {
     settings_.classes = std::move(classes);
   }
--- a/src/fleet/datagram.cpp
+++ b/src/fleet/datagram.cpp
@@ -18,7 +18,7 @@
 
 json to_json(const Record& record) {
   return json::array({record.name, record.incarnation, record.start_nonce, record.address, record.refutation,
-                      static_cast<unsigned>(record.state), static_cast<unsigned>(record.evidence),
+                      static_cast<unsigned>(record.state), static_cast<unsigned>(record.state_reason),
                       record.suspecting_member, record.handing_over ? 1U : 0U});
 }
 
@@ -44,7 +44,8 @@
   record.address = get_text(j[3], kMaxAddressLength);
   record.refutation = static_cast<std::uint32_t>(get_uint(j[4], 0x7fffffff));
   record.state = static_cast<State>(get_uint(j[5], static_cast<unsigned>(State::left)));
-  record.evidence = static_cast<Evidence>(get_uint(j[6], static_cast<unsigned>(Evidence::replaced)));
+  record.state_reason =
+      static_cast<StateReason>(get_uint(j[6], static_cast<unsigned>(StateReason::replaced)));
   record.suspecting_member = get_text(j[7], kMaxNameLength);
   record.handing_over = get_uint(j[8], 1) == 1;
   if (record.name.empty() || record.address.empty()) throw Malformed{};
@@ -54,7 +55,7 @@
 // Encodes a record that may be missing; null stands for none.
 json optional_record(bool has_record, const Record& record) { return has_record ? to_json(record) : json(); }
 
-json body_to_json(const Body& body) {
+json body_to_json(const MessageBody& body) {
   return std::visit(
       [](const auto& b) -> json {
         using B = std::decay_t<decltype(b)>;
@@ -76,7 +77,7 @@
       body);
 }
 
-Body read_body(std::uint64_t kind, const json& j) {
+MessageBody read_body(std::uint64_t kind, const json& j) {
   const auto read_optional_record = [](const json& object, bool& has_record, Record& record) {
     has_record = !object.is_null();
     if (has_record) record = read_record(object);
@@ -106,7 +107,7 @@
       return Nack{get_uint(check_array(j, 1)[0])};
     case 5: {
       SyncRequest request;
-      for (const json& bucket : check_array(j, kBuckets)) request.buckets.push_back(get_uint(bucket));
+      for (const json& bucket : check_array(j, kDigestBuckets)) request.buckets.push_back(get_uint(bucket));
       return request;
     }
     case 6:
@@ -119,7 +120,7 @@
 
 }  // namespace
 
-std::optional<Key> key_in(std::string_view text) {
+std::optional<Key> parse_key(std::string_view text) {
   Key key{};
   std::size_t length = 0;
   if (sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), " \t\r\n", &length, nullptr) != 0 ||
@@ -137,7 +138,7 @@
   json records = json::array();
   for (const Record& record : datagram.records) records.push_back(to_json(record));
   json message = json::array({kWireVersion, fleet, datagram.body.index(), to_json(datagram.from), datagram.to,
-                              datagram.number, datagram.digest, datagram.catching_up ? 1U : 0U,
+                              datagram.sequence_number, datagram.digest, datagram.catching_up ? 1U : 0U,
                               body_to_json(datagram.body), std::move(records)});
   std::vector<std::uint8_t> bytes = json::to_cbor(message);
   while (kTagBytes + bytes.size() > kMaxDatagramBytes && !message[9].empty()) {
@@ -179,7 +180,7 @@
     Datagram datagram;
     datagram.from = read_record(message[3]);
     datagram.to = get_text(message[4], kMaxNameLength);
-    datagram.number = get_uint(message[5]);
+    datagram.sequence_number = get_uint(message[5]);
     datagram.digest = get_uint(message[6]);
     datagram.catching_up = get_uint(message[7], 1) == 1;
     datagram.body = read_body(get_uint(message[2], 255), message[8]);
--- a/src/fleet/datagram.h
+++ b/src/fleet/datagram.h
@@ -24,7 +24,7 @@
 using Key = std::array<unsigned char, kKeyBytes>;
 
 // Parses the text of a key file: 64 hex digits; white space is ignored. Returns nullopt for any other text.
-std::optional<Key> key_in(std::string_view text);
+std::optional<Key> parse_key(std::string_view text);
 
 // Why bytes are not a valid datagram of this fleet.
 enum class DecodeError : std::uint8_t { too_long, tag, malformed, version, fleet };
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -41,7 +41,7 @@
             {"incarnation", record.refutation},
             {"state", to_string(record.state)},
             {"since_ms", to_ms(now - member.state_since)},
-            {"evidence", to_string(record.evidence)},
+            {"evidence", to_string(record.state_reason)},
             {"reach", to_string(member.reachability)},
             {"self", member.self}};
   if (!record.suspecting_member.empty()) j["accuser"] = record.suspecting_member;
@@ -60,7 +60,7 @@
   out.arm(net::Concern::fleet, kTickTimer, now + kTick);
 }
 
-void Fleet::on(Time now, const net::Bound&, Outbox&) {
+void Fleet::on(Time now, const net::BindSucceeded&, Outbox&) {
   if (port_callbacks_.owned) port_callbacks_.owned(now, true);
 }
 
@@ -132,12 +132,12 @@
     out.log(level_of(member_event.kind), "fleet: " + member_event.record.name + " (life " +
                                              std::to_string(member_event.record.incarnation) + ") " +
                                              std::string(to_string(member_event.kind)) + ": " +
-                                             member_event.evidence);
+                                             member_event.detail);
     for (const Watcher& watcher : watchers_) watcher(now, member_event, out);
   }
 }
 
-json Fleet::answer(Time now, const json& line, Outbox& out) {
+json Fleet::handle_control_request(Time now, const json& line, Outbox& out) {
   const std::string what = line.value("what", json("")).is_string() ? line.value("what", std::string()) : "";
   const View& view = membership_.view();
   json j = {{"ok", true}, {"what", what}, {"fleet", settings_.fleet}};
@@ -197,7 +197,7 @@
   return all;
 }
 
-void Fleet::count(Counters& all) const {
+void Fleet::collect_counters(Counters& all) const {
   if (settings_.listen.empty()) return;
   const Metrics& metrics = membership_.metrics();
   for (const auto& [name, value] : {std::pair{"fleet.suspicions_raised", metrics.suspicions_raised},
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -34,20 +34,20 @@
   void start(Time now, Outbox& out);
   void on(Time now, const net::Datagram& datagram, Outbox& out);
   void on(Time now, const net::Unreachable& event, Outbox& out);
-  void on(Time now, const net::Bound& event, Outbox& out);
+  void on(Time now, const net::BindSucceeded& event, Outbox& out);
   void on(Time now, const net::BindFailed& event, Outbox& out);
   void on(Time now, const net::TimerFired& event, Outbox& out);
   // Leaves the fleet, at the end of this process or on an operator's request. With `handover` another process
   // continues under this name: no leave is announced, and the port is released after a short notice period.
   void leave(Time now, bool handover, Outbox& out);
 
-  void places(PortCallbacks places) { port_callbacks_ = std::move(places); }
-  void watch(Watcher watcher) { watchers_.push_back(std::move(watcher)); }
+  void set_port_callbacks(PortCallbacks places) { port_callbacks_ = std::move(places); }
+  void add_watcher(Watcher watcher) { watchers_.push_back(std::move(watcher)); }
   const membership::Membership& membership() const { return membership_; }
   // Answers a `fleet` request of the control listener, whose `what` is members, view or leave.
-  nlohmann::json answer(Time now, const nlohmann::json& line, Outbox& out);
+  nlohmann::json handle_control_request(Time now, const nlohmann::json& line, Outbox& out);
   std::vector<Gauge> gauges(Time now) const;
-  void count(Counters& all) const;
+  void collect_counters(Counters& all) const;
 
  private:
   void step(Time now, const membership::Event& event, Outbox& out);
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -36,7 +36,7 @@
                                                     const core::ClassTable& classes) {
   downstream::PlatformFrontSettings settings;
   settings.classes = classes.classes;
-  const std::size_t max_callers = descriptor_shares(config.sockets).callers;
+  const std::size_t max_callers = descriptor_shares(config.max_sockets).callers;
   settings.max_connections = deploy.sip_tcp ? max_callers - max_callers / 2 : max_callers;
   return settings;
 }
@@ -48,14 +48,14 @@
   settings.tcp = deploy.sip_tcp;
   settings.classes = classes.classes;
   settings.seed = config.seed;
-  settings.max_connections = descriptor_shares(config.sockets).callers / 2;
+  settings.max_connections = descriptor_shares(config.max_sockets).callers / 2;
   settings.load_control_from = deploy.load_control_from;
   return settings;
 }
 
 // Class table at the start: without open calls, each class has its index in the settings.
 core::ClassTable initial_class_table(const PlatformConfig& config) {
-  auto table = core::assign_places({}, config.class_names, config.settings.classes, {});
+  auto table = core::assign_class_indexes({}, config.class_names, config.settings.classes, {});
   if (!table)
     throw ConfigError("the settings name more than " + std::to_string(core::ClassTable::kMaxClasses) +
                       " classes");
@@ -88,10 +88,10 @@
       platform_(platform_settings(config, deploy, classes_), counters_),
       sip_(sip_settings(config, deploy, classes_), counters_),
       servers_(config.settings, config.areas, counters_),
-      journal_(config.journal, config.known_position, counters_),
+      journal_(config.journal, config.cached_position, counters_),
       exporter_(exporter_settings(config, deploy), counters_),
       management_(config.management, counters_) {
-  broker_.metrics().name(config.class_names);
+  broker_.metrics().add_classes(config.class_names);
   if (deploy.configuration) {
     subscription_.emplace(*deploy.configuration, counters_,
                           [this](Time now, const std::vector<distribution::ServiceConfig>& all, Outbox& out) {
@@ -172,21 +172,21 @@
   handler(net::Concern::fleet) = handler_of(fleet_);
   if (!deploy_.fleet) return;
   control_.add_operation("fleet", [this](Time now, const nlohmann::json& line, Outbox& out) {
-    return fleet_.answer(now, line, out);
+    return fleet_.handle_control_request(now, line, out);
   });
-  fleet_.places({[this](Time now, bool owned) { control_.set_place_owned(now, owned); },
-                 [this](Time now, const std::string& name, Time probed_at) {
-                   control_.port_released(now, name, probed_at);
-                 },
-                 [this](Time now) { return control_.ports_to_watch(now); }});
-  fleet_.watch([this](Time now, const membership::MemberEvent& event, Outbox& out) {
+  fleet_.set_port_callbacks({[this](Time now, bool owned) { control_.set_port_owned(now, owned); },
+                             [this](Time now, const std::string& name, Time probed_at) {
+                               control_.port_released(now, name, probed_at);
+                             },
+                             [this](Time now) { return control_.ports_to_watch(now); }});
+  fleet_.add_watcher([this](Time now, const membership::MemberEvent& event, Outbox& out) {
     if (event.kind == membership::MemberEventKind::joined) control_.member_joined(event.record.name);
     control_.notify_watchers(now,
                              {{"event", "fleet"},
                               {"what", membership::to_string(event.kind)},
                               {"member", event.record.name},
                               {"life", event.record.incarnation},
-                              {"evidence", event.evidence}},
+                              {"evidence", event.detail}},
                              out);
   });
 }
@@ -229,21 +229,21 @@
   drain_broker_events(now, out);
   const bool is_ready = ready(now);
   if (is_ready && !listening_ && !stop_requested_at_) listen(out);
-  platform_.ready(is_ready);
-  sip_.ready(is_ready);
+  platform_.set_ready(is_ready);
+  sip_.set_ready(is_ready);
   exit_if_drained(now, out);
   effects = std::move(out.net);
 }
 
 // With a successor (inherited socket) the gatekeeper stays ready while this process shuts down.
 bool Gatekeeper::ready(Time now) const {
-  return (!stop_requested_at_ || config_.inherited) && control_.ready(now) &&
+  return (!stop_requested_at_ || config_.inherited_socket) && control_.ready(now) &&
          (trunk_ ? trunk_->ready() : servers_.ready()) && (!subscription_ || subscription_->ready());
 }
 
 void Gatekeeper::listen(Outbox& out) {
   listening_ = true;
-  out.net.push_back(net::Listen{net::Concern::platform, config_.listen, config_.inherited});
+  out.net.push_back(net::Listen{net::Concern::platform, config_.listen, config_.inherited_socket});
   out.log(net::Level::info, config_.name + " listens on " + config_.listen);
 }
 
@@ -255,21 +255,21 @@
 }
 
 std::string Gatekeeper::telemetry(Time now) const {
-  management::Figures snapshot{broker_.metrics()};
-  snapshot.attempts = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
-                             : all_counters().of("net.counted_written");
+  management::MetricsSnapshot snapshot{broker_.metrics()};
+  snapshot.attempts = trunk_ ? counters_.value("trunk.invites") - counters_.value("trunk.invites_recalled")
+                             : all_counters().value("net.counted_written");
   snapshot.active = broker_.unanswered() + broker_.established();
-  snapshot.pool_size = trunk_ ? trunk_->listed() : servers_.listed();
+  snapshot.pool_size = trunk_ ? trunk_->endpoint_count() : servers_.endpoint_count();
   snapshot.pool_ejected = broker_.ejected(now);
-  snapshot.config_applied = counters_.of("config.reloads");
-  snapshot.config_rejected = counters_.of("config.reloads_bad");
+  snapshot.config_applied = counters_.value("config.reloads");
+  snapshot.config_rejected = counters_.value("config.reloads_bad");
   for (const Gauge& gauge : fleet_.gauges(now)) {
     std::string name = gauge.name.substr(gauge.name.find('.') + 1);
     for (const auto& [key, value] : gauge.attributes) name += "." + value;
     snapshot.additional.push_back({"fleet_" + name, static_cast<std::uint64_t>(gauge.value), 'g'});
   }
   Counters fleet;
-  fleet_.count(fleet);
+  fleet_.collect_counters(fleet);
   for (const auto& [name, value] : fleet.all())
     snapshot.additional.push_back({"fleet_" + name.substr(name.find('.') + 1), value, 'c'});
   if (subscription_) {
@@ -313,7 +313,7 @@
                    exporter_.record_request(now, e, [this](ServerId id) { return name_of(id); });
                  },
                  [&](const auto& e) {  // to the caller, through the front end that received the request
-                   if (core::front_of(e.call) == core::Front::sip) {
+                   if (core::front_end_of(e.call) == core::Front::sip) {
                      sip_.apply(now, e, out);
                    } else if constexpr (std::is_same_v<std::decay_t<decltype(e)>, core::ReleaseCaller>) {
                      platform_.apply(now, e, out);
@@ -338,14 +338,14 @@
 void Gatekeeper::on(Time now, const net::Started&, Outbox& out) {
   // With an inherited socket, another process still accepts callers: this one must not do so before it is
   // ready.
-  if (!config_.inherited) listen(out);
+  if (!config_.inherited_socket) listen(out);
   if (trunk_) {
     trunk_->start(now, out);
   } else {
     servers_.start(now, out);
   }
   bool first = true;
-  for (const EndpointList& list : config_.known) {
+  for (const EndpointList& list : config_.cached_endpoints) {
     const ListKind kind = std::exchange(first, false) ? ListKind::cached
                           : list.complete             ? ListKind::all
                                                       : ListKind::changes;
@@ -365,10 +365,10 @@
   if (stop_requested_at_) return;
   stop_requested_at_ = now;
   out.log(net::Level::info, config_.name + " was asked to stop");
-  fleet_.leave(now, config_.inherited.has_value(), out);
-  if (config_.inherited) {
+  fleet_.leave(now, config_.inherited_socket.has_value(), out);
+  if (config_.inherited_socket) {
     out.net.push_back(net::StopListening{net::Concern::platform});
-    platform_.hand_over(out);
+    platform_.begin_handover(out);
   }
   out.arm(net::Concern::process, 0, now + kShutdownCheckInterval);
 }
@@ -393,7 +393,8 @@
       replace_settings(now, file, out);
     } else {
       try {
-        const PlatformConfig merged = read_platform_config(with_overlay(file.text, service_configs_));
+        const PlatformConfig merged =
+            read_platform_config(apply_service_configs(file.text, service_configs_));
         check_keys(file, merged);
         replace_settings(now, merged, out);
       } catch (const ConfigError& error) {
@@ -426,7 +427,7 @@
                                                      const std::vector<distribution::ServiceConfig>& configs,
                                                      Outbox& out) {
   try {
-    const PlatformConfig merged = read_platform_config(with_overlay(config_.text, configs));
+    const PlatformConfig merged = read_platform_config(apply_service_configs(config_.text, configs));
     check_keys(config_, merged);
     replace_settings(now, merged, out);
   } catch (const ConfigError& error) {
@@ -438,16 +439,16 @@
 
 // Throws ConfigError, before any change, if open calls and new classes need too many class indexes.
 void Gatekeeper::replace_settings(Time now, const PlatformConfig& fresh, Outbox& out) {
-  auto table =
-      core::assign_places(classes_, fresh.class_names, fresh.settings.classes, broker_.places_in_use());
+  auto table = core::assign_class_indexes(classes_, fresh.class_names, fresh.settings.classes,
+                                          broker_.class_indexes_in_use());
   if (!table) throw ConfigError("open calls hold too many classes of before: try again when they are over");
   classes_ = std::move(*table);
   Settings settings = fresh.settings;
-  settings.classes = classes_.places;
+  settings.classes = classes_.by_index;
   platform_.replace_classes(classes_.classes);
   sip_.replace_classes(classes_.classes);
   servers_.replace_settings(settings);
-  broker_.metrics().name(fresh.class_names);
+  broker_.metrics().add_classes(fresh.class_names);
   out.notify_broker(core::SettingsReplaced{std::move(settings)});
   journal_.change_address(now, fresh.journal, out);
 }
@@ -456,13 +457,13 @@
   if (!stop_requested_at_) return;
   const Duration elapsed = now - *stop_requested_at_;
   Duration max_timeout{};
-  for (const CallClass& c : classes_.places) max_timeout = std::max(max_timeout, c.caller_timeout);
+  for (const CallClass& c : classes_.by_index) max_timeout = std::max(max_timeout, c.caller_timeout);
   const Duration counted_timeout =
-      std::min(max_timeout, config_.inherited ? kMaxUpgradeTimeout : kMaxCountedTimeout);
+      std::min(max_timeout, config_.inherited_socket ? kMaxUpgradeTimeout : kMaxCountedTimeout);
   const Duration answers_due = counted_timeout + kKillDelay - kFinalAnswerMargin;
   // With a successor, established calls may end normally for a while; without one, SIGKILL is imminent.
-  const Duration exit_due =
-      config_.inherited ? kMaxUpgradeTimeout + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
+  const Duration exit_due = config_.inherited_socket ? kMaxUpgradeTimeout + kUpgradeGracePeriod
+                                                     : answers_due + kFinalAnswerMargin / 2;
   // Every open request gets an answer before the exit, even if its deadline is later.
   if (broker_.unanswered() > 0 && elapsed >= answers_due) {
     out.log(net::Level::warning,
@@ -472,8 +473,9 @@
   }
   if (elapsed >= exit_due) return request_exit(net::Exit{0}, out);
   if (elapsed < std::min(kLateArrivalWindow, answers_due)) return;
-  const bool drained = broker_.unanswered() == 0 &&
-                       (!config_.inherited || (broker_.established() == 0 && platform_.connected() == 0));
+  const bool drained =
+      broker_.unanswered() == 0 &&
+      (!config_.inherited_socket || (broker_.established() == 0 && platform_.connection_count() == 0));
   // ExitIfIdle does nothing while output is unwritten or input unread; the next check tries again.
   if (drained) request_exit(net::ExitIfIdle{0}, out);
 }
@@ -486,7 +488,7 @@
 Counters Gatekeeper::all_counters() const {
   Counters all = counters_;
   if (more_counters_) more_counters_(all);
-  fleet_.count(all);
+  fleet_.collect_counters(all);
   return all;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -53,7 +53,7 @@
   std::random_device random;
   const auto draw = [&random] { return (static_cast<std::uint64_t>(random()) << 32) | random(); };
   const auto read_key = [](const char* owner, const std::string& path) {
-    const auto key = fleet::key_in(read_file(path));
+    const auto key = fleet::parse_key(read_file(path));
     if (!key) throw ConfigError(std::string(owner) + " key file " + path + " does not hold 64 hex digits");
     return *key;
   };
@@ -72,9 +72,9 @@
       std::max<std::int64_t>(1, unix_ms.count() + deploy.fleet_clock_offset_ms));
 }
 
-call_gapping::Fleet fleet_position(const PlatformConfig& config) {
+call_gapping::FleetPosition fleet_position(const PlatformConfig& config) {
   const std::uint32_t size = std::max<std::uint32_t>(1, config.settings.senders);
-  return {size, std::min(config.index, size - 1)};
+  return {size, std::min(config.fleet_index, size - 1)};
 }
 
 int run(int argc, char** argv) {
@@ -93,16 +93,17 @@
   if (const std::string name = environment_variable("RELAY_NAME"); !name.empty()) config.name = name;
   if (const std::string management = environment_variable("RELAY_MANAGEMENT"); !management.empty())
     config.management = management;
-  config.inherited = inherited_socket();
+  config.inherited_socket = inherited_socket();
   DeployConfig deploy = deploy_path.empty() ? DeployConfig{}
                                             : read_deploy_config(read_file(deploy_path), config.class_names,
                                                                  fleet_position(config), config.name);
   add_keys_and_seeds(deploy);
 
   net::RuntimeLimits limits;
-  limits.connections = descriptor_shares(config.sockets).accepted;
+  limits.max_connections = descriptor_shares(config.max_sockets).accepted;
   net::Runtime runtime(limits, net::Logger(parse_log_level(environment_variable("GRANITERUN_LOG"))));
-  Gatekeeper gatekeeper(config, deploy, [&runtime](Counters& all) { net::add_to(all, runtime.counters()); });
+  Gatekeeper gatekeeper(config, deploy,
+                        [&runtime](Counters& all) { net::add_runtime_counters(all, runtime.counters()); });
   return runtime.run([&gatekeeper](Time now, const net::Event& event, net::Effects& effects) {
     gatekeeper.step(now, event, effects);
   });
--- a/src/management/telemetry.cpp
+++ b/src/management/telemetry.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::string statsd_text(const Figures& snapshot) {
+std::string statsd_text(const MetricsSnapshot& snapshot) {
   std::string text;
   const auto line = [&text](std::string_view name, std::uint64_t value, char type) {
     text.append("gatekeeper.").append(name).append(":").append(std::to_string(value));
@@ -33,7 +33,8 @@
   line("pool_ejected", snapshot.pool_ejected, 'g');
   line("config_applied", snapshot.config_applied, 'c');
   line("config_rejected", snapshot.config_rejected, 'c');
-  for (const Figures::Metric& metric : snapshot.additional) line(metric.name, metric.value, metric.type);
+  for (const MetricsSnapshot::Metric& metric : snapshot.additional)
+    line(metric.name, metric.value, metric.type);
   return text;
 }
 
--- a/src/management/telemetry.h
+++ b/src/management/telemetry.h
@@ -11,7 +11,7 @@
 
 namespace graniterun::management {
 
-struct Figures {
+struct MetricsSnapshot {
   const core::RequestMetrics& metrics;
   std::uint64_t attempts{};         // attempts written whole to setup servers
   std::size_t active{};             // accepted requests that have not ended, established calls included
@@ -29,6 +29,6 @@
 };
 
 // Lines `gatekeeper.NAME:VALUE|TYPE` (c: count since the start of the process, g: current value).
-std::string statsd_text(const Figures& snapshot);
+std::string statsd_text(const MetricsSnapshot& snapshot);
 
 }  // namespace graniterun::management
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -23,7 +23,7 @@
 };
 
 // Why a record has its state.
-enum class Evidence : std::uint8_t {
+enum class StateReason : std::uint8_t {
   self_reported,     // reported by the member itself
   unresponsive,      // neither a direct nor an indirect probe was answered
   port_unreachable,  // ICMP port unreachable: no process listens at its address
@@ -42,7 +42,7 @@
   // suspicion or death reported of it.
   std::uint32_t refutation{};
   State state{};
-  Evidence evidence{};
+  StateReason state_reason{};
   std::string suspecting_member{};  // for suspect and dead: the member that raised the suspicion
   bool handing_over = false;        // another process is about to continue under its name
 
@@ -67,7 +67,7 @@
   constexpr std::string_view kNames[] = {"alive", "suspect", "dead", "left"};
   return kNames[static_cast<std::size_t>(state)];
 }
-constexpr std::string_view to_string(Evidence evidence) {
+constexpr std::string_view to_string(StateReason evidence) {
   constexpr std::string_view kNames[] = {"said so", "silent", "refused", "replaced by a newer life"};
   return kNames[static_cast<std::size_t>(evidence)];
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -47,7 +47,9 @@
 constexpr int kRetransmitMultiplier = 4;
 constexpr std::size_t kMaxLeaveNotifications = 64;  // members that a leaving process notifies directly
 
-std::size_t bucket_of(const std::string& name) { return XXH3_64bits(name.data(), name.size()) % kBuckets; }
+std::size_t bucket_of(const std::string& name) {
+  return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
+}
 
 // Hash of a record for the table digests. A suspect hashes as alive: suspicions begin and end at different
 // times at different members and must not make their digests differ.
@@ -262,7 +264,7 @@
   }));
 }
 
-std::size_t Membership::memory() const {
+std::size_t Membership::memory_bytes() const {
   constexpr std::size_t kMapNodeBytes = 64;  // approximate
   std::size_t bytes = sizeof *this;
   for (const auto& [name, peer] : peers_) {
@@ -299,12 +301,12 @@
          static_cast<int>(std::ceil(std::log10(static_cast<double>(fleet_size() + 1))));
 }
 
-void Membership::send_datagram(const std::string& address, const std::string& to, Body body,
+void Membership::send_datagram(const std::string& address, const std::string& to, MessageBody body,
                                bool with_broadcasts) {
   Datagram datagram;
   datagram.from = self_;
   datagram.to = to;
-  datagram.number = ++last_sequence_number_;
+  datagram.sequence_number = ++last_sequence_number_;
   datagram.digest = digest_;
   datagram.catching_up = catching_up_;
   datagram.body = std::move(body);
@@ -396,7 +398,7 @@
   }
   const bool verified = peer != nullptr && peer->verified && peer->record.same_incarnation(datagram.from);
   if (verified) {
-    const auto result = peer->window.accept(datagram.number);
+    const auto result = peer->window.accept(datagram.sequence_number);
     if (result != ReplayWindow::Result::fresh)
       return count_drop(result == ReplayWindow::Result::duplicate ? DropReason::duplicate
                                                                   : DropReason::too_old);
@@ -525,7 +527,7 @@
     peer->verified = true;
     ++verified_count_;
     // The window survives a death of the same incarnation: earlier datagrams are not accepted again.
-    peer->window.accept(datagram.number);
+    peer->window.accept(datagram.sequence_number);
     if (verified_count_ == 1 && settings_.refinements.anti_entropy) {
       // The first verified member: request a sync of its whole table.
       digest_differs_since_ = now - kSyncDelay;
@@ -554,10 +556,11 @@
 }
 
 void Membership::handle_sync_request(Time, const Datagram& datagram, const SyncRequest& request) {
-  if (request.buckets.size() != kBuckets || !announced_ || catching_up_) return;
-  std::array<bool, kBuckets> differs{};
+  if (request.buckets.size() != kDigestBuckets || !announced_ || catching_up_) return;
+  std::array<bool, kDigestBuckets> differs{};
   bool any = false;
-  for (std::size_t i = 0; i < kBuckets; ++i) any = (differs[i] = request.buckets[i] != buckets_[i]) || any;
+  for (std::size_t i = 0; i < kDigestBuckets; ++i)
+    any = (differs[i] = request.buckets[i] != buckets_[i]) || any;
   if (!any) return;
   ++metrics_.syncs;
   std::vector<Record> records;
@@ -567,7 +570,7 @@
     Datagram out;
     out.from = self_;
     out.to = datagram.from.name;
-    out.number = ++last_sequence_number_;
+    out.sequence_number = ++last_sequence_number_;
     out.digest = digest_;
     out.body = Gossip{};
     out.records = std::exchange(records, {});
@@ -578,12 +581,12 @@
   // Bucket by bucket, starting at a random one: records beyond kMaxSyncDatagrams are other ones each time,
   // and a completely sent bucket does not differ in the next request. In order of names, a large fleet's
   // member would get the same first names in each answer and never the rest.
-  const std::size_t first = random_() % kBuckets;
+  const std::size_t first = random_() % kDigestBuckets;
   std::vector<std::pair<std::size_t, const Record*>> selected;
   for (const auto& [name, peer] : peers_) {
     const std::size_t bucket = bucket_of(name);
     if (!peer.broadcast_ended && differs[bucket])
-      selected.emplace_back((bucket + kBuckets - first) % kBuckets, &peer.record);
+      selected.emplace_back((bucket + kDigestBuckets - first) % kDigestBuckets, &peer.record);
   }
   std::stable_sort(selected.begin(), selected.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -653,7 +656,7 @@
   if (newer_incarnation && previous.is_member()) {
     Record replaced = previous;
     replaced.state = State::dead;
-    replaced.evidence = Evidence::replaced;
+    replaced.state_reason = StateReason::replaced;
     emit_event(now, MemberEventKind::died, replaced,
                "its life " + std::to_string(previous.incarnation) + " was ended by life " +
                    std::to_string(record.incarnation));
@@ -696,15 +699,15 @@
                          settings_.refinements.shrinking_suspicion, record.suspecting_member);
   suspects_.set(record.name, peer.suspicion->deadline());
   emit_event(now, MemberEventKind::suspected, record,
-             std::string(to_string(record.evidence)) + ", says " + record.suspecting_member);
+             std::string(to_string(record.state_reason)) + ", says " + record.suspecting_member);
 }
 
 // Suspects a member that this process cannot reach, or confirms the suspicion of it.
-void Membership::raise_suspicion(Time now, Peer& peer, Evidence evidence) {
+void Membership::raise_suspicion(Time now, Peer& peer, StateReason evidence) {
   if (catching_up_ || !announced_) return;
   Record record = peer.record;
   record.state = State::suspect;
-  record.evidence = evidence;
+  record.state_reason = evidence;
   record.suspecting_member = self_.name;
   ++metrics_.suspicions_raised;
   if (peer.record.state == State::suspect) {
@@ -725,9 +728,9 @@
   store_record(now, peer, dead);
   if (!was_member) return;
   ++metrics_.suspicions_confirmed;
-  if (dead.evidence == Evidence::port_unreachable) ++metrics_.deaths_by_unreachable_port;
+  if (dead.state_reason == StateReason::port_unreachable) ++metrics_.deaths_by_unreachable_port;
   emit_event(now, MemberEventKind::died, dead,
-             std::string(to_string(dead.evidence)) + ", says " + dead.suspecting_member +
+             std::string(to_string(dead.state_reason)) + ", says " + dead.suspecting_member +
                  (suspecting_members > 1 ? " and " + std::to_string(suspecting_members - 1) + " more" : ""));
 }
 
@@ -759,7 +762,7 @@
       pending != pending_pings_.end()) {
     const Peer* target = find_peer(pending->second.name);
     if (target != nullptr && watched_ports_.contains(pending->second.name) &&
-        target->record.state == State::dead && target->record.evidence == Evidence::port_unreachable)
+        target->record.state == State::dead && target->record.state_reason == StateReason::port_unreachable)
       effects_->push_back(PortReleased{pending->second.name, pending->second.sent_at});
   }
   const auto it = members_by_address_.find(event.address);
@@ -770,17 +773,17 @@
   // Two reports make a death: this one and another member's report of its death or of its unreachable port.
   if (peer->reported_death) return declare_dead(now, *peer, Record(*peer->reported_death));
   const bool second_report = peer->record.state == State::suspect &&
-                             peer->record.evidence == Evidence::port_unreachable &&
+                             peer->record.state_reason == StateReason::port_unreachable &&
                              peer->record.suspecting_member != self_.name && !catching_up_;
   if (!peer->unreachable_since && !second_report) {
     peer->unreachable_since = now;
     unreachable_checks_.set(peer->record.name, now + kUnreachableRecheckDelay);
-    return raise_suspicion(now, *peer, Evidence::port_unreachable);
+    return raise_suspicion(now, *peer, StateReason::port_unreachable);
   }
   if (!second_report && (now - *peer->unreachable_since < kUnreachableRecheckDelay || catching_up_)) return;
   Record dead = peer->record;
   dead.state = State::dead;
-  dead.evidence = Evidence::port_unreachable;
+  dead.state_reason = StateReason::port_unreachable;
   dead.suspecting_member = self_.name;
   declare_dead(now, *peer, dead);
 }
@@ -1088,7 +1091,7 @@
       !settings_.refinements.indirect_probing || member_count_ < 2 || probe.responses_received > 0;
   const bool handing_over = peer->record.handing_over && now - peer->state_since < kHandoverTimeout;
   if (!handing_over && (others_reachable || now - last_activity_at > kIsolationTimeout))
-    raise_suspicion(now, *peer, Evidence::unresponsive);
+    raise_suspicion(now, *peer, StateReason::unresponsive);
 }
 
 // Pings seeds that are not members, without end, and dead members, to find those that are back.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -99,7 +99,7 @@
 struct MemberEvent {
   MemberEventKind kind{};
   Record record{};
-  std::string evidence{};  // human-readable explanation
+  std::string detail{};  // human-readable explanation
 };
 // For a watched member that died with an unreachable port: at some moment between `probed_at` and now no
 // process held its port.
@@ -180,7 +180,7 @@
   std::size_t recent_contact_count(Time now) const;
   const Metrics& metrics() const { return metrics_; }
   std::uint64_t digest() const { return digest_; }
-  std::size_t memory() const;  // approximate, in bytes
+  std::size_t memory_bytes() const;  // approximate, in bytes
 
  private:
   struct Peer {
@@ -258,7 +258,7 @@
   void merge_own_record(Time now, const Record& record);
   void merge_suspicion(Time now, Peer& peer, const Record& record);
   void declare_dead(Time now, Peer& peer, const Record& dead);
-  void raise_suspicion(Time now, Peer& peer, Evidence evidence);
+  void raise_suspicion(Time now, Peer& peer, StateReason evidence);
   void store_record(Time now, Peer& peer, const Record& record);
   void on_member_added(const Record& record);
   void on_member_removed(Time now, const Record& record);
@@ -284,7 +284,7 @@
   void contact_missing_members(Time now);
   void update_view(Time now);
 
-  void send_datagram(const std::string& address, const std::string& to, Body body,
+  void send_datagram(const std::string& address, const std::string& to, MessageBody body,
                      bool with_broadcasts = true);
   // Sends a ping and returns its token. `receiver_record` is sent to the receiver; if null, the stored
   // record.
@@ -327,7 +327,7 @@
   std::optional<Probe> probe_{};
   std::optional<DuplicateName> duplicate_{};
   std::optional<Record> stood_down_for_{};  // the other process of this name, while stood down
-  std::array<std::uint64_t, kBuckets> buckets_{};
+  std::array<std::uint64_t, kDigestBuckets> buckets_{};
   std::uint64_t digest_ = 0;
   std::uint64_t last_sequence_number_ = 0;
   int health_score_ = 0;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -12,7 +12,7 @@
 
 // Anti-entropy sync compares the member table by buckets: a record's bucket is the hash of its name modulo
 // this.
-constexpr std::size_t kBuckets = 64;
+constexpr std::size_t kDigestBuckets = 64;
 
 // Asks for an Ack. The Ack repeats the random token, which proves that its sender received this ping.
 struct Ping {
@@ -47,15 +47,15 @@
 };
 struct Gossip {};  // carries only the datagram's records
 
-using Body = std::variant<Ping, Ack, PingRequest, RelayedAck, Nack, SyncRequest, Gossip>;
+using MessageBody = std::variant<Ping, Ack, PingRequest, RelayedAck, Nack, SyncRequest, Gossip>;
 
 struct Datagram {
-  Record from{};             // the sender's own record
-  std::string to{};          // name of the receiver; empty if the sender does not know it
-  std::uint64_t number{};    // sequence number of the sender's datagrams, increasing
-  std::uint64_t digest{};    // of the sender's member table
-  bool catching_up = false;  // the sender was paused: its records of other members are ignored
-  Body body{};
+  Record from{};                    // the sender's own record
+  std::string to{};                 // name of the receiver; empty if the sender does not know it
+  std::uint64_t sequence_number{};  // sequence number of the sender's datagrams, increasing
+  std::uint64_t digest{};           // of the sender's member table
+  bool catching_up = false;         // the sender was paused: its records of other members are ignored
+  MessageBody body{};
   std::vector<Record> records{};
 };
 
--- a/src/net/counted.h
+++ b/src/net/counted.h
@@ -6,7 +6,7 @@
 
 namespace graniterun::net {
 
-inline void add_to(Counters& all, const RuntimeCounters& counters) {
+inline void add_runtime_counters(Counters& all, const RuntimeCounters& counters) {
   all.add("net.bytes_in", counters.bytes_in);
   all.add("net.bytes_out", counters.bytes_out);
   all.add("net.accepted", counters.accepted);
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -54,8 +54,8 @@
 };
 struct ConnectFailed {
   ConnId conn;
-  bool refused{};  // connection refused; false: unreachable, timed out or a local failure
-  bool local{};    // no descriptor or port was available here: says nothing about the peer
+  bool refused{};         // connection refused; false: unreachable, timed out or a local failure
+  bool local_shortage{};  // no descriptor or port was available here: says nothing about the peer
 };
 // All received bytes that are not consumed yet. Bytes that the reducer does not consume are delivered again
 // with the next Received.
@@ -88,7 +88,7 @@
   std::string peer;
   std::string bytes;  // of the datagram, as far as the ICMP message contains them
 };
-struct Bound {  // an exclusive Bind succeeded
+struct BindSucceeded {  // an exclusive Bind succeeded
   Concern concern{};
 };
 struct BindFailed {  // an exclusive Bind failed
@@ -107,7 +107,7 @@
 struct Started {};
 
 using Event = std::variant<Started, Accepted, Connected, ConnectFailed, Received, Closed, PeerClosed,
-                           WriteWithdrawn, Datagram, Unreachable, Bound, BindFailed, TimerFired,
+                           WriteWithdrawn, Datagram, Unreachable, BindSucceeded, BindFailed, TimerFired,
                            StopRequested, CountersRequested, ReloadRequested, FileRead>;
 
 // The concern that an event belongs to; absent for events of the whole program.
@@ -137,8 +137,8 @@
 struct Listen {  // TCP
   Concern concern{};
   std::string address;
-  std::optional<int>
-      inherited{};  // descriptor of a listening socket passed to this process, used instead of a new one
+  std::optional<int> inherited_socket{};  // descriptor of a listening socket passed to this process, used
+                                          // instead of a new one
   std::size_t reserved_connections =
       0;  // maximum connections, outside RuntimeLimits::connections; 0: they count against that limit
   bool required = true;  // false: the program continues if listening fails
@@ -216,7 +216,7 @@
 };
 struct Print {  // regardless of the log level
   std::string text;
-  bool answer = false;  // true: to standard output; false: to standard error, like the log
+  bool to_stdout = false;  // true: to standard output; false: to standard error, like the log
 };
 struct Exit {
   int status{};
--- a/src/net/ring.h
+++ b/src/net/ring.h
@@ -10,9 +10,9 @@
 
 namespace graniterun::net {
 
-class Ring {
+class RingBuffer {
  public:
-  explicit Ring(std::size_t max_size) : max_size_(max_size) {}
+  explicit RingBuffer(std::size_t max_size) : max_size_(max_size) {}
 
   std::size_t size() const { return size_; }
   std::size_t capacity() const { return storage_.size(); }  // allocated bytes, used or not
@@ -20,7 +20,7 @@
   std::size_t free_space() const { return max_size_ - size_; }
 
   // Appends all of `bytes`, or returns false and appends nothing if they do not fit.
-  bool put(std::string_view bytes) {
+  bool append(std::string_view bytes) {
     if (bytes.size() > free_space()) return false;
     reserve(size_ + bytes.size());
     for (std::size_t copied = 0; copied < bytes.size();) {
@@ -71,7 +71,7 @@
     size_ -= count;
   }
   // Removes the first `count` bytes.
-  void drop(std::size_t count) {
+  void consume(std::size_t count) {
     count = std::min(count, size_);
     size_ -= count;
     if (size_ == 0 && storage_.size() > kMaxRetainedBytes) std::vector<char>().swap(storage_);
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -173,7 +173,7 @@
       return 1;
     }
     sockets.start(create_descriptor_source(poll_, G_IO_IN), &Impl::on_sockets, this);
-    if (limits_.signals) {
+    if (limits_.handle_signals) {
       term.start(g_unix_signal_source_new(SIGTERM), &Impl::on_term, this);
       user.start(g_unix_signal_source_new(SIGUSR1), &Impl::on_user, this);
       hangup.start(g_unix_signal_source_new(SIGHUP), &Impl::on_hangup, this);
@@ -194,12 +194,16 @@
   struct Listener;
   struct Connection {
     Connection(Impl& owner, ConnId conn, GObjectPtr<GSocket> new_socket, const RuntimeLimits& limits)
-        : impl(owner), id(conn), socket(std::move(new_socket)), in(limits.inbound), out(limits.outbound) {}
+        : impl(owner),
+          id(conn),
+          socket(std::move(new_socket)),
+          in(limits.max_inbound_bytes),
+          out(limits.max_outbound_bytes) {}
     Impl& impl;
     ConnId id;
     GObjectPtr<GSocket> socket;
-    Ring in;
-    Ring out;
+    RingBuffer in;
+    RingBuffer out;
     // Requested epoll events. All connections share one epoll descriptor in GLib's loop: with a source for
     // each, every iteration of the loop went through all of them, however few were ready.
     std::uint32_t reading = 0;
@@ -342,7 +346,7 @@
   }
 
   void carry_out(const Listen& e) {
-    if (e.inherited) return listen_on_inherited(e);
+    if (e.inherited_socket) return listen_on_inherited(e);
     listen(e, G_SOCKET_TYPE_STREAM);
   }
   void carry_out(const Bind& e) {
@@ -352,7 +356,7 @@
       if (!e.exclusive) return;
       listeners_.back()->exclusive = true;
       g_socket_set_option(listeners_.back()->socket.get(), IPPROTO_IP, IP_RECVERR, 1, nullptr);
-      defer_event(Bound{e.concern});
+      defer_event(BindSucceeded{e.concern});
     } else if (e.exclusive) {
       defer_event(BindFailed{e.concern});
     }
@@ -372,7 +376,7 @@
 
   void listen_on_inherited(const Listen& e) {
     GError* error = nullptr;
-    GObjectPtr<GSocket> socket(g_socket_new_from_fd(*e.inherited, &error));
+    GObjectPtr<GSocket> socket(g_socket_new_from_fd(*e.inherited_socket, &error));
     if (socket == nullptr) {
       logger_.line(Level::error, "cannot use the inherited socket: " + take_error_text(error));
       return carry_out(Exit{1});
@@ -430,7 +434,7 @@
   // without a free descriptor made the loop spin.
   void accept(Listener& listener) {
     for (std::size_t i = 0; i < limits_.max_listener_batch; ++i) {
-      if (listener.reserved_connections == 0 && count_unreserved_connections() >= limits_.connections)
+      if (listener.reserved_connections == 0 && count_unreserved_connections() >= limits_.max_connections)
         return pause_accepting(listener);
       GError* error = nullptr;
       GObjectPtr<GSocket> socket(g_socket_accept(listener.socket.get(), nullptr, &error));
@@ -565,12 +569,12 @@
   void carry_out(const Send& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end() || it->second->closing) return;
-    if (!it->second->out.put(e.bytes)) return close_overflowed(e.conn);
+    if (!it->second->out.append(e.bytes)) return close_overflowed(e.conn);
     const std::uint64_t begin = it->second->sent;
     it->second->sent += e.bytes.size();
     if (e.ticket != 0) it->second->ticketed.push_back({e.ticket, begin, it->second->sent});
     outbound_ += e.bytes.size();
-    if (outbound_ > limits_.outbound_all) {
+    if (outbound_ > limits_.max_total_outbound_bytes) {
       const auto fullest = std::max_element(
           connections_.begin(), connections_.end(),
           [](const auto& a, const auto& b) { return a.second->out.size() < b.second->out.size(); });
@@ -630,7 +634,7 @@
   }
 
   void carry_out(const Consume& e) {
-    if (const auto it = connections_.find(e.conn); it != connections_.end()) it->second->in.drop(e.count);
+    if (const auto it = connections_.find(e.conn); it != connections_.end()) it->second->in.consume(e.count);
   }
 
   void carry_out(const Close& e) {
@@ -699,7 +703,7 @@
     defer_event(std::move(read));
   }
   void carry_out(const Log& e) { logger_.line(e.level, e.text); }
-  void carry_out(const Print& e) { (e.answer ? std::cout : std::cerr) << e.text << std::flush; }
+  void carry_out(const Print& e) { (e.to_stdout ? std::cout : std::cerr) << e.text << std::flush; }
   void carry_out(const Exit& e) {
     status_ = e.status;
     g_main_loop_quit(loop_);
@@ -857,7 +861,7 @@
         return would_block;
       }
       counters.bytes_out += static_cast<std::uint64_t>(sent);
-      connection.out.drop(static_cast<std::size_t>(sent));
+      connection.out.consume(static_cast<std::size_t>(sent));
       outbound_ -= static_cast<std::size_t>(sent);
       while (!connection.ticketed.empty() && connection.ticketed.front().end <= connection.written()) {
         ++counters.counted_written;
@@ -903,7 +907,7 @@
     }
     if (connection.in.free_space() == 0)
       return close_lost(id, true);  // the reducer consumed nothing of a full buffer: it is stuck
-    connection.in.reserve(std::min(connection.in.size() + 4096, limits_.inbound));
+    connection.in.reserve(std::min(connection.in.size() + 4096, limits_.max_inbound_bytes));
     const std::span<char> target = connection.in.free_span();
     GError* error = nullptr;
     const gssize received =
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -11,10 +11,11 @@
 namespace graniterun::net {
 
 struct RuntimeLimits {
-  std::size_t connections = 900;      // accepted connections; more wait in the listen queue
-  std::size_t inbound = 64 * 1024;    // bytes received on a connection and not consumed yet
-  std::size_t outbound = 512 * 1024;  // unwritten bytes of a connection; above it the connection is closed
-  std::size_t outbound_all =
+  std::size_t max_connections = 900;          // accepted connections; more wait in the listen queue
+  std::size_t max_inbound_bytes = 64 * 1024;  // bytes received on a connection and not consumed yet
+  std::size_t max_outbound_bytes =
+      512 * 1024;  // unwritten bytes of a connection; above it the connection is closed
+  std::size_t max_total_outbound_bytes =
       4 * 1024 * 1024;  // unwritten bytes of all connections; above: the one with most is closed
   // Interval of the check for accepted connections with unwritten output whose peer acknowledged no byte
   // since the last check: those are closed, so within twice this time. Reading from such a connection is
@@ -24,7 +25,7 @@
   std::size_t max_listener_batch = 64;      // maximum per listener and main loop iteration, of datagrams too
   // Whether SIGTERM, SIGHUP and SIGUSR1 are delivered as events; false: other code of the process handles
   // them.
-  bool signals = true;
+  bool handle_signals = true;
 };
 
 struct RuntimeCounters {
--- a/src/otlp/exporter.cpp
+++ b/src/otlp/exporter.cpp
@@ -230,7 +230,7 @@
   const auto consumed = body_->take(event.bytes.substr(used), response_body_);
   if (consumed) out.net.push_back(net::Consume{event.conn, used + *consumed});
   const bool empty = head_->length == std::size_t{0};
-  if (!consumed || response_body_.size() > http::kHeadBound) {
+  if (!consumed || response_body_.size() > http::kMaxHeadBytes) {
     counters_.add("otlp.malformed");
     out.close(event.conn);
     return fail_post(out, false);
--- a/src/otlp/exporter.h
+++ b/src/otlp/exporter.h
@@ -66,7 +66,7 @@
   bool in_flight_ = false;
   Time sent_at_{};
   std::optional<http::Head> head_{};
-  std::optional<http::Body> body_{};
+  std::optional<http::BodyReader> body_{};
   std::string response_body_{};
 };
 
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -26,7 +26,7 @@
   const std::string_view branch = parameter(via, "branch");
   const std::string_view invite_or_method = method == "ACK" ? "INVITE" : method;
   std::string key;
-  if (branch.starts_with(kCookie)) {
+  if (branch.starts_with(kBranchCookie)) {
     key.append(branch).append("|").append(sent_by(via));
   } else {
     const auto cseq = cseq_of(request);
@@ -96,7 +96,7 @@
   Message message;
   message.status = status;
   message.phrase = phrase;
-  for (const std::string_view via : request.all("Via")) message.add("Via", std::string(via));
+  for (const std::string_view via : request.header_values("Via")) message.add("Via", std::string(via));
   message.add("From", std::string(request.header("From")));
   std::string to(request.header("To"));
   if (status > 100 && !tag.empty() && parameter(to, "tag").empty()) to.append(";tag=").append(tag);
@@ -127,7 +127,7 @@
   arm(now, server, key, transaction, Kind::retransmit, transaction.retransmit_interval, out);
 }
 
-std::vector<TimerExpiry> Transactions::fired(Time now, std::uint64_t number, Outbox& out) {
+std::vector<TimerExpiry> Transactions::handle_timer(Time now, std::uint64_t number, Outbox& out) {
   const auto it = timers_.find(number);
   if (it == timers_.end()) return {};
   const Timer timer = it->second;
@@ -339,7 +339,8 @@
   ack.uri = client.request.uri;
   ack.add("Via", std::string(client.request.header("Via")));
   ack.add("Max-Forwards", "70");
-  for (const std::string_view route : client.request.all("Route")) ack.add("Route", std::string(route));
+  for (const std::string_view route : client.request.header_values("Route"))
+    ack.add("Route", std::string(route));
   ack.add("From", std::string(client.request.header("From")));
   ack.add("To", std::string(answer.header("To")));
   ack.add("Call-ID", std::string(client.request.header("Call-ID")));
--- a/src/sip/transactions.h
+++ b/src/sip/transactions.h
@@ -16,14 +16,14 @@
 constexpr Duration kT2 = std::chrono::seconds(4);
 constexpr Duration kT4 = std::chrono::seconds(5);
 constexpr Duration k64T1 = 64 * kT1;
-constexpr std::string_view kCookie = "z9hG4bK";
+constexpr std::string_view kBranchCookie = "z9hG4bK";
 
 // A timeout that the transaction user must handle.
 struct TimerExpiry {
-  enum class What {
+  enum class Kind {
     no_answer,  // timer B or F: no final response came
     no_ack,     // timer H, or 64 T1 after a 2xx: no ACK came
-  } what{};
+  } kind{};
   std::string key{};
 };
 
@@ -63,7 +63,7 @@
   void forget(const std::string& key) { clients_.erase(key); }
 
   // Handles a timer armed under its number; returns the timeouts for the transaction user.
-  std::vector<TimerExpiry> fired(Time now, std::uint64_t timer, Outbox& out);
+  std::vector<TimerExpiry> handle_timer(Time now, std::uint64_t timer, Outbox& out);
   std::size_t size() const { return servers_.size() + clients_.size(); }
 
  private:
--- a/src/upstream/discovery.h
+++ b/src/upstream/discovery.h
@@ -46,7 +46,7 @@
   bool timer_armed_ = false;
   Time last_received_at_{};
   std::optional<http::Head> head_{};
-  std::optional<http::Body> body_{};
+  std::optional<http::BodyReader> body_{};
   std::string event_buffer_{};
   std::optional<Time> partial_since_{};  // since when a head or event is incomplete
   // The position after which a malformed event was requested once more.
--- a/src/upstream/setup_servers.cpp
+++ b/src/upstream/setup_servers.cpp
@@ -139,7 +139,7 @@
   return is_utf8(description) && description.find("SIP/2.0\r\n") == std::string_view::npos;
 }
 
-std::optional<Duration> retry_after_of(const sip::Message& message) {
+std::optional<Duration> parse_retry_after(const sip::Message& message) {
   const auto ms = number_in<std::uint32_t>(message.header("P-Wait"));
   if (!ms || *ms > kMaxRetryAfter.count()) return {};
   return std::chrono::milliseconds(*ms);
@@ -147,7 +147,7 @@
 
 void read_rejection(const sip::Message& message, core::AttemptFinished& finished) {
   finished.reason = parse_full_reason(message.header("Warning-Word"));
-  if (finished.outcome == Outcome::full) finished.retry_after = retry_after_of(message);
+  if (finished.outcome == Outcome::full) finished.retry_after = parse_retry_after(message);
 }
 
 LoadReport parse_load_report(const sip::Message& message) {
@@ -161,7 +161,7 @@
     const auto value = number_in<double>(sip::trim(entry.substr(colon + 1)));
     // Skips values that are not numbers or out of range, since a value would be converted to a time.
     const bool valid = value && std::isfinite(*value) && std::abs(*value) <= 1e7;
-    if (valid) wire::note_value(report, sip::trim(entry.substr(0, colon)), *value);
+    if (valid) wire::set_report_value(report, sip::trim(entry.substr(0, colon)), *value);
   }
   return report;
 }
@@ -251,7 +251,7 @@
   ready_ = any_in_service && (all_tried || now - started_at_ >= kInitialConnectTimeout);
 }
 
-std::size_t SetupServers::listed() const {
+std::size_t SetupServers::endpoint_count() const {
   return static_cast<std::size_t>(std::count_if(servers_.begin(), servers_.end(), [](const auto& s) {
     return s.second.endpoint.state != ServerState::terminated;
   }));
@@ -304,9 +304,9 @@
 void SetupServers::on(Time now, const net::ConnectFailed& event, Outbox& out) {
   const auto it = connections_.find(event.conn.number);
   if (it == connections_.end()) return;
-  counters_.add(event.local     ? "servers.connects_without_descriptor"
-                : event.refused ? "servers.connects_refused"
-                                : "servers.connects_timed_out");
+  counters_.add(event.local_shortage ? "servers.connects_without_descriptor"
+                : event.refused      ? "servers.connects_refused"
+                                     : "servers.connects_timed_out");
   Server* server = find_server(it->second.server);
   connections_.erase(it);
   if (server == nullptr) return;
@@ -315,14 +315,14 @@
   server->connect_attempted = true;
   update_readiness(now);
   server->connecting.reset();
-  if (!event.local) {
+  if (!event.local_shortage) {
     server->last_connect_refused = event.refused;
     if (!server->unreachable_since) server->unreachable_since = now;
   }
   // No data comes on the open connection and a new connect times out: the machine has vanished. Closing the
   // old connection ends its outstanding attempts, so that they can be retried elsewhere. Otherwise they wait
   // until their callers time out, and new setups are sent on the same connection.
-  if (!event.refused && !event.local && server->current &&
+  if (!event.refused && !event.local_shortage && server->current &&
       now - server->last_received_at > kMaxResponseTimeout) {
     counters_.add("servers.connections_dead");
     out.log(net::Level::info,
@@ -862,7 +862,7 @@
   sip::Message response;
   response.status = message.method == "BYE" || message.method == "OPTIONS" ? 200 : 501;
   response.phrase = response.status == 200 ? "OK" : "Not Implemented";
-  for (const std::string_view via : message.all("Via")) response.add("Via", std::string(via));
+  for (const std::string_view via : message.header_values("Via")) response.add("Via", std::string(via));
   response.add("Call-ID", std::string(message.header("Call-ID")));
   response.add("CSeq", std::string(message.header("CSeq")));
   out.send({net::Concern::server, conn}, response.text());
--- a/src/upstream/setup_servers.h
+++ b/src/upstream/setup_servers.h
@@ -46,7 +46,7 @@
   bool ready() const { return ready_; }
   void replace_settings(const Settings& settings) { connect_timeout_ = settings.connect_timeout; }
   // Number of endpoints that are not terminated, including draining ones.
-  std::size_t listed() const;
+  std::size_t endpoint_count() const;
   // The endpoint's uid, or "unknown".
   const std::string& name_of(ServerId server) const;
 
@@ -165,7 +165,7 @@
 int parse_q850_cause(std::string_view reason);
 // P-Wait: the wait in whole milliseconds that a server with a full processor reports, at most one minute;
 // none where it is missing, malformed or longer.
-std::optional<Duration> retry_after_of(const sip::Message& message);
+std::optional<Duration> parse_retry_after(const sip::Message& message);
 // Sets the rejection's reason (Warning-Word) and, if the outcome is `full`, its retry-after.
 void read_rejection(const sip::Message& message, core::AttemptFinished& finished);
 
--- a/src/upstream/sip_trunk.cpp
+++ b/src/upstream/sip_trunk.cpp
@@ -110,7 +110,7 @@
   }
 }
 
-std::size_t SipTrunk::listed() const {
+std::size_t SipTrunk::endpoint_count() const {
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), [](const auto& entry) {
     return entry.second.state != ServerState::terminated;
   }));
@@ -174,8 +174,8 @@
 
 void SipTrunk::on(Time now, const net::TimerFired& event, Outbox& out) {
   if (event.key.number != kTickTimer) {
-    for (const sip::TimerExpiry& expiry : transactions_.fired(now, event.key.number, out)) {
-      if (expiry.what != sip::TimerExpiry::What::no_answer) continue;
+    for (const sip::TimerExpiry& expiry : transactions_.handle_timer(now, event.key.number, out)) {
+      if (expiry.kind != sip::TimerExpiry::What::no_answer) continue;
       const auto invite = by_transaction_.find(expiry.key);  // timer B
       if (invite == by_transaction_.end()) continue;
       if (UpstreamAttempt* attempt = find_attempt(invite->second))
@@ -216,7 +216,7 @@
 
 std::string SipTrunk::make_via() {
   return std::string(settings_.reliable ? "SIP/2.0/TCP " : "SIP/2.0/UDP ") + settings_.address +
-         ";branch=" + std::string(sip::kCookie) + ids_.next();
+         ";branch=" + std::string(sip::kBranchCookie) + ids_.next();
 }
 
 void SipTrunk::apply(Time now, const core::StartAttempt& event, Outbox& out) {
@@ -388,7 +388,7 @@
   dialog.remote_to = remote_to;
   const std::string_view contact = message.header("Contact");
   dialog.remote_target = contact.empty() ? attempt->invite.uri : std::string(sip::uri_in(contact));
-  const auto record_routes = message.all("Record-Route");
+  const auto record_routes = message.header_values("Record-Route");
   dialog.route_set.assign(record_routes.rbegin(), record_routes.rend());
   transport_.send(dialog.flow, make_dialog_request(dialog, "ACK", 1).text(), out);
   if (forked) return send_bye(now, fork_attempt, kCauseNormalClearing, out);
--- a/src/upstream/sip_trunk.h
+++ b/src/upstream/sip_trunk.h
@@ -44,7 +44,7 @@
   void apply(Time now, const core::ReleaseServer& event, Outbox& out);
 
   // Number of endpoints that are not terminated, including draining ones.
-  std::size_t listed() const;
+  std::size_t endpoint_count() const;
   // Whether an endpoint is in service.
   bool ready() const;
   // The endpoint's uid, or "unknown".
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -77,7 +77,7 @@
     field("contents", hex.empty() ? "-" : hex);
     end();
   }
-  void operator()(const FollowList&) const {
+  void operator()(const RequestServerList&) const {
     begin("FOLLOW");
     field("enable", 1);
     end();
@@ -270,12 +270,13 @@
   split(*value, ',', [&](std::string_view pair) {
     const std::size_t colon = pair.find(':');
     if (colon == std::string_view::npos) message.fail(field, "is not name:value pairs");
-    note_value(report, pair.substr(0, colon), message.parse_number<double>(field, pair.substr(colon + 1)));
+    set_report_value(report, pair.substr(0, colon),
+                     message.parse_number<double>(field, pair.substr(colon + 1)));
   });
   return report;
 }
 
-void note_value(LoadReport& report, std::string_view name, double value) {
+void set_report_value(LoadReport& report, std::string_view name, double value) {
   if (!(value >= 0)) return;
   if (name == "spare" || name == "x0") report.free_circuits = value;
   if (name == "total" || name == "x1") report.circuits = value;
@@ -375,7 +376,7 @@
     event.deadline = message.time("deadlineNs");
     event.circuits = message.find_number<double>("circuits").value_or(1);
     event.in_transit = message.find_flag("transit");
-    event.cut_before = message.find_flag("reconnect");
+    event.is_reconnect = message.find_flag("reconnect");
     event.redial = message.find_flag("retry");
     dispatch(message, event);
   } else if (name == "VERDICT") {
--- a/src/wire.h
+++ b/src/wire.h
@@ -85,7 +85,7 @@
 
 // Sets one value of a report, given under the simulator's name for it or the setup servers'. Ignores unknown
 // names, and values below 0, which stand for unknown.
-void note_value(LoadReport& report, std::string_view name, double value);
+void set_report_value(LoadReport& report, std::string_view name, double value);
 
 // Runs the controllers of one process and translates between them and the simulator's protocol.
 class SimulatorAdapter {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -75,7 +75,7 @@
   CHECK(http::read_head(text.substr(0, 20), head) == http::HeadState::more);
   CHECK(http::read_head(text, head) == http::HeadState::whole);
   CHECK(http::read_head("SSH-2.0\r\n\r\n", head) == http::HeadState::malformed);
-  http::Body body(head);
+  http::BodyReader body(head);
   std::string out;
   CHECK_EQ(*body.take("5\r\n: hi\n\r\n1b\r\nid: 7\ndata: {\"a\":\ndata: 1}\n\r\n", out), 43U);
   CHECK(!http::take_event(out));  // the event is incomplete: no empty line yet
@@ -85,7 +85,7 @@
   CHECK(event.has_value());
   CHECK_EQ(event->id, "7");
   CHECK_EQ(event->data, "{\"a\":\n1}");
-  http::Body broken(head);
+  http::BodyReader broken(head);
   CHECK(!broken.take("zz\r\n", out));
 }
 
@@ -93,17 +93,17 @@
 void ring_behaves_as_a_queue() {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     std::mt19937 random(seed);
-    net::Ring ring(5000);
+    net::RingBuffer ring(5000);
     std::string model;
     for (int step = 0; step < 2000; ++step) {
       const std::size_t count = random() % 1500;
       if (random() % 2 == 0) {
         const std::string bytes(count, static_cast<char>('a' + random() % 26));
         const bool fits = model.size() + count <= 5000;
-        CHECK_EQ(ring.put(bytes), fits);
+        CHECK_EQ(ring.append(bytes), fits);
         if (fits) model += bytes;
       } else {
-        ring.drop(count);
+        ring.consume(count);
         model.erase(0, std::min(count, model.size()));
       }
       CHECK_EQ(ring.size(), model.size());
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace graniterun;
 using namespace std::chrono_literals;
-using lab::ColdFleet;
+using lab::SlowStartFleet;
 
 struct RunSummary {
   double worst = -1e9;
@@ -18,11 +18,11 @@
   std::size_t restarts = 0;
 };
 
-RunSummary run_seeds(ColdFleet fleet, std::uint64_t seeds) {
+RunSummary run_seeds(SlowStartFleet fleet, std::uint64_t seeds) {
   RunSummary summary;
   for (fleet.seed = 1; fleet.seed <= seeds; ++fleet.seed) {
-    const ColdFleet::Result r = fleet.play();
-    summary.worst = std::max(summary.worst, r.worst);
+    const SlowStartFleet::Result r = fleet.run();
+    summary.worst = std::max(summary.worst, r.max_excess);
     summary.served += r.served() / static_cast<double>(seeds);
     summary.restarts += r.restarts;
   }
@@ -31,8 +31,8 @@
 
 class ColdFleetBySenders : public testing::TestWithParam<std::uint32_t> {
  protected:
-  ColdFleet fleet() const {
-    ColdFleet f;
+  SlowStartFleet fleet() const {
+    SlowStartFleet f;
     f.senders = GetParam();
     f.load = 0.9;
     return f;
@@ -46,32 +46,32 @@
 }
 
 TEST_P(ColdFleetBySenders, StaysWithinBudgetWhenSeventyPercentRestartUnderUnevenLoad) {
-  ColdFleet f = fleet();
-  f.restarted = 0.7;
-  f.uneven = 1.2;
-  f.lost = 0.1;
+  SlowStartFleet f = fleet();
+  f.restarting_share = 0.7;
+  f.load_share_sigma = 1.2;
+  f.lost_answer_share = 0.1;
   const RunSummary summary = run_seeds(f, 3);
   EXPECT_LE(summary.worst, 1.0);
   EXPECT_GE(summary.restarts, GetParam() > 1 ? 3U : 0U);  // otherwise the test has not covered a restart
 }
 
 TEST_P(ColdFleetBySenders, StaysWithinBudgetWhenAllRestartRepeatedlyAndServerStaysCold) {
-  ColdFleet f = fleet();
-  f.restarted = 1.0;
-  f.times = 4;
-  f.together = true;
+  SlowStartFleet f = fleet();
+  f.restarting_share = 1.0;
+  f.restarts_per_sender = 4;
+  f.simultaneous_restarts = true;
   f.load = 2.0;
-  f.warm_after = 1h;
+  f.full_capacity_after = 1h;
   const RunSummary summary = run_seeds(f, 2);
   EXPECT_LE(summary.worst, 1.0);
   EXPECT_EQ(summary.restarts, 8U * GetParam());
 }
 
 TEST_P(ColdFleetBySenders, StaysWithinBudgetWhenIdleSendersCallAtOnce) {
-  ColdFleet f = fleet();
+  SlowStartFleet f = fleet();
   f.idle_until = 4s;
   f.load = 1.5;
-  f.warm_after = 1h;
+  f.full_capacity_after = 1h;
   EXPECT_LE(run_seeds(f, 3).worst, 1.0);
 }
 
@@ -80,19 +80,19 @@
 class ColdFleetByBudget : public testing::TestWithParam<std::tuple<double, std::uint32_t>> {};
 
 TEST_P(ColdFleetByBudget, StaysWithinBudgetInEveryScenario) {
-  ColdFleet no_restarts;
-  std::tie(no_restarts.warm_per_s, no_restarts.senders) = GetParam();
+  SlowStartFleet no_restarts;
+  std::tie(no_restarts.full_capacity_per_s, no_restarts.senders) = GetParam();
   no_restarts.load = 1.0;
-  ColdFleet with_restarts = no_restarts;
-  with_restarts.restarted = 0.7;
-  with_restarts.uneven = 1.2;
-  with_restarts.lost = 0.1;
-  ColdFleet overload = no_restarts;
+  SlowStartFleet with_restarts = no_restarts;
+  with_restarts.restarting_share = 0.7;
+  with_restarts.load_share_sigma = 1.2;
+  with_restarts.lost_answer_share = 0.1;
+  SlowStartFleet overload = no_restarts;
   overload.load = 2.0;
-  overload.warm_after = 1h;
-  overload.restarted = 0.5;
-  overload.times = 3;
-  for (const ColdFleet& scenario : {no_restarts, with_restarts, overload})
+  overload.full_capacity_after = 1h;
+  overload.restarting_share = 0.5;
+  overload.restarts_per_sender = 3;
+  for (const SlowStartFleet& scenario : {no_restarts, with_restarts, overload})
     EXPECT_LE(run_seeds(scenario, 4).worst, 1.0);
 }
 
--- a/tests/config_distributor_test.cpp
+++ b/tests/config_distributor_test.cpp
@@ -575,7 +575,7 @@
   as_json.json = true;
   const json object = json::parse(cluster.run_command(as_json).text);
   CHECK(object["all"] == true && object["services"][0]["in_force"] == 20);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.malformed"), 0U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.malformed"), 0U);
 }
 
 void a_config_that_gatekeepers_reject_is_reported() {
@@ -637,7 +637,7 @@
   CHECK(cluster.net.run_until([&] { return cluster.committed(2, "trail") == cluster.committed(0, "trail"); },
                               20s));
   // Its connections stay open, although it does not subscribe yet.
-  CHECK_EQ(cluster.distributors[2]->counters().of("distributor.peers_lost"), 0U);
+  CHECK_EQ(cluster.distributors[2]->counters().value("distributor.peers_lost"), 0U);
   CHECK(!cluster.voting(2) && !cluster.files[2].empty());
   // It rejects the publication, and the command goes on to the next distributor.
   ConfigClientSettings s = cluster.publish_settings("trail", patch("2"));
@@ -765,7 +765,7 @@
     const Cluster::Result next = cluster.run_command(cluster.publish_settings("trail", patch("3")));
     CHECK_EQ(next.status, ConfigClient::kSuccess);
     CHECK(cluster.committed(2, "trail").version > now.version);
-    for (const auto& one : cluster.distributors) CHECK_EQ(one->counters().of("distributor.conflict"), 0U);
+    for (const auto& one : cluster.distributors) CHECK_EQ(one->counters().value("distributor.conflict"), 0U);
   }
   CHECK(answered > 0 && unanswered > 0 && killed > 20);
 }
@@ -856,7 +856,7 @@
   cluster.net.heal();
   CHECK(cluster.net.run_until([&] { return cluster.committed(0, "trail") == cluster.committed(1, "trail"); },
                               20s));
-  CHECK(cluster.distributors[0]->counters().of("distributor.peers_not_reached") > 0);
+  CHECK(cluster.distributors[0]->counters().value("distributor.peers_not_reached") > 0);
 }
 
 void a_command_that_reaches_no_distributor_fails() {
@@ -892,7 +892,7 @@
   // After three missed heartbeats its connections are closed, and gatekeepers are counted by other
   // distributors.
   cluster.net.run(25s);
-  CHECK(cluster.distributors[0]->counters().of("distributor.peers_lost") > 0);
+  CHECK(cluster.distributors[0]->counters().value("distributor.peers_lost") > 0);
   s = cluster.publish_settings("trail", patch("3"));
   s.addresses = {address_of(0), address_of(1)};
   const Cluster::Result without = cluster.run_command(s);
@@ -1022,8 +1022,8 @@
   CHECK(cluster.committed(0, "trail") == cluster.committed(1, "trail"));
   cluster.net.run(60s);
   CHECK(silent_client.closed);
-  CHECK(cluster.distributors[0]->counters().of("distributor.connections_silent") +
-            cluster.distributors[0]->counters().of("distributor.clients_closed") >
+  CHECK(cluster.distributors[0]->counters().value("distributor.connections_silent") +
+            cluster.distributors[0]->counters().value("distributor.clients_closed") >
         0);
 }
 
@@ -1039,8 +1039,8 @@
   CHECK(silent.closed && half.closed && !once.closed);
   cluster.net.run(20s);
   CHECK(once.closed);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_stuck"), 2U);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_silent"), 1U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.connections_stuck"), 2U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.connections_silent"), 1U);
 
   // Above the limit a connection that is no client is closed first, else the newest; clients stay.
   std::vector<std::unique_ptr<RawClient>> clients;
@@ -1054,7 +1054,7 @@
   RawClient over(cluster.net, address_of(0));
   CHECK(over.closed);
   for (int i = 1; i < 16; ++i) CHECK(!clients[static_cast<std::size_t>(i)]->closed);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.connections_over"), 2U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.connections_over"), 2U);
 }
 
 void invalid_operator_requests_are_answered_with_errors() {
@@ -1091,8 +1091,8 @@
   CHECK(operator_.lines.at(0)["ok"] == false);
   operator_.send(std::string("[1,2]\n\n  \n"));
   CHECK_EQ(operator_.take_lines().size(), 2U);
-  CHECK(cluster.distributors[0]->counters().of("distributor.malformed") > 10);
-  CHECK(cluster.distributors[0]->counters().of("distributor.publish_refused") >= 6);
+  CHECK(cluster.distributors[0]->counters().value("distributor.malformed") > 10);
+  CHECK(cluster.distributors[0]->counters().value("distributor.publish_refused") >= 6);
   // The log has at most one line per second about them.
   CHECK(cluster.programs[0]->logs.size() < 20);
   // The connection stays usable, and a valid publication on it is accepted.
@@ -1112,13 +1112,13 @@
   twice.send(subscribe_line("gk", {{"trail", {}}}, true));
   twice.send(subscribe_line("gk", {{"trail", {}}}, true));
   CHECK(twice.closed);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.clients_closed"), 1U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.clients_closed"), 1U);
   // Any client may send a proposal, but one whose digest was not made with the key is rejected.
   RawClient forger(cluster.net, address_of(0));
   ServiceConfig forged{"trail", {cluster.committed(0, "trail").version + 1, {}}, "{}"};
   const json answer = forger.request(propose_line(1, forged));
   CHECK(answer["accepted"] == false);
-  CHECK_EQ(cluster.distributors[0]->counters().of("distributor.unsound"), 1U);
+  CHECK_EQ(cluster.distributors[0]->counters().value("distributor.unsound"), 1U);
 }
 
 void all_services_are_listed_in_pages() {
--- a/tests/config_lines_test.cpp
+++ b/tests/config_lines_test.cpp
@@ -98,7 +98,8 @@
           reported.active == active && reported.reason == r.reason);
   }
   const auto returned = parse_client_line(7, round_trip(return_line(d)));
-  CHECK(as<ConfigReturned>(returned).config == d && is_sound(key(), as<ConfigReturned>(returned).config));
+  CHECK(as<ConfigReturned>(returned).config == d &&
+        is_valid_config(key(), as<ConfigReturned>(returned).config));
   for (const std::uint64_t proposal : {std::uint64_t{0}, ~std::uint64_t{}}) {
     const auto proposed = parse_client_line(7, round_trip(propose_line(proposal, d)));
     CHECK(as<ProposalReceived>(proposed).config == d && as<ProposalReceived>(proposed).proposal == proposal);
--- a/tests/configuration_process_test.cpp
+++ b/tests/configuration_process_test.cpp
@@ -48,7 +48,7 @@
 }
 
 bool until(const std::function<bool()>& holds, std::chrono::milliseconds timeout = kTimeout) {
-  return lab::ConfigRig::until(timeout, holds);
+  return lab::ConfigClusterFixture::wait_until(timeout, holds);
 }
 
 // Leaves only the first class in the configuration.
@@ -257,7 +257,7 @@
       peers += (i == 0 ? "" : ",") + at(relay_->port(kMaxGatekeepers * kDistributors + i));
     const std::string name = "d" + std::to_string(d);
     const std::string files = dir_ + "/" + name;
-    distributors_[d].child = std::make_unique<lab::Child>(
+    distributors_[d].child = std::make_unique<lab::ChildProcess>(
         std::vector<std::string>{distributor_path, "--listen", at(distributors_[d].port), "--advertise",
                                  at(relay_->port(kMaxGatekeepers * kDistributors + d)), "--peer", peers,
                                  "--key-file", dir_ + "/key", "--dir", files, "--name", name, "--connections",
@@ -442,7 +442,7 @@
   std::uint64_t figure(std::size_t g, const std::string& name) const {
     Socket s = Socket::connected(gatekeepers_[g].management);
     s.send("telemetry\n");
-    const std::string text = s.until("END\n");
+    const std::string text = s.read_until("END\n");
     const std::string start = "\ngatekeeper.config_distribution_" + name + ":";
     const std::size_t where = text.find(start);
     return where == std::string::npos ? 0 : std::stoull(text.substr(where + start.size()));
@@ -470,7 +470,7 @@
   void check_serves(std::size_t g) {
     Socket caller = Socket::connected(gatekeepers_[g].listen);
     const std::string id = "00000000000" + std::to_string(10000 + ++calls_);
-    caller.send(set_up(id, 9000));
+    caller.send(setup_line_with_key(id, 9000));
     CHECK_EQ(json::parse(caller.line())["type"], "answer");
     caller.send(json{{"type", "release"}, {"id", id}, {"fields", json::object()}, {"cause", 16}}.dump() +
                 "\n");
@@ -482,12 +482,12 @@
   static std::size_t side(std::size_t g, std::size_t d) { return g * kDistributors + d; }
   static std::size_t peer_side(std::size_t d) { return kMaxGatekeepers * kDistributors + d; }
   void hold(std::size_t g, StreamRelay::Way way, bool on) {
-    for (std::size_t d = 0; d < kDistributors; ++d) relay_->hold(side(g, d), way, on);
+    for (std::size_t d = 0; d < kDistributors; ++d) relay_->set_hold(side(g, d), way, on);
   }
   void cut(std::size_t g, bool on) {
     for (std::size_t d = 0; d < kDistributors; ++d) {
-      relay_->cut(side(g, d), StreamRelay::there, on);
-      relay_->cut(side(g, d), StreamRelay::back, on);
+      relay_->set_cut(side(g, d), StreamRelay::to_server, on);
+      relay_->set_cut(side(g, d), StreamRelay::to_client, on);
     }
   }
   StreamRelay& relay() { return *relay_; }
@@ -508,7 +508,7 @@
  private:
   struct Distributor {
     int port{};
-    std::unique_ptr<lab::Child> child;
+    std::unique_ptr<lab::ChildProcess> child;
   };
   struct Gatekeeper {
     int listen{};
@@ -608,7 +608,7 @@
   }
 
   ServerStandIn server_;
-  lab::JournalStandIn journal_;
+  lab::DiscoveryStandIn journal_;
   std::string dir_;
   std::array<Distributor, kDistributors> distributors_;
   std::array<Gatekeeper, kMaxGatekeepers> gatekeepers_;
@@ -670,7 +670,7 @@
 // only its own gatekeepers have the version: the other distributors must recover it from them.
 void publisher_killed_after_partial_notification(Rig& rig) {
   const std::uint64_t first = rig.publish_to_all(0, "all", next_content());
-  rig.relay().hold(Rig::peer_side(0), StreamRelay::back, true);
+  rig.relay().set_hold(Rig::peer_side(0), StreamRelay::to_client, true);
   const std::uint64_t second = rig.publish(0, "all", next_content());
   CHECK(second > first);
   CHECK(until([&] { return rig.count_of("all", second) > 0; }));
@@ -679,7 +679,7 @@
   std::cout << "gatekeepers with the version before the publisher was killed: " << have << " of "
             << rig.running() << std::endl;
   check_fault_occurred("gatekeepers without the version", rig.running() - have);
-  rig.relay().hold(Rig::peer_side(0), StreamRelay::back, false);
+  rig.relay().set_hold(Rig::peer_side(0), StreamRelay::to_client, false);
   rig.wait_until_all_hold("all", second);
   const std::uint64_t third = rig.publish(1, "all", next_content());
   CHECK(third > second);
@@ -691,14 +691,14 @@
 
 void command_killed_after_partial_notification(Rig& rig) {
   const std::uint64_t first = rig.publish_to_all(1, "all", next_content());
-  for (std::size_t g = 0; g < 6; ++g) rig.hold(g, StreamRelay::back, true);
+  for (std::size_t g = 0; g < 6; ++g) rig.hold(g, StreamRelay::to_client, true);
   const auto one = rig.publishing(1, "all", next_content());
   CHECK(until([&] { return rig.running() - rig.count_of("all", first) >= 6; }));
   CHECK_EQ(rig.count_of("all", first), 6U);
   CHECK(one->runs());
   one->kill();
   check_fault_occurred("commands killed", one->finish() == 1000 + SIGKILL ? 1 : 0);
-  for (std::size_t g = 0; g < 6; ++g) rig.hold(g, StreamRelay::back, false);
+  for (std::size_t g = 0; g < 6; ++g) rig.hold(g, StreamRelay::to_client, false);
   const std::uint64_t second = rig.held(6, "all").version;
   CHECK(second > first);
   rig.wait_until_all_hold("all", second);
@@ -711,31 +711,31 @@
 void gatekeeper_killed_between_apply_and_report(Rig& rig) {
   constexpr std::size_t kVictim = 2;
   const auto held_back = rig.relay().counts().held_back.load();
-  rig.hold(kVictim, StreamRelay::back, true);
+  rig.hold(kVictim, StreamRelay::to_client, true);
   const std::uint64_t version = rig.publish(3, "all", next_content());
   CHECK(until([&] { return rig.count_of("all", version) == kGatekeepers - 1; }));
   CHECK(until([&] { return rig.relay().counts().held_back > held_back; }));
   std::this_thread::sleep_for(100ms);
   const std::uint64_t fetches = rig.figure(kVictim, "fetches");
   for (std::size_t d = 0; d < kDistributors; ++d) rig.signal_distributor(d, SIGSTOP);
-  rig.hold(kVictim, StreamRelay::back, false);
+  rig.hold(kVictim, StreamRelay::to_client, false);
   CHECK(until([&] { return rig.figure(kVictim, "fetches") > fetches; }));
   std::this_thread::sleep_for(100ms);
-  rig.hold(kVictim, StreamRelay::there, true);
+  rig.hold(kVictim, StreamRelay::to_server, true);
   for (std::size_t d = 0; d < kDistributors; ++d) rig.signal_distributor(d, SIGCONT);
   CHECK(until([&] { return rig.held(kVictim, "all").version == version; }));
   const json status = rig.status_of("all");
   const std::size_t not_reported = status.value("behind_all", 0U);
   rig.kill(kVictim);
   check_fault_occurred("gatekeepers killed after applying and before reporting", not_reported);
-  rig.hold(kVictim, StreamRelay::there, false);
+  rig.hold(kVictim, StreamRelay::to_server, false);
   const std::uint64_t newer = rig.publish(4, "all", next_content());
-  rig.hold(kVictim, StreamRelay::back, true);
+  rig.hold(kVictim, StreamRelay::to_client, true);
   rig.start(kVictim);
   check_fault_occurred(
       "starts not ready before the first notification",
       rig.readiness(kVictim).find("the configuration in force is not told yet") != std::string::npos);
-  rig.hold(kVictim, StreamRelay::back, false);
+  rig.hold(kVictim, StreamRelay::to_client, false);
   CHECK(until([&] { return rig.readiness(kVictim).starts_with("OK"); }));
   CHECK_EQ(rig.held_now(kVictim, "all"), newer);
   CHECK(until([&] { return rig.view(kVictim).ready; }));
@@ -754,7 +754,7 @@
   CHECK(until([&] { return rig.view(kUpgraded).ready; }));
   rig.server().hold(true);
   Socket first = Socket::connected(listener.port());
-  first.send(set_up("00000000000000a1", 9000));
+  first.send(setup_line_with_key("00000000000000a1", 9000));
   CHECK(until([&] { return rig.server().waiting() == 1; }));
   rig.start(kSuccessor, listener.descriptor(), kUpgraded);
   const std::uint64_t version = rig.publish(2, "own-13", next_content());
@@ -763,7 +763,7 @@
   rig.program(kUpgraded).signal(SIGTERM);
   rig.program(kUpgraded).wait_for_log("was asked to stop");
   Socket second = Socket::connected(listener.port());
-  second.send(set_up("00000000000000a2", 9000));
+  second.send(setup_line_with_key("00000000000000a2", 9000));
   CHECK(until([&] { return rig.server().waiting() == 2; }));
   const std::uint64_t newer = rig.publish(3, "own-13", next_content());
   CHECK(newer > version);
@@ -803,21 +803,21 @@
   // file's.
   const json hosts = json::parse(rig.config(kReloading).dump())["known"]["entries"][0]["hosts"];
   for (const bool reload_first : {true, false}) {
-    lab::JournalStandIn file_journal(hosts);
-    lab::JournalStandIn published_journal(hosts);
+    lab::DiscoveryStandIn file_journal(hosts);
+    lab::DiscoveryStandIn published_journal(hosts);
     json file = rig.config(kReloading);
     file["journal"] = at(file_journal.port());
     const std::size_t reloads_before = count_in(rig.program(kReloading).log(), kReloadedLog);
     json content = next_content();
     content["journal"] = at(published_journal.port());
-    rig.hold(kReloading, StreamRelay::back, true);
+    rig.hold(kReloading, StreamRelay::to_client, true);
     const std::uint64_t version = rig.publish(1, "own-6", content);
-    rig.program(kReloading).configure(file.dump());
+    rig.program(kReloading).write_config(file.dump());
     if (reload_first) {
       rig.program(kReloading).signal(SIGHUP);
-      rig.hold(kReloading, StreamRelay::back, false);
+      rig.hold(kReloading, StreamRelay::to_client, false);
     } else {
-      rig.hold(kReloading, StreamRelay::back, false);
+      rig.hold(kReloading, StreamRelay::to_client, false);
       rig.program(kReloading).signal(SIGHUP);
     }
     rig.wait_until_all_hold("own-6", version);
@@ -830,7 +830,7 @@
     CHECK(until([&] { return file_journal.connections() == 1; }));
     check_fault_occurred("publications concurrent with a reload",
                          count_in(rig.program(kReloading).log(), kReloadedLog) - reloads_before);
-    rig.program(kReloading).configure(rig.config(kReloading).dump());
+    rig.program(kReloading).write_config(rig.config(kReloading).dump());
     rig.program(kReloading).signal(SIGHUP);
     CHECK(until([&] { return count_in(rig.program(kReloading).log(), kReloadedLog) == reloads_before + 2; }));
     CHECK(until([&] { return file_journal.connections() == 0; }));
@@ -842,7 +842,7 @@
   const std::size_t reloads_before = count_in(rig.program(kReloading).log(), kReloadedLog);
   json file = rig.config(kReloading);
   keep_first_class(file);
-  rig.program(kReloading).configure(file.dump());
+  rig.program(kReloading).write_config(file.dump());
   rig.program(kReloading).signal(SIGHUP);
   rig.program(kReloading).wait_for_log("with the documents in force over it");
   check_fault_occurred("files rejected because of the published configuration",
@@ -851,7 +851,7 @@
   CHECK(until([&] { return rig.view(kReloading).answers > answers + 1; }));
   CHECK_EQ(rig.held(kReloading, "own-6").version, version);
   rig.check_serves(kReloading);
-  rig.program(kReloading).configure(rig.config(kReloading).dump());
+  rig.program(kReloading).write_config(rig.config(kReloading).dump());
   rig.program(kReloading).signal(SIGHUP);
   CHECK(until([&] { return count_in(rig.program(kReloading).log(), kReloadedLog) == reloads_before + 1; }));
   rig.publish_to_all(2, "own-6", next_content());
@@ -928,7 +928,7 @@
   constexpr std::size_t kVictim = 3;
   const std::uint64_t stale = rig.figure_of_all("stale");
   for (std::size_t g = 0; g < kGatekeepers; ++g)
-    rig.relay().hold(Rig::side(g, kVictim), StreamRelay::back, true);
+    rig.relay().set_hold(Rig::side(g, kVictim), StreamRelay::to_client, true);
   const std::uint64_t old = rig.publish(0, "all", next_content());
   CHECK(until([&] { return rig.count_of("all", old) == rig.running(); }));
   std::this_thread::sleep_for(100ms);
@@ -938,7 +938,7 @@
   rig.wait_until_all_hold("all", newer);
   rig.signal_distributor(kVictim, SIGCONT);
   for (std::size_t g = 0; g < kGatekeepers; ++g)
-    rig.relay().hold(Rig::side(g, kVictim), StreamRelay::back, false);
+    rig.relay().set_hold(Rig::side(g, kVictim), StreamRelay::to_client, false);
   CHECK(until([&] { return rig.figure_of_all("stale") > stale; }));
   check_fault_occurred("stale notifications ignored", rig.figure_of_all("stale") - stale);
   CHECK_EQ(rig.count_of("all", newer), rig.running());
@@ -951,7 +951,7 @@
   const std::uint64_t before = rig.publish_to_all(0, "all", next_content());
   std::map<std::size_t, std::uint64_t> activations_before;
   for (const std::size_t g : cut) activations_before[g] = rig.figure(g, "in_force");
-  const auto dropped_bytes_before = rig.relay().counts().cut.load();
+  const auto dropped_bytes_before = rig.relay().counts().dropped_bytes.load();
   for (const std::size_t g : cut) rig.cut(g, true);
   std::uint64_t newest = 0;
   for (std::size_t i = 0; i < 10; ++i) {
@@ -960,8 +960,9 @@
   }
   CHECK(until([&] { return rig.count_of("all", newest) == rig.running() - cut.size(); }));
   CHECK_EQ(rig.count_of("all", before), cut.size());
-  CHECK(until([&] { return rig.relay().counts().cut > dropped_bytes_before; }));
-  check_fault_occurred("bytes dropped by the partition", rig.relay().counts().cut - dropped_bytes_before);
+  CHECK(until([&] { return rig.relay().counts().dropped_bytes > dropped_bytes_before; }));
+  check_fault_occurred("bytes dropped by the partition",
+                       rig.relay().counts().dropped_bytes - dropped_bytes_before);
   for (const std::size_t g : cut) rig.cut(g, false);
   rig.wait_until_all_hold("all", newest);
   for (const std::size_t g : cut) CHECK_EQ(rig.figure(g, "in_force") - activations_before[g], 1U);
@@ -970,7 +971,7 @@
 
 void start_without_a_reachable_distributor(Rig& rig) {
   const std::uint64_t version = rig.publish_to_all(0, "all", next_content());
-  const auto cut_off = rig.relay().counts().cut_off.load();
+  const auto damaged_connections = rig.relay().counts().damaged_connections.load();
   rig.cut(kLate, true);
   rig.start(kLate);
   CHECK(until([&] { return rig.readiness(kLate).starts_with("OK"); }));
@@ -979,7 +980,8 @@
   rig.program(kLate).wait_for_log("within 2000 ms: it serves on its start configuration");
   rig.check_serves(kLate);
   CHECK_EQ(rig.held(kLate, "all").version, 0U);
-  check_fault_occurred("connections dropped at the start", rig.relay().counts().cut_off - cut_off);
+  check_fault_occurred("connections dropped at the start",
+                       rig.relay().counts().damaged_connections - damaged_connections);
   rig.cut(kLate, false);
   rig.wait_until_all_hold("all", version);
   rig.publish_to_all(1, "all", next_content());
@@ -1047,8 +1049,8 @@
     CHECK(::ioctl(subscribed_only[d].descriptor(), FIONREAD, &waits) == 0);
     unread += waits > 0 ? 1 : 0;
     std::string got;
-    for (std::string more = subscribed_only[d].some(65536); !more.empty();
-         more = subscribed_only[d].some(65536)) {
+    for (std::string more = subscribed_only[d].read_available(65536); !more.empty();
+         more = subscribed_only[d].read_available(65536)) {
       got += more;
       std::this_thread::sleep_for(20ms);
     }
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -32,7 +32,7 @@
   s.distributors = {"127.0.0.1:7501", "127.0.0.1:7502", "127.0.0.1:7503"};
   s.services = {"calls", "limits"};
   s.key = test_key();
-  s.wait = wait;
+  s.startup_timeout = wait;
   s.seed = 3;
   d.configuration = std::move(s);
   return d;
@@ -63,16 +63,16 @@
 }
 
 PlatformConfig with_inherited_descriptor(PlatformConfig config) {
-  config.inherited = 7;
+  config.inherited_socket = 7;
   return config;
 }
 
 // A gatekeeper with simulated distributors, which all have the same configurations.
-struct GatekeeperFixture : Lab {
+struct GatekeeperFixture : GatekeeperLab {
   explicit GatekeeperFixture(
       const DeployConfig& deploy = deploy_config_with_distributors(),
       const PlatformConfig& config = read_platform_config(file_with_two_servers().dump()))
-      : Lab(config, deploy) {}
+      : GatekeeperLab(config, deploy) {}
 
   // Completes all pending connects: successfully, except those to distributors while they are unreachable.
   void open_pending_connections() {
@@ -80,12 +80,12 @@
       connect_addresses.push_back(c.address);
       if (c.conn.concern == Concern::configuration) {
         if (unreachable) {
-          tell(net::ConnectFailed{c.conn, false});
+          deliver(net::ConnectFailed{c.conn, false});
           continue;
         }
         sources.push_back(c.conn);
       }
-      tell(net::Connected{c.conn});
+      deliver(net::Connected{c.conn});
     }
   }
   bool is_open(ConnId conn) const { return std::find(closed.begin(), closed.end(), conn) == closed.end(); }
@@ -107,7 +107,7 @@
   void answer_lines() {
     for (bool any = true; std::exchange(any, false);) {
       for (const ConnId conn : std::vector<ConnId>(sources)) {
-        std::istringstream text(take(conn));
+        std::istringstream text(take_sent(conn));
         for (std::string line; std::getline(text, line);) {
           any = true;
           handle_line(conn, json::parse(line));
@@ -136,7 +136,7 @@
     for (Duration done{}; done < span; done += 50ms) {
       open_pending_connections();
       answer_lines();
-      pass(50ms);
+      advance(50ms);
     }
     open_pending_connections();
     answer_lines();
@@ -153,10 +153,10 @@
   std::string readyz() {
     const ConnId conn = open_management();
     receive(conn, "readyz\n");
-    return take(conn);
+    return take_sent(conn);
   }
   std::string value(const std::string& name) {
-    const std::string text = figure(name);
+    const std::string text = telemetry_metric(name);
     return text.substr(0, text.find('|'));
   }
   Version active_version(const std::string& service) {
@@ -165,15 +165,15 @@
   json held_report() {
     receive(kOperator, R"({"op":"configuration","what":"held"})"
                        "\n");
-    return json::parse(take(kOperator));
+    return json::parse(take_sent(kOperator));
   }
   void reload(const json& f) {
-    tell(net::ReloadRequested{});
-    tell(net::FileRead{"", f.dump()});
+    deliver(net::ReloadRequested{});
+    deliver(net::FileRead{"", f.dump()});
   }
   // Sends a setup and returns what it is answered with at once; empty if it was forwarded.
   std::vector<jsonl::Message> send_setup(const std::string& id, const std::string& call_class) {
-    receive(kCaller, set_up_line(id, call_class));
+    receive(kCaller, setup_line(id, call_class));
     return lines(kCaller);
   }
   // Whether the active settings have the class: a setup of an unknown class is rejected for that reason.
@@ -214,8 +214,8 @@
     configs = all;
     run(500ms);
     CHECK_EQ(readyz(), "OK ready\n");
-    tell(net::Accepted{kCaller});
-    tell(net::Accepted{kOperator});
+    deliver(net::Accepted{kCaller});
+    deliver(net::Accepted{kOperator});
   }
 };
 
@@ -246,14 +246,14 @@
   DeployConfig deploy;
   deploy.control.emplace();
   deploy.control->listen = "127.0.0.1:7400";
-  Lab lab(read_platform_config(file_with_two_servers().dump()), deploy);
+  GatekeeperLab lab(read_platform_config(file_with_two_servers().dump()), deploy);
   lab.bring_up();
-  CHECK_EQ(lab.figure("config_sources_up"), "none");
-  CHECK_EQ(lab.figure("config_distribution_connects"), "none");
-  lab.tell(net::Accepted{kOperator});
+  CHECK_EQ(lab.telemetry_metric("config_sources_up"), "none");
+  CHECK_EQ(lab.telemetry_metric("config_distribution_connects"), "none");
+  lab.deliver(net::Accepted{kOperator});
   lab.receive(kOperator, R"({"op":"configuration","what":"held"})"
                          "\n");
-  CHECK_EQ(json::parse(lab.take(kOperator))["ok"], false);
+  CHECK_EQ(json::parse(lab.take_sent(kOperator))["ok"], false);
 }
 
 // ---- startup
@@ -454,10 +454,10 @@
   ReadyGatekeeper lab;
   json other = file_with_two_servers();
   other["journal"] = "127.0.0.1:8700";
-  lab.tell(net::ReloadRequested{});
+  lab.deliver(net::ReloadRequested{});
   lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
   CHECK(lab.accepts_class("extra"));
-  lab.tell(net::FileRead{"", other.dump()});
+  lab.deliver(net::FileRead{"", other.dump()});
   lab.run(100ms);
   CHECK(lab.has_connected_to(8700));
   CHECK(lab.accepts_class("extra"));
@@ -537,13 +537,13 @@
   GatekeeperFixture old(deploy_config_with_distributors(), config);
   old.configs["calls"] = make_config("calls", 1, patch_with_classes({"extra"}));
   old.run(500ms);
-  old.tell(net::Accepted{kCaller});
+  old.deliver(net::Accepted{kCaller});
   CHECK(old.send_setup("00000000000000aa", "extra").empty());
   GatekeeperFixture fresh(deploy_config_with_distributors(), config);
   fresh.configs = old.configs;
   fresh.run(500ms);
   CHECK_EQ(fresh.readyz(), "OK ready\n");
-  old.tell(net::StopRequested{});
+  old.deliver(net::StopRequested{});
   const ServiceConfig change = make_config("calls", 2, patch_with_classes({"other"}));
   old.publish_and_run(change);
   fresh.publish_and_run(change);
@@ -551,7 +551,7 @@
   CHECK_EQ(fresh.active_version("calls"), 2U);
   CHECK(old.last_report("calls", 2)->active && fresh.last_report("calls", 2)->active);
   CHECK(!old.exit_status);  // its call of a removed class is still open
-  fresh.tell(net::Accepted{kCaller});
+  fresh.deliver(net::Accepted{kCaller});
   CHECK(fresh.accepts_class("other"));
   CHECK(!fresh.accepts_class("extra"));
 }
@@ -564,7 +564,7 @@
   GatekeeperFixture second;
   second.unreachable = true;
   second.run(3s);
-  second.tell(net::Accepted{kCaller});
+  second.deliver(net::Accepted{kCaller});
   CHECK_EQ(second.readyz(), "OK ready\n");
   CHECK(!second.accepts_class("extra"));
 }
@@ -714,7 +714,7 @@
   ReadyGatekeeper lab;
   lab.publish_and_run(make_config("calls", 1, patch_with_classes({"extra"})));
   lab.unreachable = true;
-  for (const ConnId conn : lab.sources) lab.tell(net::Closed{conn, true});
+  for (const ConnId conn : lab.sources) lab.deliver(net::Closed{conn, true});
   CHECK_EQ(lab.value("config_sources_up"), "0");
   const std::size_t lines = lab.gatekeeper_lines.size();
   for (int quarter = 0; quarter < 16; ++quarter) {
@@ -726,7 +726,7 @@
           if (m.method == "OPTIONS") lab.receive(server, server_answer(m, 200));
         }
       }
-      lab.pass(1s);
+      lab.advance(1s);
     }
     CHECK_EQ(lab.readyz(), "OK ready\n");
     CHECK_EQ(lab.active_version("calls"), 1U);
@@ -784,7 +784,7 @@
     if (const auto* e = std::get_if<net::Connect>(&effect)) conns.push_back(e->conn);
     if (const auto* e = std::get_if<net::ArmTimer>(&effect)) timer = e->key;
   }
-  CHECK_EQ(conns.size(), kSources);
+  CHECK_EQ(conns.size(), kSourcesPerGatekeeper);
   for (std::size_t i = 0; i < conns.size(); ++i) CHECK_EQ(conns[i].number, 6 + 100 * i);
   CHECK(timer && timer->number == 5);
   subscription.on(now, net::Connected{conns[0]}, out);
@@ -804,7 +804,7 @@
   CHECK_EQ(sets.size(), 1U);
   CHECK(sets[0] == std::vector<ServiceConfig>{change});
   CHECK(subscription.ready());
-  CHECK_EQ(counters.of("config.distribution.sets_taken"), 1U);
+  CHECK_EQ(counters.value("config.distribution.sets_taken"), 1U);
 
   // A rejection reason is logged as one line of bounded length.
   rejection = "bad\nline " + std::string(10'000, 'x');
@@ -825,16 +825,16 @@
     CHECK(e->text.find('\n') == std::string::npos && e->text.size() < 700);
   }
   CHECK(logged);
-  CHECK_EQ(counters.of("config.distribution.refused"), 1U);
+  CHECK_EQ(counters.value("config.distribution.refused"), 1U);
 }
 
 // ---- overlay of configurations on a file
 
 void overlays_apply_in_their_order() {
   const std::string base = file_with_two_servers().dump();
-  CHECK_EQ(json::parse(with_overlay(base, {})), file_with_two_servers());
+  CHECK_EQ(json::parse(apply_service_configs(base, {})), file_with_two_servers());
   const auto overlaid = [&base](const std::vector<ServiceConfig>& all) {
-    return json::parse(with_overlay(base, all));
+    return json::parse(apply_service_configs(base, all));
   };
   const json both = overlaid({make_config("a", 1, {{"journal", "127.0.0.1:1"}, {"settings", {{"me", 2}}}}),
                               make_config("b", 1, {{"journal", "127.0.0.1:2"}})});
@@ -863,7 +863,7 @@
 void overlay_limits_are_enforced() {
   const std::string base = file_with_two_servers().dump();
   const auto overlay_error = [&base](const std::string& content) {
-    return error_of([&] { with_overlay(base, {ServiceConfig{"a", {4, {}}, content}}); });
+    return error_of([&] { apply_service_configs(base, {ServiceConfig{"a", {4, {}}, content}}); });
   };
   CHECK_EQ(overlay_error(R"({"name":"x"})"),
            "the document of 'a', version 4, sets 'name': only 'settings' and 'journal' may be set");
@@ -892,11 +892,11 @@
     CHECK_EQ(overlay_error(nested(depth)).empty(), publishable);
   }
   std::vector<ServiceConfig> many(kMaxSubscribedServices, ServiceConfig{"a", {1, {}}, "{}"});
-  CHECK_EQ(error_of([&] { with_overlay(base, many); }), "");
+  CHECK_EQ(error_of([&] { apply_service_configs(base, many); }), "");
   many.push_back(many.back());
-  CHECK_EQ(error_of([&] { with_overlay(base, many); }), "there are more than 64 documents");
-  CHECK(!error_of([&] { with_overlay("", {}); }).empty());
-  CHECK(!error_of([&] { with_overlay("[]", {}); }).empty());
+  CHECK_EQ(error_of([&] { apply_service_configs(base, many); }), "there are more than 64 documents");
+  CHECK(!error_of([&] { apply_service_configs("", {}); }).empty());
+  CHECK(!error_of([&] { apply_service_configs("[]", {}); }).empty());
 }
 
 // ---- the deploy file
@@ -913,14 +913,14 @@
   CHECK_EQ(c.configuration->name, "t0");
   CHECK_EQ(c.configuration->distributors.size(), 2U);
   CHECK_EQ(c.configuration->services.at(1), "limits.eu-1");
-  CHECK(c.configuration->wait == 2s);
+  CHECK(c.configuration->startup_timeout == 2s);
   CHECK_EQ(c.configuration_key_file, "/k");
   CHECK(!read_deploy_config("{}", {}, {}, "t0").configuration);
   json patient = good;
   patient["wait_ms"] = 60'000;
-  CHECK(read(patient).configuration->wait == 60s);
+  CHECK(read(patient).configuration->startup_timeout == 60s);
   patient["wait_ms"] = 0;
-  CHECK(read(patient).configuration->wait == 0s);
+  CHECK(read(patient).configuration->startup_timeout == 0s);
 
   json many = json::array();
   for (int i = 0; i < 64; ++i) many.push_back("127.0.0.1:" + std::to_string(i + 1));
--- a/tests/control_test.cpp
+++ b/tests/control_test.cpp
@@ -20,13 +20,14 @@
 constexpr ConnId kOperator{Concern::control, 1};
 constexpr ConnId kOtherOperator{Concern::control, 2};
 
-DeployConfig deploy_with_control(call_gapping::Fleet fleet = {}, Duration publisher_wait = {}) {
+DeployConfig deploy_with_control(call_gapping::FleetPosition fleet = {},
+                                 Duration publisher_sync_timeout = {}) {
   DeployConfig deploy;
   deploy.sip_udp = "127.0.0.1:5060";
   deploy.control.emplace();
   deploy.control->listen = "127.0.0.1:7400";
   deploy.control->fleet = fleet;
-  deploy.control->publisher_wait = publisher_wait;
+  deploy.control->publisher_sync_timeout = publisher_sync_timeout;
   return deploy;
 }
 
@@ -46,16 +47,16 @@
   return line_of({{"op", "announce"}, {"gap", announcement}});
 }
 
-struct GapLab : Lab {
-  explicit GapLab(DeployConfig deploy = deploy_with_control()) : Lab(config_for_tests(), deploy) {
+struct GapLab : GatekeeperLab {
+  explicit GapLab(DeployConfig deploy = deploy_with_control()) : GatekeeperLab(config_for_tests(), deploy) {
     s0 = connects.at(0).conn;
     bring_up();
-    tell(net::Accepted{kCaller});
-    tell(net::Accepted{kOperator});
+    deliver(net::Accepted{kCaller});
+    deliver(net::Accepted{kOperator});
   }
   std::vector<json> take_answers(ConnId conn = kOperator) {
     std::vector<json> all;
-    std::istringstream text(take(conn));
+    std::istringstream text(take_sent(conn));
     for (std::string line; std::getline(text, line);) all.push_back(json::parse(line));
     return all;
   }
@@ -107,7 +108,7 @@
       "INVITE sip:4711@net SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:6000;branch=z9hG4bK1\r\nFrom: "
       "<sip:a@trail.example>;tag=f\r\nTo: <sip:4711@net>\r\nCall-ID: c\r\nCSeq: 1 INVITE\r\nMax-Forwards: "
       "70\r\nContent-Length: 0\r\n\r\n";
-  lab.tell(net::Datagram{Concern::sip, "127.0.0.1:6000", invite});
+  lab.deliver(net::Datagram{Concern::sip, "127.0.0.1:6000", invite});
   const auto take_final_answer = [&] {
     std::vector<sip::Message> all;
     for (const auto& d : std::exchange(lab.datagrams, {})) all.push_back(sip::read_datagram(d.bytes).message);
@@ -120,7 +121,7 @@
   CHECK(!rejection.header("Retry-After").empty());
   CHECK_EQ(rejection.header("Reason"), "Q.850;cause=42;text=\"say no\"");
   // A retransmitted INVITE gets the same answer and is not checked against the register again.
-  lab.tell(net::Datagram{Concern::sip, "127.0.0.1:6000", invite});
+  lab.deliver(net::Datagram{Concern::sip, "127.0.0.1:6000", invite});
   CHECK_EQ(take_final_answer().text(), rejection.text());
   CHECK_EQ(lab.request(line_of({{"op", "list"}}))["gaps"][0]["gapped"], 1);
 }
@@ -144,7 +145,7 @@
   lab.receive(lab.s0, server_answer(outstanding, 200, "answer"));
   CHECK_EQ(lab.lines(kCaller).at(0).type, "answer");
   lab.messages(lab.s0);
-  lab.pass(400ms);
+  lab.advance(400ms);
   std::string sent;
   for (const auto& [conn, bytes] : lab.sent) {
     if (conn.concern == Concern::server) sent += bytes;
@@ -165,13 +166,13 @@
   lab.request(announce(lift(lab.now, "g", 2)));
   lab.call(lab.id(6));
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "INVITE");
-  lab.pass(5s);
+  lab.advance(5s);
   CHECK_EQ(lab.lines(kCaller).size(), 1U);  // its own; no rejected call gets a second answer
 }
 
 void reordered_announcements_keep_the_highest_version() {
   GapLab lab;
-  lab.tell(net::Accepted{kOtherOperator});
+  lab.deliver(net::Accepted{kOtherOperator});
   const json oldest = gap(lab.now, "g", 1, {{"numbers", {"4711"}}, {"interval_ms", "none"}});
   const json newest = gap(lab.now, "g", 3, {{"numbers", {"4711"}}, {"interval_ms", "none"}});
   CHECK_EQ(lab.request(announce(newest), kOtherOperator)["result"], "taken");
@@ -184,7 +185,7 @@
 
 void a_conflict_is_reported_to_both_operators() {
   GapLab lab;
-  lab.tell(net::Accepted{kOtherOperator});
+  lab.deliver(net::Accepted{kOtherOperator});
   lab.request(announce(gap(lab.now, "g", 1, {{"numbers", {"1"}}, {"interval_ms", 5000}})));
   json milder = gap(lab.now, "g", 1, {{"numbers", {"1"}}});
   milder["by"] = "other";
@@ -213,26 +214,26 @@
   CHECK(lab.request(line_of({{"op", "list"}}))["ok"] == true);
   // An incomplete line times out after 2.2 s; a line over 32 KiB closes its own connection only.
   lab.receive(kOperator, R"({"op":"li)");
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), kOperator), 0);
-  lab.pass(2s);
+  lab.advance(2s);
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), kOperator), 1);
-  lab.tell(net::Accepted{kOtherOperator});
+  lab.deliver(net::Accepted{kOtherOperator});
   lab.receive(kOtherOperator, std::string(40'000, 'x'));
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), kOtherOperator), 1);
-  lab.tell(net::Accepted{kCaller});
+  lab.deliver(net::Accepted{kCaller});
   lab.call(lab.id(1));
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "INVITE");
 }
 
 void an_operator_connects_despite_a_hundred_idle_connections() {
   GapLab lab;
-  for (std::uint32_t i = 10; i < 110; ++i) lab.tell(net::Accepted{ConnId{Concern::control, i}});
+  for (std::uint32_t i = 10; i < 110; ++i) lab.deliver(net::Accepted{ConnId{Concern::control, i}});
   CHECK(lab.closed.size() >= 68);  // at most 32 stay open
   const ConnId late_operator{Concern::control, 200};
-  lab.tell(net::Accepted{late_operator});
+  lab.deliver(net::Accepted{late_operator});
   CHECK(lab.request(line_of({{"op", "list"}}), late_operator)["ok"] == true);
-  lab.pass(3s);
+  lab.advance(3s);
   std::erase(lab.closed, kCaller);
   CHECK_EQ(lab.closed.size(), 101U);  // all that sent nothing
 }
@@ -245,10 +246,10 @@
                            "\n");
       return *lab.lines(kCaller).at(0).cause == 1;
     };
-    lab.pass(1s);
+    lab.advance(1s);
     CHECK(!ready());
     if (has_publisher) {
-      lab.tell(net::Accepted{kOtherOperator});
+      lab.deliver(net::Accepted{kOtherOperator});
       CHECK_EQ(
           lab.request(line_of({{"op", "announcer"}, {"life", "00000000000000aa"}}), kOtherOperator)["want"],
           "all");
@@ -260,7 +261,7 @@
       lab.call(lab.id(1));
       CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
     } else {
-      lab.pass(2s);  // without a gap publisher it is ready after the 3 s, and serves calls
+      lab.advance(2s);  // without a gap publisher it is ready after the 3 s, and serves calls
       CHECK(ready());
     }
   }
@@ -286,7 +287,9 @@
     for (const auto& d : std::exchange(datagrams, {})) all.push_back(sip::read_datagram(d.bytes).message);
     return all;
   }
-  void receive_from_peer(const std::string& text) { tell(net::Datagram{Concern::sip, kPeerAddress, text}); }
+  void receive_from_peer(const std::string& text) {
+    deliver(net::Datagram{Concern::sip, kPeerAddress, text});
+  }
   void answer(const sip::Message& request, int status) {
     receive_from_peer(sip::answer_to(request, status, "x", "n").text());
   }
@@ -306,15 +309,15 @@
   lab.request(announce(gap(lab.now, "g", 1, {{"numbers", {"4711"}}, {"interval_ms", 500}})));
   lab.request(
       announce(gap(lab.now, "each", 1, {{"prefixes", {"48"}}, {"shape", "each"}})));  // no rule expresses it
-  lab.pass(300ms);
+  lab.advance(300ms);
   all = lab.take_messages();
   CHECK_EQ(all.size(), 1U);
   const LoadControlDocument notified = read_load_control(all[0].body);
-  CHECK(notified.version == 1 && notified.rules.size() == 1 && notified.rules[0].figure == 2.0);
+  CHECK(notified.version == 1 && notified.rules.size() == 1 && notified.rules[0].limit == 2.0);
   CHECK(notified.rules[0].numbers == std::vector<std::string>{"4711"});
   lab.answer(all[0], 200);
   lab.request(announce(lift(lab.now, "g", 2)));
-  lab.pass(300ms);
+  lab.advance(300ms);
   all = lab.take_messages();
   CHECK_EQ(lab.rules(all.at(0)), 0U);
   lab.answer(all[0], 200);
@@ -322,7 +325,7 @@
   all = lab.take_messages();
   CHECK(all.size() == 2 && all[0].header("Expires") == "60" && all[1].method == "NOTIFY");
   lab.answer(all[1], 200);
-  lab.pass(61s);
+  lab.advance(61s);
   all = lab.take_messages();
   CHECK(all.size() >= 1 && all[0].header("Subscription-State") == "terminated;reason=timeout");
   lab.answer(all[0], 200);
@@ -336,7 +339,7 @@
   auto all = lab.take_messages();
   lab.answer(all.at(1), 481);  // the neighbour has no such subscription
   lab.request(announce(gap(lab.now, "g", 1, {{"numbers", {"4711"}}})));
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(lab.take_messages().empty());
   lab.receive_from_peer(subscribe(2, 600, {}, {}, "presence"));
   CHECK_EQ(lab.take_messages().at(0).status, 489);
@@ -349,7 +352,7 @@
   lab.take_messages();
   lab.receive_from_peer(subscribe(80, 600));
   CHECK_EQ(lab.take_messages().at(0).status, 503);
-  lab.pass(40s);  // subscriptions whose NOTIFYs are not answered are dropped, and new ones are accepted
+  lab.advance(40s);  // subscriptions whose NOTIFYs are not answered are dropped, and new ones are accepted
   lab.take_messages();
   lab.receive_from_peer(subscribe(81, 600));
   CHECK_EQ(lab.take_messages().at(0).status, 200);
@@ -365,20 +368,20 @@
   GapLab subscriber(deploy);
   const auto run = [&](Duration span) {
     for (Duration t{}; t < span; t += 50ms) {
-      notifier.pass(50ms);
-      subscriber.pass(50ms);
+      notifier.advance(50ms);
+      subscriber.advance(50ms);
       for (int i = 0; i < 4; ++i) {
         for (const auto& datagram : std::exchange(subscriber.datagrams, {}))
-          notifier.tell(net::Datagram{Concern::sip, "127.0.0.1:5061", datagram.bytes});
+          notifier.deliver(net::Datagram{Concern::sip, "127.0.0.1:5061", datagram.bytes});
         for (const auto& datagram : std::exchange(notifier.datagrams, {}))
-          subscriber.tell(net::Datagram{Concern::sip, "127.0.0.1:5060", datagram.bytes});
+          subscriber.deliver(net::Datagram{Concern::sip, "127.0.0.1:5060", datagram.bytes});
       }
     }
   };
   run(1s);
   notifier.request(announce(gap(notifier.now, "g", 1, {{"numbers", {"4711"}}, {"interval_ms", "none"}})));
   run(1s);
-  subscriber.tell(net::Accepted{kCaller});
+  subscriber.deliver(net::Accepted{kCaller});
   subscriber.call(subscriber.id(1));
   CHECK_EQ(*subscriber.lines(kCaller).at(0).cause, 42);
   notifier.request(announce(lift(notifier.now, "g", 2)));
@@ -399,7 +402,7 @@
         std::pair{"Content-Type", "application/load-control+xml"}})
     notify.add(name, value);
   notify.body = write_load_control(bad);
-  subscriber.tell(net::Datagram{Concern::sip, kPeerAddress, notify.text()});
+  subscriber.deliver(net::Datagram{Concern::sip, kPeerAddress, notify.text()});
   CHECK_EQ(sip::read_datagram(subscriber.datagrams.back().bytes).message.status, 481);
   subscriber.call(subscriber.id(3), "4712");
   CHECK_EQ(subscriber.messages(subscriber.s0).at(0).method, "INVITE");
@@ -715,7 +718,7 @@
   fleet.net.run(3s);
   const auto [status, text] = fleet.run_client(fleet.settings(GapClientSettings::Command::list));
   CHECK_EQ(status, 0);
-  for (const auto& c : fleet.counters) CHECK_EQ(c->of("gaps.taken"), 1000U);
+  for (const auto& c : fleet.counters) CHECK_EQ(c->value("gaps.taken"), 1000U);
 }
 
 // Calls arrive at one of 8 gatekeepers only. With the gap publisher it gets the slots of the others; without
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -123,10 +123,11 @@
   Settings settings = make_settings();
   settings.discovery = Discovery::on_request;
   ControllerScript script(settings);
-  EXPECT_TRUE(has_action<FollowList>(script.handle(0s, ServerList{ListKind::cached, {make_entry(0)}})));
+  EXPECT_TRUE(
+      has_action<RequestServerList>(script.handle(0s, ServerList{ListKind::cached, {make_entry(0)}})));
   const auto timer = find_action<SetTimer>(script.handle(1s, ServerList{ListKind::rejected, {}}));
   ASSERT_TRUE(timer);
-  EXPECT_TRUE(has_action<FollowList>(script.handle(1s + timer->delay, TimerDue{timer->timer})));
+  EXPECT_TRUE(has_action<RequestServerList>(script.handle(1s + timer->delay, TimerDue{timer->timer})));
 }
 
 TEST(ReleaseGuard, DelaysTheNextAttemptAfterAReset) {
--- a/tests/crossings_process_test.cpp
+++ b/tests/crossings_process_test.cpp
@@ -69,20 +69,20 @@
 // The program rejects an unanswered request before it exits, although the caller would wait longer; a second
 // SIGTERM changes nothing.
 void request_open_at_sigterm_is_answered_before_exit() {
-  World world;
-  world.caller.send(set_up("00000000000000aa", 9000));
+  ProgramFixture world;
+  world.caller.send(setup_line_with_key("00000000000000aa", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
   world.program->signal(SIGTERM);
   world.program->wait_for_log("was asked to stop");
   world.program->signal(SIGTERM);
   Socket late = Socket::connected(world.port);  // new connections are still accepted
-  late.send(set_up("00000000000000bb", 9000));
+  late.send(setup_line_with_key("00000000000000bb", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
   for (Socket* caller : {&world.caller, &late}) {
     const json answer = json::parse(caller->line());
     CHECK_EQ(answer["type"], "release");
     CHECK(answer["fields"].contains("wait"));
-    CHECK(caller->ends());
+    CHECK(caller->wait_for_close());
   }
   CHECK_EQ(world.program->exit_status(), 0);
 }
@@ -106,7 +106,7 @@
   std::vector<Socket> idle;
   for (int i = 0; i < 2 * kSockets; ++i) idle.push_back(Socket::connected(port));
   Socket caller = Socket::connected(port);
-  caller.send(set_up("00000000000000aa", 9000));
+  caller.send(setup_line_with_key("00000000000000aa", 9000));
   const sip::Message invite = sip::read_stream(server.message()).message;
   CHECK_EQ(invite.method, "INVITE");
   server.send("SIP/2.0 200 OK\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\na");
@@ -116,7 +116,7 @@
   CHECK(operators.line().starts_with("OK"));
   CHECK(::listen(discovery.descriptor(), 16) == 0);  // discovery is back
   Socket watch = discovery.accept();
-  CHECK(watch.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
+  CHECK(watch.read_until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
   program.signal(SIGUSR1);
   program.wait_for_log("net.timers ");
   CHECK(program.log().find("net.held_at_the_door 0\n") == std::string::npos);
@@ -148,15 +148,15 @@
 // A caller's close is noticed despite unread input, complete lines and a partial one, and input of other
 // callers.
 void requests_of_a_closed_caller_are_cancelled() {
-  World world;
+  ProgramFixture world;
   std::vector<Socket> others;
   for (int i = 0; i < 20; ++i) others.push_back(Socket::connected(world.port));
-  world.caller.send(set_up("00000000000000aa", 9000));
+  world.caller.send(setup_line_with_key("00000000000000aa", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
   std::string pings;
   while (pings.size() < 40'000) pings += kPingLine;
   for (const Socket& other : others) other.send(pings);
-  world.caller.send(set_up("00000000000000bb", 9000) + "{\"type\":");
+  world.caller.send(setup_line_with_key("00000000000000bb", 9000) + "{\"type\":");
   const sip::Message second = world.from_server();
   CHECK_EQ(second.header("Call-ID"), "00000000000000bb");
   world.caller = Socket();
@@ -182,7 +182,7 @@
   };
   const std::size_t before = count_prints();
   program.signal(SIGUSR1);
-  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   while (count_prints() == before) {
     CHECK(std::chrono::steady_clock::now() < end);
     ::poll(nullptr, 0, 5);
@@ -194,7 +194,7 @@
 // output its connection stayed open forever, since idle callers are closed only without unread input. Sends
 // to this caller do not block, because the test would hang.
 void caller_that_never_reads_is_closed() {
-  World world;
+  ProgramFixture world;
   Socket non_reader(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   const int receive_buffer_bytes = 4096;
   ::setsockopt(non_reader.descriptor(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
@@ -202,7 +202,7 @@
   const sockaddr_in address = loopback(world.port);
   ::connect(non_reader.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   pollfd up{non_reader.descriptor(), POLLOUT, 0};
-  CHECK_EQ(::poll(&up, 1, kPatienceMs), 1);
+  CHECK_EQ(::poll(&up, 1, kTestTimeoutMs), 1);
   // Each is rejected at once: its class is unknown.
   const auto refused_line = [](int number) {
     char id[17];
@@ -216,7 +216,7 @@
   const auto check_others_are_served = [&] {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xaa0000 + ++calls);
-    world.caller.send(set_up(id, 9000));
+    world.caller.send(setup_line_with_key(id, 9000));
     const sip::Message invite = world.from_server();
     CHECK_EQ(invite.method, "INVITE");
     world.answer(invite, "486 Busy Here");  // no call is established: the server's silence has no effect
@@ -252,7 +252,7 @@
   CHECK_EQ(counter(*world.program, "platform.malformed"), answered);  // reading is paused
   pollfd gone{non_reader.descriptor(), 0, 0};
   // The other caller keeps sending: it would be closed after 15 s idle, and the wait may be longer.
-  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(3 * kPatienceMs);
+  const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(3 * kTestTimeoutMs);
   while (::poll(&gone, 1, 1000) == 0) {
     CHECK(std::chrono::steady_clock::now() < end);
     world.caller.send(kPingLine);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::size_t count_invites(Lab& lab, ConnId conn) {
+std::size_t count_invites(GatekeeperLab& lab, ConnId conn) {
   std::size_t count = 0;
   for (const sip::Message& m : lab.messages(conn)) count += m.method == "INVITE" ? 1 : 0;
   return count;
@@ -27,27 +27,27 @@
 // A close is reported ahead of bytes that are unread: open setups are cancelled at once, setups among the
 // unread bytes start nothing, and a release among them is applied.
 void closed_caller_counts_as_disconnected_despite_unread_input() {
-  Ready lab;
+  ConnectedLab lab;
   const std::string established_id = "00000000000000aa";
-  lab.receive(kCaller, set_up(established_id));
+  lab.receive(kCaller, setup_line_with_key(established_id));
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.messages(lab.s0);
   lab.lines(kCaller);
-  lab.receive(kCaller, set_up());
+  lab.receive(kCaller, setup_line_with_key());
   CHECK_EQ(lab.invite(lab.s0).header("Call-ID"), kId);
-  lab.tell(net::PeerClosed{kCaller});
+  lab.deliver(net::PeerClosed{kCaller});
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "CANCEL");
-  lab.receive(kCaller,
-              set_up("00000000000000bb") + release_line(established_id) + set_up("00000000000000cc"));
+  lab.receive(kCaller, setup_line_with_key("00000000000000bb") + release_line(established_id) +
+                           setup_line_with_key("00000000000000cc"));
   const auto sent = lab.messages(lab.s0);
   CHECK_EQ(sent.size(), 1U);
   CHECK_EQ(sent[0].method, "BYE");
-  lab.tell(net::Closed{kCaller, false});
-  lab.pass(3s);
+  lab.deliver(net::Closed{kCaller, false});
+  lab.advance(3s);
   CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 0U);
 }
 
-std::vector<std::string> read_released_ids(Lab& lab, ConnId conn) {
+std::vector<std::string> read_released_ids(GatekeeperLab& lab, ConnId conn) {
   std::vector<std::string> ids;
   for (const jsonl::Message& m : lab.lines(conn)) {
     if (m.type == "release") ids.push_back(m.id);
@@ -61,29 +61,29 @@
 void requests_that_were_read_are_answered_before_connection_closes() {
   const std::string second = "00000000000000bb";
   for (const std::string_view end : {"half close", "garbage", "half a line for good"}) {
-    Ready lab;
+    ConnectedLab lab;
     const ConnId fresh{Concern::platform, 7};
-    lab.tell(net::Accepted{fresh});
-    lab.receive(fresh, set_up(kId, 60'000) + set_up(second, 60'000));
+    lab.deliver(net::Accepted{fresh});
+    lab.receive(fresh, setup_line_with_key(kId, 60'000) + setup_line_with_key(second, 60'000));
     CHECK(read_released_ids(lab, fresh).empty());
     if (end == "half close") {
-      lab.tell(net::PeerClosed{fresh});
+      lab.deliver(net::PeerClosed{fresh});
     } else if (end == "garbage") {
       lab.receive(fresh, "no line of this protocol\n");
     } else {
       lab.receive(fresh, R"({"type":)");
-      lab.pass(20s);
+      lab.advance(20s);
     }
     CHECK((read_released_ids(lab, fresh) == std::vector<std::string>{kId, second}));
     CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), fresh), end == "half close" ? 0 : 1);
-    lab.pass(70s);
+    lab.advance(70s);
     CHECK(read_released_ids(lab, fresh).empty());
     CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 2U);  // only the initial two
   }
   // Requests that are read only after the half-close are answered too, and start no attempt.
-  Ready lab;
-  lab.tell(net::PeerClosed{kCaller});
-  lab.receive(kCaller, set_up() + set_up(second));
+  ConnectedLab lab;
+  lab.deliver(net::PeerClosed{kCaller});
+  lab.receive(kCaller, setup_line_with_key() + setup_line_with_key(second));
   CHECK((read_released_ids(lab, kCaller) == std::vector<std::string>{kId, second}));
   CHECK_EQ(count_invites(lab, lab.s0) + count_invites(lab, lab.s1), 0U);
 }
@@ -95,7 +95,7 @@
   std::size_t faults = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     std::mt19937_64 random(seed);
-    Ready lab;
+    ConnectedLab lab;
     std::map<std::string, int> answers;
     std::map<std::string, Time> deadlines;
     std::uint32_t last_conn = 100;
@@ -115,14 +115,14 @@
         id.insert(0, 16 - id.size(), '0');
         const int left = 50 + static_cast<int>(random() % 1500);
         deadlines[id] = lab.now + Duration(std::chrono::milliseconds(left));
-        lab.receive(kCaller, set_up_line(id, random() % 4 == 0 ? "safety" : "voice", left, 0, "o"));
+        lab.receive(kCaller, setup_line(id, random() % 4 == 0 ? "safety" : "voice", left, 0, "o"));
       }
       for (const net::Connect& c : std::exchange(lab.connects, {})) {
         if (random() % 4 == 0) {
-          lab.tell(net::ConnectFailed{c.conn, true});
+          lab.deliver(net::ConnectFailed{c.conn, true});
           ++faults;
         } else {
-          lab.tell(net::Connected{c.conn});
+          lab.deliver(net::Connected{c.conn});
           open_conns.insert(c.conn);
         }
       }
@@ -139,17 +139,17 @@
         if (random() % 12 == 0) {
           ++faults;
           open_conns.erase(conn);
-          lab.tell(net::Closed{conn, true});
+          lab.deliver(net::Closed{conn, true});
         }
       }
       const ConnId other{Concern::platform, ++last_conn};
-      lab.tell(net::Accepted{other});
-      lab.receive(other, set_up("00000000000000" + std::to_string(10 + step % 80), 400));
+      lab.deliver(net::Accepted{other});
+      lab.receive(other, setup_line_with_key("00000000000000" + std::to_string(10 + step % 80), 400));
       if (random() % 2 == 0) lab.receive(other, "}{\n");
-      lab.tell(net::Closed{other, true});
-      lab.pass(Duration(std::chrono::milliseconds(random() % 60)));
+      lab.deliver(net::Closed{other, true});
+      lab.advance(Duration(std::chrono::milliseconds(random() % 60)));
     }
-    lab.pass(3s);
+    lab.advance(3s);
     for (const auto& [id, deadline] : deadlines) CHECK_EQ(answers[id], 1);
   }
   CHECK(faults > 2000);  // the test must have caused enough faults
@@ -157,16 +157,16 @@
 
 // Every call of the closed connection is cancelled, and none of another caller.
 void all_calls_of_a_closed_connection_are_cancelled() {
-  Ready lab(1);
+  ConnectedLab lab(1);
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
-  lab.receive(other, set_up("00000000000000ff"));
+  lab.deliver(net::Accepted{other});
+  lab.receive(other, setup_line_with_key("00000000000000ff"));
   std::string all;
-  for (int i = 10; i < 30; ++i) all += set_up("00000000000000" + std::to_string(i));
+  for (int i = 10; i < 30; ++i) all += setup_line_with_key("00000000000000" + std::to_string(i));
   lab.receive(kCaller, all);
   const std::size_t invite_count = count_invites(lab, lab.s0);
   CHECK(invite_count > 10);
-  lab.tell(net::PeerClosed{kCaller});
+  lab.deliver(net::PeerClosed{kCaller});
   std::size_t cancel_count = 0;
   for (const sip::Message& m : lab.messages(lab.s0)) {
     CHECK_EQ(m.method, "CANCEL");
@@ -181,12 +181,12 @@
 void no_attempt_starts_after_caller_leaves_while_waiting() {
   for (const bool by_close : {false, true}) {
     for (const std::string_view wait : {"guard", "offer", "connection"}) {
-      Ready lab;
+      ConnectedLab lab;
       if (wait == "connection") {
-        lab.tell(net::Closed{lab.s0, true});
-        lab.tell(net::Closed{lab.s1, true});
+        lab.deliver(net::Closed{lab.s0, true});
+        lab.deliver(net::Closed{lab.s1, true});
       }
-      lab.receive(kCaller, set_up(kId, 5000));
+      lab.receive(kCaller, setup_line_with_key(kId, 5000));
       if (wait == "guard") {
         lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 504));  // a reset starts the release guard
       } else if (wait == "offer") {
@@ -197,16 +197,16 @@
       }
       lab.messages(lab.s0);
       lab.messages(lab.s1);
-      lab.pass(50ms);
+      lab.advance(50ms);
       if (by_close) {
-        lab.tell(net::Closed{kCaller, false});
+        lab.deliver(net::Closed{kCaller, false});
       } else {
         lab.receive(kCaller, release_line(kId));
       }
       std::size_t late_invites = 0;
       for (int i = 0; i < 60; ++i) {
         for (const ConnId conn : lab.bring_up("127.0.0.1:9000")) late_invites += count_invites(lab, conn);
-        lab.pass(100ms);
+        lab.advance(100ms);
         late_invites += count_invites(lab, lab.s0) + count_invites(lab, lab.s1);
       }
       CHECK_EQ(late_invites, 0U);
@@ -218,14 +218,14 @@
 // not read is withdrawn, since it would be written once the server reads again. The withdrawn attempt never
 // ran, so there is no release guard to wait for.
 void unwritten_invite_is_withdrawn() {
-  Ready lab;
+  ConnectedLab lab;
   lab.unwritten.insert(lab.s0);
-  lab.receive(kCaller, set_up());
+  lab.receive(kCaller, setup_line_with_key());
   lab.messages(lab.s0);
   lab.receive(kCaller, release_line(kId));
   CHECK(lab.messages(lab.s0).empty());  // no CANCEL for an INVITE that was never sent
   // The same if the server begins to drain meanwhile: the setup is sent to another server at once.
-  lab.receive(kCaller, set_up("00000000000000bb"));
+  lab.receive(kCaller, setup_line_with_key("00000000000000bb"));
   lab.messages(lab.s0);
   const nlohmann::json event = {
       {"hosts",
@@ -233,15 +233,15 @@
          {{{"uid", "s0"}, {"endpoint", "127.0.0.1:9000"}, {"pod_group", 0}, {"state", "draining"}}}}}}};
   PlatformConfig config = config_for_tests();
   config.journal = "127.0.0.1:8500";
-  Lab other(config);
+  GatekeeperLab other(config);
   const ConnId journal = other.connects.back().conn;
   CHECK_EQ(other.connects.back().address, "127.0.0.1:8500");
   const ConnId s0 = other.connects.at(0).conn;
   const ConnId s1 = other.connects.at(1).conn;
   other.bring_up();
-  other.tell(net::Accepted{kCaller});
+  other.deliver(net::Accepted{kCaller});
   other.unwritten.insert(s0);
-  other.receive(kCaller, set_up());
+  other.receive(kCaller, setup_line_with_key());
   CHECK_EQ(other.messages(s0).at(0).method, "INVITE");
   other.receive(journal, "HTTP/1.1 200 OK\r\n\r\nid: 9\ndata: " + event.dump() + "\n\n");
   CHECK_EQ(other.messages(s1).at(0).method, "INVITE");
@@ -253,81 +253,81 @@
 // at once on another one. The server sees the same call, so the first attempt must end and the release guard
 // pass first.
 void setup_repeated_after_close_waits_for_release_guard() {
-  Ready lab(1);
+  ConnectedLab lab(1);
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
-  lab.receive(kCaller, set_up(kId, 5000));
+  lab.deliver(net::Accepted{other});
+  lab.receive(kCaller, setup_line_with_key(kId, 5000));
   const sip::Message first = lab.invite(lab.s0);
-  lab.tell(net::Closed{kCaller, false});
-  lab.receive(other, set_up(kId, 4990));
+  lab.deliver(net::Closed{kCaller, false});
+  lab.receive(other, setup_line_with_key(kId, 4990));
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "CANCEL");
-  lab.pass(60ms);
+  lab.advance(60ms);
   CHECK(lab.messages(lab.s0).empty());
   lab.receive(lab.s0, server_answer(first, 487));
   lab.messages(lab.s0);  // the ACK
-  lab.pass(190ms);
+  lab.advance(190ms);
   CHECK_EQ(count_invites(lab, lab.s0), 0U);
-  lab.pass(60ms);
+  lab.advance(60ms);
   CHECK_EQ(count_invites(lab, lab.s0), 1U);
 }
 
 // The release guard also holds after the first call has ended, since it is retained by call id.
 void reused_id_waits_for_release_guard_of_former_call() {
-  Ready lab(1);
-  lab.receive(kCaller, set_up(kId, 5000));
+  ConnectedLab lab(1);
+  lab.receive(kCaller, setup_line_with_key(kId, 5000));
   const sip::Message first = lab.invite(lab.s0);
   lab.receive(kCaller, release_line(kId));
   lab.messages(lab.s0);
   lab.receive(lab.s0, server_answer(first, 487));
   lab.messages(lab.s0);
-  lab.receive(kCaller, set_up(kId, 5000));
-  lab.pass(190ms);
+  lab.receive(kCaller, setup_line_with_key(kId, 5000));
+  lab.advance(190ms);
   CHECK_EQ(count_invites(lab, lab.s0), 0U);
-  lab.pass(60ms);
+  lab.advance(60ms);
   CHECK_EQ(count_invites(lab, lab.s0), 1U);
   // The same after an end by the deadline.
-  Ready late(1);
-  late.receive(kCaller, set_up(kId, 50));
+  ConnectedLab late(1);
+  late.receive(kCaller, setup_line_with_key(kId, 50));
   CHECK_EQ(count_invites(late, late.s0), 1U);
-  late.pass(51ms);
+  late.advance(51ms);
   CHECK_EQ(late.messages(late.s0).at(0).method, "CANCEL");
-  late.receive(kCaller, set_up(kId, 3000));
-  late.pass(190ms);
+  late.receive(kCaller, setup_line_with_key(kId, 3000));
+  late.advance(190ms);
   CHECK_EQ(count_invites(late, late.s0), 0U);
-  late.pass(60ms);
+  late.advance(60ms);
   CHECK_EQ(count_invites(late, late.s0), 1U);
 }
 
 // Idle callers are closed by an effect that makes the runtime check for unread input first.
 void idle_caller_is_closed_only_without_unread_input() {
   PlatformConfig config = config_for_tests();
-  config.sockets = 90;
-  Lab lab(config);
+  config.max_sockets = 90;
+  GatekeeperLab lab(config);
   for (std::uint32_t i = 1; i <= 40; ++i) {
     const ConnId conn{Concern::platform, i};
-    lab.tell(net::Accepted{conn});
+    lab.deliver(net::Accepted{conn});
     lab.receive(conn, R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                       "\n");
-    lab.pass(1ms);
+    lab.advance(1ms);
   }
   CHECK_EQ(lab.closed.size(), 40U - 31U);
-  CHECK_EQ(lab.closed_unread, 0U);  // none closed without that check
-  lab.pass(16s);
+  CHECK_EQ(lab.closed_without_check, 0U);  // none closed without that check
+  lab.advance(16s);
   CHECK_EQ(lab.closed.size(), 40U);
-  CHECK_EQ(lab.closed_unread, 0U);
+  CHECK_EQ(lab.closed_without_check, 0U);
 }
 
 // If every connection has an open setup, none is closed for a new caller, which waits to be accepted.
 void caller_with_open_setup_is_not_closed_for_room() {
   PlatformConfig config = config_for_tests();
-  config.sockets = 12;  // enough for five callers
-  Lab lab(config);
+  config.max_sockets = 12;  // enough for five callers
+  GatekeeperLab lab(config);
   for (std::uint32_t i = 1; i <= 7; ++i) {
     const ConnId conn{Concern::platform, i};
-    lab.tell(net::Accepted{conn});
+    lab.deliver(net::Accepted{conn});
     char id[17];
     std::snprintf(id, sizeof id, "%016x", i);
-    lab.receive(conn, set_up(id, 5000, static_cast<int>(i % 2)));
+    lab.receive(conn, setup_line_with_key(id, 5000, static_cast<int>(i % 2)));
     CHECK(lab.lines(conn).empty());  // no final answer yet
   }
   CHECK(lab.closed.empty());
@@ -338,18 +338,18 @@
 // A connect that fails for lack of a local descriptor says nothing about the server. Treated as a refused
 // connection, it ended the server's established calls after 3 s.
 void descriptor_shortage_is_not_taken_for_server_death() {
-  Ready lab(1);
-  lab.stand(lab.s0);
-  lab.tell(net::Closed{lab.s0, true});
+  ConnectedLab lab(1);
+  lab.establish_call(lab.s0);
+  lab.deliver(net::Closed{lab.s0, true});
   for (int i = 0; i < 40; ++i) {
     for (const net::Connect& c : std::exchange(lab.connects, {}))
-      lab.tell(net::ConnectFailed{c.conn, false, true});
-    lab.pass(100ms);
+      lab.deliver(net::ConnectFailed{c.conn, false, true});
+    lab.advance(100ms);
   }
   CHECK(lab.lines(kCaller).empty());
   const auto conns = lab.bring_up("127.0.0.1:9000");
   CHECK_EQ(conns.size(), 1U);
-  lab.release_is_told_on(conns.at(0));
+  lab.expect_release_forwarded(conns.at(0));
 }
 
 // ---- Readiness
@@ -360,22 +360,22 @@
   PlatformConfig config = config_for_tests();
   config.journal = "127.0.0.1:8500";
   for (const bool refused : {false, true}) {
-    Lab lab(config);
+    GatekeeperLab lab(config);
     const auto ready = [&lab] {
       const ConnId conn = lab.open_management();
       lab.receive(conn, "readyz\n");
-      return lab.take(conn).starts_with("OK");
+      return lab.take_sent(conn).starts_with("OK");
     };
     CHECK(!ready());
     if (refused) {
       for (const net::Connect& c : std::exchange(lab.connects, {}))
-        lab.tell(net::ConnectFailed{c.conn, true});
+        lab.deliver(net::ConnectFailed{c.conn, true});
     } else {
-      lab.pass(550ms);  // independent of the connect timeout in the settings
+      lab.advance(550ms);  // independent of the connect timeout in the settings
     }
     CHECK(ready());
     // It stays ready: a server that is added to the list later must not turn callers away.
-    lab.pass(100ms);
+    lab.advance(100ms);
     CHECK(ready());
   }
 }
@@ -385,15 +385,15 @@
 // Guards against an exit with open requests, whose callers' connections would close without an answer:
 // requests that are still open shortly before SIGKILL are answered, and only then the process exits.
 void open_requests_are_answered_before_exit() {
-  Ready lab;
-  lab.receive(kCaller, set_up(kId, 9000));                    // its server does not answer
-  lab.receive(kCaller, set_up("00000000000000bb", 9000, 1));  // nor does the other server
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key(kId, 9000));                    // its server does not answer
+  lab.receive(kCaller, setup_line_with_key("00000000000000bb", 9000, 1));  // nor does the other server
   lab.messages(lab.s0);
-  lab.tell(net::StopRequested{});
-  lab.pass(3300ms);
+  lab.deliver(net::StopRequested{});
+  lab.advance(3300ms);
   CHECK(!lab.exit_status);
   CHECK(lab.lines(kCaller).empty());
-  lab.pass(150ms);  // SIGKILL comes 3.7 s after SIGTERM at the earliest
+  lab.advance(150ms);  // SIGKILL comes 3.7 s after SIGTERM at the earliest
   const auto answers = lab.lines(kCaller);
   CHECK_EQ(answers.size(), 2U);
   for (const jsonl::Message& m : answers) {
@@ -408,52 +408,52 @@
 void short_caller_timeouts_shorten_shutdown() {
   PlatformConfig config = config_for_tests();
   for (CallClass& c : config.settings.classes) c.caller_timeout = 800ms;
-  Lab lab(config);
+  GatekeeperLab lab(config);
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.tell(net::StopRequested{});
-  lab.tell(net::StopRequested{});  // a repeated signal has no effect
-  lab.pass(600ms);
-  lab.receive(kCaller, set_up(kId, 9000));  // longer than the time until SIGKILL
+  lab.deliver(net::Accepted{kCaller});
+  lab.deliver(net::StopRequested{});
+  lab.deliver(net::StopRequested{});  // a repeated signal has no effect
+  lab.advance(600ms);
+  lab.receive(kCaller, setup_line_with_key(kId, 9000));  // longer than the time until SIGKILL
   CHECK_EQ(count_invites(lab, s0), 1U);
-  lab.pass(850ms);  // 1.45 of 1.5 s
+  lab.advance(850ms);  // 1.45 of 1.5 s
   CHECK_EQ(lab.lines(kCaller).size(), 1U);
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
 // Unread or unwritten data delays the exit, but not beyond the time limit.
 void exit_waits_for_unread_and_unwritten_data() {
-  Ready lab;
-  lab.quiet_at_exit = false;
-  lab.tell(net::StopRequested{});
-  lab.pass(1500ms);
+  ConnectedLab lab;
+  lab.idle_at_exit = false;
+  lab.deliver(net::StopRequested{});
+  lab.advance(1500ms);
   CHECK(!lab.exit_status);
-  lab.receive(kCaller, set_up());
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
-  lab.pass(100ms);
+  lab.advance(100ms);
   CHECK(!lab.exit_status);
-  lab.quiet_at_exit = true;
-  lab.pass(50ms);
+  lab.idle_at_exit = true;
+  lab.advance(50ms);
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 
-  Ready stuck;
-  stuck.quiet_at_exit = false;
-  stuck.tell(net::StopRequested{});
-  stuck.pass(3700ms);
+  ConnectedLab stuck;
+  stuck.idle_at_exit = false;
+  stuck.deliver(net::StopRequested{});
+  stuck.advance(3700ms);
   CHECK_EQ(stuck.exit_status.value_or(-1), 0);
 }
 
 // A line whose first part comes before SIGTERM, and the rest while requests are still accepted.
 void line_split_across_stop_is_served() {
-  Ready lab;
-  const std::string line = set_up();
+  ConnectedLab lab;
+  const std::string line = setup_line_with_key();
   lab.receive(kCaller, line.substr(0, line.size() / 2));
-  lab.tell(net::StopRequested{});
-  lab.pass(550ms);
+  lab.deliver(net::StopRequested{});
+  lab.advance(550ms);
   lab.receive(kCaller, line.substr(line.size() / 2));
   const sip::Message invite = lab.invite(lab.s0);
-  lab.pass(700ms);
+  lab.advance(700ms);
   CHECK(!lab.exit_status);
   lab.receive(lab.s0, server_answer(invite, 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
@@ -462,11 +462,11 @@
 
 void stop_before_ready_exits() {
   PlatformConfig config = config_for_tests();
-  config.known.clear();
-  Lab lab(config);
-  lab.tell(net::StopRequested{});
-  lab.tell(net::ReloadRequested{});
-  lab.pass(1s);
+  config.cached_endpoints.clear();
+  GatekeeperLab lab(config);
+  lab.deliver(net::StopRequested{});
+  lab.deliver(net::ReloadRequested{});
+  lab.advance(1s);
   CHECK_EQ(lab.exit_status.value_or(-1), 0);
 }
 
@@ -474,49 +474,49 @@
 // and answers its open requests within that time.
 void replaced_process_answers_before_sigkill() {
   PlatformConfig config = config_for_tests();
-  config.inherited = 7;
-  Lab lab(config);
+  config.inherited_socket = 7;
+  GatekeeperLab lab(config);
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.receive(kCaller, set_up(kId, 9000));
-  lab.tell(net::StopRequested{});
-  lab.pass(5300ms);
+  lab.deliver(net::Accepted{kCaller});
+  lab.receive(kCaller, setup_line_with_key(kId, 9000));
+  lab.deliver(net::StopRequested{});
+  lab.advance(5300ms);
   CHECK(lab.lines(kCaller).empty());
-  lab.pass(200ms);  // SIGKILL comes after 5.7 s at the earliest
+  lab.advance(200ms);  // SIGKILL comes after 5.7 s at the earliest
   CHECK_EQ(lab.lines(kCaller).size(), 1U);
 }
 
 // ---- Discovery watch
 
-struct DiscoveryLab : Lab {
+struct DiscoveryLab : GatekeeperLab {
   static PlatformConfig config() {
     PlatformConfig c = config_for_tests();
     c.journal = "127.0.0.1:8500";
-    c.known_position = 7;
+    c.cached_position = 7;
     return c;
   }
-  DiscoveryLab() : Lab(config()) {
+  DiscoveryLab() : GatekeeperLab(config()) {
     watch_conn = connects.back().conn;
     bring_up();
-    CHECK(take(watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
-    tell(net::Accepted{kCaller});
+    CHECK(take_sent(watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    deliver(net::Accepted{kCaller});
   }
   // Number of connects to the journal service within the span; `accept` says whether they succeed.
   std::size_t count_connects(Duration span, bool accept = true) {
     std::size_t count = 0;
     for (const Time end = now + span; now < end;) {
-      pass(50ms);
+      advance(50ms);
       for (const net::Connect& c : std::exchange(connects, {})) {
         if (c.conn.concern != Concern::discovery) {
-          tell(net::Connected{c.conn});
+          deliver(net::Connected{c.conn});
           continue;
         }
         ++count;
         watch_conn = c.conn;
         if (accept) {
-          tell(net::Connected{c.conn});
+          deliver(net::Connected{c.conn});
         } else {
-          tell(net::ConnectFailed{c.conn, false});
+          deliver(net::ConnectFailed{c.conn, false});
         }
       }
     }
@@ -525,7 +525,7 @@
   // Checks that calls are served with the last endpoint list.
   void check_still_serves() {
     const std::string id = "00000000000000a" + std::to_string(++setups_sent);
-    receive(kCaller, set_up(id));
+    receive(kCaller, setup_line_with_key(id));
     std::size_t invite_count = 0;
     std::vector<ConnId> servers;
     for (const auto& [conn, bytes] : sent) {
@@ -568,9 +568,9 @@
       connect_count = lab.count_connects(100ms);
     }
     CHECK_EQ(connect_count, 1U);
-    CHECK(lab.take(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    CHECK(lab.take_sent(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
     lab.receive(lab.watch_conn, kResponseHead + draining_event(8));
-    lab.receive(kCaller, set_up());
+    lab.receive(kCaller, setup_line_with_key());
     CHECK_EQ(count_invites(lab, ConnId{Concern::server, 1}), 0U);
   }
 }
@@ -605,11 +605,11 @@
     lab.receive(lab.watch_conn,
                 kResponseHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + draining_event(9));
     CHECK_EQ(lab.count_connects(300ms), 1U);
-    CHECK(lab.take(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    CHECK(lab.take_sent(lab.watch_conn).find("Last-Event-ID: 7\r\n") != std::string::npos);
     lab.receive(lab.watch_conn,
                 kResponseHead + "id: 8\ndata: " + std::string(bad) + "\n\n" + draining_event(9));
     CHECK_EQ(lab.count_connects(300ms), 0U);
-    lab.receive(kCaller, set_up());
+    lab.receive(kCaller, setup_line_with_key());
     CHECK_EQ(count_invites(lab, ConnId{Concern::server, 1}), 0U);  // event 9 was processed
   }
 }
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -30,23 +30,23 @@
 
 void digest_covers_every_part_of_a_config() {
   const ServiceConfig d = make_config("a.b", 7, "{}");
-  CHECK(is_sound(test_key(), d));
+  CHECK(is_valid_config(test_key(), d));
   for (int i = 0; i < 4; ++i) {
     ServiceConfig other = d;
     if (i == 0) other.service = "a.c";
     if (i == 1) other.id.version = 8;
     if (i == 2) other.content = "{ }";
     if (i == 3) other.id.digest[31] ^= 1;
-    CHECK(!is_sound(test_key(), other));
+    CHECK(!is_valid_config(test_key(), other));
   }
   // Moving a character from one part to the next changes the digest.
   CHECK(digest_of(test_key(), "ab", 1, "c") != digest_of(test_key(), "a", 1, "bc"));
-  CHECK(!is_sound(test_key(), make_config("a", 0, "{}")));
-  CHECK(!is_sound(test_key(), make_config("a b", 1, "{}")));
-  CHECK(!is_sound(test_key(), make_config("", 1, "{}")));
-  CHECK(!is_sound(test_key(), make_config(std::string(65, 'a'), 1, "{}")));
-  CHECK(is_sound(test_key(), make_config(std::string(64, 'a'), 1, std::string(kMaxConfigBytes, 'x'))));
-  CHECK(!is_sound(test_key(), make_config("a", 1, std::string(kMaxConfigBytes + 1, 'x'))));
+  CHECK(!is_valid_config(test_key(), make_config("a", 0, "{}")));
+  CHECK(!is_valid_config(test_key(), make_config("a b", 1, "{}")));
+  CHECK(!is_valid_config(test_key(), make_config("", 1, "{}")));
+  CHECK(!is_valid_config(test_key(), make_config(std::string(65, 'a'), 1, "{}")));
+  CHECK(is_valid_config(test_key(), make_config(std::string(64, 'a'), 1, std::string(kMaxConfigBytes, 'x'))));
+  CHECK(!is_valid_config(test_key(), make_config("a", 1, std::string(kMaxConfigBytes + 1, 'x'))));
   Digest back{};
   CHECK(parse_digest(to_hex(d.id.digest), back));
   CHECK(back == d.id.digest);
@@ -79,7 +79,7 @@
 void publication_commits_only_with_a_majority() {
   DistributorSettings settings;
   settings.name = "d0";
-  settings.peers = 2;
+  settings.peer_count = 2;
   settings.key = test_key();
   Distributor d(settings);
   const Time now = Time{} + 1h;
@@ -111,7 +111,7 @@
   Time now = Time{} + 1h;
   SubscriberEffects out;
   s.start(now, out);
-  CHECK_EQ(out.size(), kSources);
+  CHECK_EQ(out.size(), kSourcesPerGatekeeper);
   const std::uint32_t source = first_effect<OpenSource>(out)->source;
   out.clear();
   s.step(now, SourceConnected{source}, out);
@@ -184,7 +184,7 @@
         CHECK(next[service].id.version >= d.id.version);
         CHECK(next[service].id.version > d.id.version || next[service] == d);
       }
-      for (const auto& [service, d] : next) CHECK(is_sound(test_key(), d));
+      for (const auto& [service, d] : next) CHECK(is_valid_config(test_key(), d));
       active_configs = next;
     }
     step(ApplyFinished{reason.empty(), reason});
@@ -525,7 +525,7 @@
 void silent_source_is_disconnected() {
   SubscriberFixture b({"a"}, 3);
   b.step(SourceConnected{rank_distributors("g0", {"d0", "d1", "d2"})[0]});
-  b.run(kSilentSource - 1s);
+  b.run(kSourceTimeout - 1s);
   CHECK_EQ(b.subscriber->connected_sources(), 1U);
   b.run(2s);
   CHECK_EQ(b.subscriber->connected_sources(), 0U);
@@ -567,7 +567,7 @@
                               std::map<std::string, ServiceRecord> records = {}) {
     DistributorSettings settings;
     settings.name = "d0";
-    settings.peers = peers;
+    settings.peer_count = peers;
     settings.key = test_key();
     settings.bytes_per_second = 100'000;
     distributor = std::make_unique<Distributor>(settings);
@@ -760,7 +760,7 @@
   // Without another acknowledgement it is closed.
   d.run(kNotificationTimeout + kHeartbeatInterval + 1s);
   CHECK_EQ(d.all<CloseClient>().size(), 1U);
-  CHECK_EQ(d.distributor->clients(), 0U);
+  CHECK_EQ(d.distributor->client_count(), 0U);
 }
 
 void deliveries_are_rate_limited_and_newest_first() {
@@ -856,10 +856,10 @@
   d.step(ClientDisconnected{2});
   CHECK_EQ(d.distributor->lost_gatekeepers().size(), 1U);
   CHECK_EQ(d.distributor->lost_gatekeepers()[0].name, "g2");
-  CHECK(!d.distributor->is_attached("g2"));
+  CHECK(!d.distributor->is_gatekeeper_connected("g2"));
   d.subscribe(2, {{"a", id}});
   CHECK(d.distributor->lost_gatekeepers().empty());
-  CHECK(d.distributor->is_attached("g2"));
+  CHECK(d.distributor->is_gatekeeper_connected("g2"));
   d.step(ClientDisconnected{2});
   d.run(kLostGatekeeperRetention + 1s);
   CHECK(d.distributor->lost_gatekeepers().empty());
@@ -881,7 +881,7 @@
   for (std::size_t i = 0; i <= kMaxSubscribedServices; ++i) many.push_back({"s" + std::to_string(i), {}});
   d.step(SubscriptionReceived{2, "g2", false, many, true});
   CHECK_EQ(d.all<CloseClient>().size(), 2U);
-  CHECK_EQ(d.distributor->clients(), 0U);
+  CHECK_EQ(d.distributor->client_count(), 0U);
   // Events of unknown clients and peers, and for unknown services.
   d.step(NotificationAcknowledged{77});
   d.step(FetchRequested{77, "a", 1});
@@ -903,7 +903,7 @@
 
 // ---- a simulated fleet
 
-bool is_converged(const ConfigSim& sim) { return sim.all_vote() && sim.all_equal() && sim.all_current(); }
+bool is_converged(const ConfigSim& sim) { return sim.all_voting() && sim.all_in_sync() && sim.all_current(); }
 
 // Returns whether the fleet converged within `timeout`. The check runs every 50 ms, since it compares all
 // records.
@@ -915,14 +915,14 @@
 // Starts all processes and runs until every distributor votes.
 void start_and_wait_until_voting(ConfigSim& sim) {
   sim.start_all();
-  CHECK(sim.until(20s, [&] { return sim.all_vote(); }));
+  CHECK(sim.run_until_true(20s, [&] { return sim.all_voting(); }));
   sim.run(2s);
 }
 
 void publish_and_check_commit(ConfigSim& sim, std::size_t at, const std::string& service,
                               const std::string& content) {
   const std::uint64_t request = sim.publish(at, service, content);
-  CHECK(sim.until(10s, [&] { return sim.result(request).has_value(); }));
+  CHECK(sim.run_until_true(10s, [&] { return sim.result(request).has_value(); }));
   CHECK_EQ(sim.result(request)->reason, "");
   CHECK(sim.result(request)->committed);
 }
@@ -941,7 +941,7 @@
     std::vector<std::uint64_t> requests;
     for (std::size_t i = 0; i < 3; ++i)
       requests.push_back(sim.publish(i, "s0", std::to_string(round) + " by " + std::to_string(i)));
-    CHECK(sim.until(20s, [&] {
+    CHECK(sim.run_until_true(20s, [&] {
       return std::all_of(requests.begin(), requests.end(),
                          [&](std::uint64_t r) { return sim.result(r).has_value(); });
     }));
@@ -951,10 +951,10 @@
     both += committed > 1 ? 1 : 0;
     CHECK(run_until_converged(sim, 5s));
   }
-  std::cout << "concurrent publishers: " << sim.found(DistributorLogKind::rejected)
+  std::cout << "concurrent publishers: " << sim.distributor_log_count(DistributorLogKind::rejected)
             << " proposals rejected, more than one of three committed in " << both << " of 30 rounds\n";
-  CHECK(sim.found(DistributorLogKind::rejected) > 0);
-  CHECK_EQ(sim.told(SubscriberLogKind::conflict), 0U);
+  CHECK(sim.distributor_log_count(DistributorLogKind::rejected) > 0);
+  CHECK_EQ(sim.subscriber_log_count(SubscriberLogKind::conflict), 0U);
 }
 
 // A publisher crashes after some distributors accepted its proposal, and another one after the first
@@ -971,9 +971,10 @@
     start_and_wait_until_voting(sim);
     publish_and_check_commit(sim, 0, "s0", "old");
     // Crash before the majority: some distributors have accepted.
-    const std::uint64_t accepted = sim.found(DistributorLogKind::accepted);
+    const std::uint64_t accepted = sim.distributor_log_count(DistributorLogKind::accepted);
     const std::uint64_t request = sim.publish(0, "s0", "half accepted");
-    CHECK(sim.until(1s, [&] { return sim.found(DistributorLogKind::accepted) > accepted; }));
+    CHECK(sim.run_until_true(
+        1s, [&] { return sim.distributor_log_count(DistributorLogKind::accepted) > accepted; }));
     before += sim.result(request).has_value() ? 0 : 1;
     sim.kill(0);
     sim.run(5s);
@@ -981,13 +982,13 @@
     sim.start_distributor(0);
     CHECK(run_until_converged(sim, 20s));
     // Crash after the commit: the first gatekeepers have it active.
-    sim.take_in_force();
+    sim.take_activations();
     sim.publish(2, "s1", "half notified");
-    CHECK(sim.until(2s, [&] { return !sim.take_in_force().empty(); }));
+    CHECK(sim.run_until_true(2s, [&] { return !sim.take_activations().empty(); }));
     sim.kill(2);
-    const bool all = sim.all_equal();
+    const bool all = sim.all_in_sync();
     after += all ? 0 : 1;
-    CHECK(sim.until(20s, [&] { return sim.all_equal(); }));
+    CHECK(sim.run_until_true(20s, [&] { return sim.all_in_sync(); }));
     CHECK(sim.committed(1, "s1").version > 0);
   }
   std::cout << "a publisher crashed before its majority in " << before
@@ -1020,11 +1021,11 @@
     // Gatekeepers connect to it again as a third source and close it each time for its silence.
     for (std::size_t g = 0; g < 12; ++g) {
       const std::size_t up = sim.gatekeeper(g).connected_sources();
-      CHECK(up == kSources || up == kSources + 1);
+      CHECK(up == kSourcesPerGatekeeper || up == kSourcesPerGatekeeper + 1);
     }
     sim.wake(2);
     CHECK(run_until_converged(sim, 30s));
-    stale += sim.told(SubscriberLogKind::stale);
+    stale += sim.subscriber_log_count(SubscriberLogKind::stale);
   }
   std::cout << "resumed distributors: " << stale << " stale versions ignored by gatekeepers\n";
   CHECK(stale > 0);
@@ -1058,9 +1059,9 @@
   sim.run(30s);
   sim.heal();
   CHECK(run_until_converged(sim, 40s));
-  CHECK(sim.counts().held_by_cut > 0);
-  std::cout << "a partition: " << sim.counts().held_by_cut << " lines held, "
-            << sim.found(DistributorLogKind::abandoned) << " proposals abandoned\n";
+  CHECK(sim.counts().delayed_by_cut > 0);
+  std::cout << "a partition: " << sim.counts().delayed_by_cut << " lines held, "
+            << sim.distributor_log_count(DistributorLogKind::abandoned) << " proposals abandoned\n";
 }
 
 void distributor_without_files_recovers_from_peers() {
@@ -1104,7 +1105,7 @@
     publish_and_check_commit(sim, 1, "s3", "after it");
     CHECK(sim.committed(1, "s3").version > kept.version);
     CHECK(run_until_converged(sim, 10s));
-    recovered += sim.found(DistributorLogKind::recovered);
+    recovered += sim.distributor_log_count(DistributorLogKind::recovered);
   }
   std::cout << "all distributors without files: " << recovered << " configurations recovered\n";
   CHECK(recovered >= 80);
@@ -1161,7 +1162,7 @@
   ConfigSimSettings s;
   s.seed = 6;
   s.services = 4;
-  s.refuses = [](std::size_t g, const std::vector<ServiceConfig>& all) -> std::string {
+  s.rejection_reason = [](std::size_t g, const std::vector<ServiceConfig>& all) -> std::string {
     for (const ServiceConfig& d : all) {
       if (d.content == "bad") return "bad for all";
       if (d.content == "odd" && g % 2 == 1) return "bad for odd gatekeepers";
@@ -1212,7 +1213,7 @@
   for (std::size_t g = 0; g < 6; ++g) {
     for (const auto& [service, state] : sim.gatekeeper(g).service_states()) CHECK(!state.rejected);
   }
-  std::cout << "rejected: " << sim.told(SubscriberLogKind::rejected) << " times\n";
+  std::cout << "rejected: " << sim.subscriber_log_count(SubscriberLogKind::rejected) << " times\n";
 }
 
 // All distributors restart with their files, at once or after 20 seconds.
@@ -1246,13 +1247,13 @@
   s.seed = 12;
   s.gatekeepers = 1;
   ConfigSim sim(s);
-  sim.take_within(500ms);
+  sim.set_max_apply_time(500ms);
   start_and_wait_until_voting(sim);
   std::size_t between = 0;
   for (int i = 0; i < 20; ++i) {
     sim.publish(0, "s0", std::to_string(i));
-    sim.take_in_force();
-    CHECK(sim.until(10s, [&] { return !sim.take_in_force().empty(); }));
+    sim.take_activations();
+    CHECK(sim.run_until_true(10s, [&] { return !sim.take_activations().empty(); }));
     // The configuration is active and no distributor may know it yet.
     std::size_t active = 0;
     for (std::size_t d = 0; d < 3; ++d) active += sim.distributor(d).status("s0").active;
@@ -1278,7 +1279,7 @@
   ConfigSim sim(s);
   start_and_wait_until_voting(sim);
   const auto share = [&](std::size_t i) {
-    return sim.distributor(i).clients() - 3;
+    return sim.distributor(i).client_count() - 3;
   };  // without the three peers
   const std::size_t before = share(1);
   CHECK(before > 8);
@@ -1308,15 +1309,15 @@
 
 void add(FaultCounts& all, const ConfigSim::Counts& c) {
   all.counts.lines += c.lines;
-  all.counts.held_by_cut += c.held_by_cut;
-  all.counts.held_by_stop += c.held_by_stop;
+  all.counts.delayed_by_cut += c.delayed_by_cut;
+  all.counts.delayed_by_stop += c.delayed_by_stop;
   all.counts.lost_by_reset += c.lost_by_reset;
   all.counts.late += c.late;
-  all.counts.doubled += c.doubled;
+  all.counts.duplicated += c.duplicated;
   all.counts.refused_connections += c.refused_connections;
   all.counts.steps += c.steps;
-  for (const auto& [kind, count] : c.told) all.counts.told[kind] += count;
-  for (const auto& [kind, count] : c.found) all.counts.found[kind] += count;
+  for (const auto& [kind, count] : c.subscriber_logs) all.counts.subscriber_logs[kind] += count;
+  for (const auto& [kind, count] : c.distributor_logs) all.counts.distributor_logs[kind] += count;
 }
 
 void run_random_faults(std::uint64_t seed, FaultCounts& all) {
@@ -1330,10 +1331,10 @@
   s.gatekeepers = 2 + below(5);
   s.services = 1 + below(6);
   s.clock_error = below(2) == 0 ? Duration{} : Duration(2s);
-  s.late = below(2) == 0 ? 0 : 0.02;
-  s.doubled = below(2) == 0 ? 0 : 0.05;
+  s.late_share = below(2) == 0 ? 0 : 0.02;
+  s.duplicate_share = below(2) == 0 ? 0 : 0.05;
   s.bytes_per_second = below(3) == 0 ? 2000 : 16 * 1024 * 1024;
-  s.refuses = [](std::size_t g, const std::vector<ServiceConfig>& configs) -> std::string {
+  s.rejection_reason = [](std::size_t g, const std::vector<ServiceConfig>& configs) -> std::string {
     for (const ServiceConfig& d : configs) {
       if (d.content.starts_with("bad")) return "bad";
       if (d.content.starts_with("odd") && g % 2 == 1) return "odd";
@@ -1341,7 +1342,7 @@
     return {};
   };
   ConfigSim sim(s);
-  if (below(2) == 0) sim.take_within(200ms);
+  if (below(2) == 0) sim.set_max_apply_time(200ms);
   sim.start_all();
   if (below(2) == 0) sim.run(10s);
   std::vector<std::uint64_t> requests;
@@ -1426,8 +1427,8 @@
   sim.start_all(!empty);
   all.full_restarts_without_files += empty ? 1 : 0;
   if (!run_until_converged(sim, 90s)) {
-    std::cerr << "seed " << seed << ": after healing, " << sim.trouble() << ", all vote: " << sim.all_vote()
-              << ", all current: " << sim.all_current() << '\n';
+    std::cerr << "seed " << seed << ": after healing, " << sim.describe_difference()
+              << ", all vote: " << sim.all_voting() << ", all current: " << sim.all_current() << '\n';
     std::abort();
   }
   // Publications succeed again when all earlier proposals have ended.
@@ -1436,7 +1437,7 @@
     publish_and_check_commit(sim, below(s.distributors), ConfigSim::service_of(i),
                              "last " + std::to_string(i));
   CHECK(run_until_converged(sim, 20s));
-  CHECK_EQ(sim.told(SubscriberLogKind::conflict), 0U);
+  CHECK_EQ(sim.subscriber_log_count(SubscriberLogKind::conflict), 0U);
   for (const std::uint64_t r : requests) {
     if (sim.result(r)) ++(sim.result(r)->committed ? all.committed : all.not_committed);
   }
@@ -1446,17 +1447,17 @@
 void random_faults_converge(std::uint64_t seeds) {
   FaultCounts all;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) run_random_faults(seed, all);
-  const auto subscriber_logs = [&](SubscriberLogKind kind) { return all.counts.told[kind]; };
-  const auto distributor_logs = [&](DistributorLogKind kind) { return all.counts.found[kind]; };
+  const auto subscriber_logs = [&](SubscriberLogKind kind) { return all.counts.subscriber_logs[kind]; };
+  const auto distributor_logs = [&](DistributorLogKind kind) { return all.counts.distributor_logs[kind]; };
   std::cout << seeds << " seeds, " << all.counts.steps << " steps, " << all.counts.lines << " lines: killed "
             << all.kills << " distributors and " << all.gatekeeper_kills << " gatekeepers, "
             << all.restarts_without_files << " distributors started without files and all of them "
             << all.full_restarts_without_files << " times, " << all.stops << " pauses held "
-            << all.counts.held_by_stop << ", " << all.cuts << " partitions held " << all.counts.held_by_cut
-            << ", " << all.resets << " resets, " << all.counts.lost_by_reset << " lines lost, "
-            << all.counts.late << " late, " << all.counts.doubled << " duplicated; " << all.committed
-            << " publications committed and " << all.not_committed << " not, proposals rejected "
-            << distributor_logs(DistributorLogKind::rejected) << ", abandoned "
+            << all.counts.delayed_by_stop << ", " << all.cuts << " partitions held "
+            << all.counts.delayed_by_cut << ", " << all.resets << " resets, " << all.counts.lost_by_reset
+            << " lines lost, " << all.counts.late << " late, " << all.counts.duplicated << " duplicated; "
+            << all.committed << " publications committed and " << all.not_committed
+            << " not, proposals rejected " << distributor_logs(DistributorLogKind::rejected) << ", abandoned "
             << distributor_logs(DistributorLogKind::abandoned) << ", recovered "
             << distributor_logs(DistributorLogKind::recovered) << "; at gatekeepers activated "
             << subscriber_logs(SubscriberLogKind::activated) << ", rejected "
@@ -1471,13 +1472,13 @@
                                 all.restarts_without_files,
                                 all.full_restarts_without_files,
                                 all.stops,
-                                all.counts.held_by_stop,
+                                all.counts.delayed_by_stop,
                                 all.cuts,
-                                all.counts.held_by_cut,
+                                all.counts.delayed_by_cut,
                                 all.resets,
                                 all.counts.lost_by_reset,
                                 all.counts.late,
-                                all.counts.doubled,
+                                all.counts.duplicated,
                                 all.committed,
                                 all.not_committed,
                                 distributor_logs(DistributorLogKind::rejected),
@@ -1494,7 +1495,7 @@
   s.distributors = 16;
   s.gatekeepers = gatekeepers;
   s.services = services;
-  s.services_each = 7;
+  s.services_per_gatekeeper = 7;
   s.seed = 21;
   s.tick = 200ms;
   ConfigSim sim(s);
@@ -1509,7 +1510,7 @@
   for (std::size_t i = 0; i < 100; ++i) sim.publish(5, ConfigSim::service_of(i), "second");
   sim.run(3s);
   sim.run(20s);
-  CHECK(sim.all_equal() && sim.all_current());
+  CHECK(sim.all_in_sync() && sim.all_current());
   sim.start_distributor(3);
   sim.start_distributor(4, false);
   CHECK(run_until_converged(sim, 40s));
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace graniterun;
 using namespace graniterun::test;
-using graniterun::lab::RealLink;
+using graniterun::lab::RelayLink;
 using graniterun::lab::Rig;
 using nlohmann::json;
 using namespace std::chrono_literals;
@@ -20,9 +20,9 @@
 std::string ctl;
 
 void expect_agreement(Rig& rig) {
-  if (Rig::until(kConvergenceTimeout, [&] { return rig.agree(); })) return;
+  if (Rig::wait_until(kConvergenceTimeout, [&] { return rig.agree(); })) return;
   for (std::size_t i = 0; i < rig.size(); ++i) {
-    if (rig.up(i)) std::cerr << rig.ask(i, "members").dump() << '\n' << rig.program(i).log() << '\n';
+    if (rig.up(i)) std::cerr << rig.query_fleet(i, "members").dump() << '\n' << rig.program(i).log() << '\n';
   }
   CHECK(false);
 }
@@ -34,15 +34,16 @@
   return true;
 }
 void expect_all_report(const Rig& rig, std::size_t subject, const std::string& state) {
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return all_report(rig, subject, state); }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return all_report(rig, subject, state); }));
 }
 std::size_t count_deaths(const Rig& rig, const std::set<std::string>& excluded = {}) {
   std::size_t count = 0;
-  for (const lab::Event& e : rig.events()) count += e.what == "died" && !excluded.contains(e.member) ? 1 : 0;
+  for (const lab::FleetEvent& e : rig.events())
+    count += e.kind == "died" && !excluded.contains(e.member) ? 1 : 0;
   return count;
 }
 std::uint64_t incarnation_of(const Rig& rig, std::size_t i) {
-  const json view = rig.ask(i, "members");
+  const json view = rig.query_fleet(i, "members");
   for (const json& m : view["members"]) {
     if (m["self"] == true) return m["life"].get<std::uint64_t>();
   }
@@ -75,7 +76,7 @@
   expect_agreement(rig);
   CHECK(incarnation_of(rig, 4) > incarnation);
   // A process stopped by SIGTERM announces its leave and is not declared dead.
-  rig.forget_events();
+  rig.clear_events();
   rig.signal(2, SIGTERM);
   expect_all_report(rig, 2, "left");
   CHECK_EQ(rig.program(2).exit_status(), 0);
@@ -88,11 +89,11 @@
   Rig rig(gatekeeper, 6, 2, shorten_suspicion);
   rig.start_all();
   expect_agreement(rig);
-  rig.forget_events();
+  rig.clear_events();
   // A pause shorter than the suspicion timeout: the process detects it and declares nobody dead.
   rig.stop(3);
   std::this_thread::sleep_for(600ms);
-  rig.go_on(3);
+  rig.continue_process(3);
   expect_agreement(rig);
   CHECK(rig.counter(3, "fleet.own_pauses") > 0);
   CHECK_EQ(count_deaths(rig), 0U);
@@ -100,21 +101,21 @@
   const std::uint64_t incarnation = incarnation_of(rig, 3);
   rig.stop(3);
   expect_all_report(rig, 3, "dead");
-  rig.go_on(3);
+  rig.continue_process(3);
   expect_agreement(rig);
   CHECK_EQ(incarnation_of(rig, 3), incarnation);
   CHECK_EQ(count_deaths(rig, {"n3"}), 0U);
-  for (const lab::Event& e : rig.events()) CHECK(e.by != 3 || e.what != "died");
+  for (const lab::FleetEvent& e : rig.events()) CHECK(e.reported_by != 3 || e.kind != "died");
 }
 
 void pause_of_half_the_fleet_causes_no_death() {
   Rig rig(gatekeeper, 6, 3);
   rig.start_all();
   expect_agreement(rig);
-  rig.forget_events();
+  rig.clear_events();
   for (const std::size_t i : {0U, 2U, 4U}) rig.stop(i);
   std::this_thread::sleep_for(1500ms);
-  for (const std::size_t i : {0U, 2U, 4U}) rig.go_on(i);
+  for (const std::size_t i : {0U, 2U, 4U}) rig.continue_process(i);
   expect_agreement(rig);
   CHECK_EQ(count_deaths(rig), 0U);
   CHECK(rig.counter(2, "fleet.own_pauses") > 0);
@@ -125,18 +126,18 @@
   Rig rig(gatekeeper, 6, 4, shorten_suspicion);
   rig.start_all();
   expect_agreement(rig);
-  rig.forget_events();
-  RealLink cut;
+  rig.clear_events();
+  RelayLink cut;
   cut.cut = true;
-  rig.relay().link(1, 4, cut);
-  CHECK(Rig::until(kConvergenceTimeout, [&] {
-    const json view = rig.ask(1, "members");
+  rig.relay().set_link(1, 4, cut);
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] {
+    const json view = rig.query_fleet(1, "members");
     for (const json& m : view["members"]) {
       if (m["name"] == "n4") return m["reach"] == "through-others" && m["state"] == "alive";
     }
     return false;
   }));
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.relay().counts().cut >= 10; }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.relay().counts().cut >= 10; }));
   CHECK_EQ(count_deaths(rig), 0U);
   CHECK(all_report(rig, 4, "alive"));
 }
@@ -148,15 +149,15 @@
   rig.start_all();
   for (const bool outwards : {true, false}) {
     expect_agreement(rig);
-    rig.forget_events();
-    RealLink cut;
+    rig.clear_events();
+    RelayLink cut;
     cut.cut = true;
     for (std::size_t i = 0; i < rig.size(); ++i)
-      outwards ? rig.relay().link(5, i, cut) : rig.relay().link(i, 5, cut);
+      outwards ? rig.relay().set_link(5, i, cut) : rig.relay().set_link(i, 5, cut);
     expect_all_report(rig, 5, "dead");
     CHECK(rig.relay().counts().cut > 0);
-    for (const lab::Event& e : rig.events())
-      CHECK(e.what != "died" || e.member == "n5" || (e.by == 5 && !outwards));
+    for (const lab::FleetEvent& e : rig.events())
+      CHECK(e.kind != "died" || e.member == "n5" || (e.reported_by == 5 && !outwards));
     rig.relay().heal();
   }
   expect_agreement(rig);
@@ -167,18 +168,18 @@
   rig.start_all();
   expect_agreement(rig);
   rig.relay().cut({0, 4, 8});
-  CHECK(Rig::until(kConvergenceTimeout, [&] {
-    return rig.ask(0, "view")["size"] == 3 && rig.ask(1, "view")["size"] == 6 &&
-           rig.ask(0, "view")["settled"] == true;
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] {
+    return rig.query_fleet(0, "view")["size"] == 3 && rig.query_fleet(1, "view")["size"] == 6 &&
+           rig.query_fleet(0, "view")["settled"] == true;
   }));
   CHECK(rig.relay().counts().cut > 0);
-  RealLink bad;  // healed, but with loss, duplicates and delay
+  RelayLink bad;  // healed, but with loss, duplicates and delay
   bad.loss = 0.1;
-  bad.doubled = 0.1;
-  bad.most = 20ms;
-  rig.relay().all_links(bad);
+  bad.duplication = 0.1;
+  bad.max_delay = 20ms;
+  rig.relay().set_all_links(bad);
   expect_agreement(rig);
-  CHECK(rig.relay().counts().lost > 0 && rig.relay().counts().doubled > 0);
+  CHECK(rig.relay().counts().lost > 0 && rig.relay().counts().duplicated > 0);
 }
 
 // 2,000 datagrams of random bytes are sent to a member's port.
@@ -186,7 +187,7 @@
   Rig rig(gatekeeper, 3, 7);
   rig.start_all();
   expect_agreement(rig);
-  rig.forget_events();
+  rig.clear_events();
   const Socket from = Socket::bound(SOCK_DGRAM);
   std::mt19937_64 random(7);
   for (int i = 0; i < 2000; ++i) {
@@ -196,7 +197,7 @@
     if (i % 50 == 0) std::this_thread::sleep_for(20ms);
   }
   CHECK(rig.relay().counts().unknown > 0);
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
   expect_agreement(rig);
   CHECK_EQ(count_deaths(rig), 0U);
   // The warning is limited to one line a second.
@@ -215,17 +216,17 @@
   });
   for (std::size_t i = 0; i < 4; ++i) rig.start(i);
   const std::set<std::string> four{"n0", "n1", "n2", "n3"};
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree(four); }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
   const std::uint64_t incarnation = incarnation_of(rig, 1);
   rig.start(4);
   rig.program(4).wait_for_log("yielded");
   rig.program(1).wait_for_log("name-taken");
-  CHECK_EQ(rig.ask(4, "view")["member"], false);
+  CHECK_EQ(rig.query_fleet(4, "view")["member"], false);
   CHECK_EQ(incarnation_of(rig, 1), incarnation);
   CHECK_EQ(count_deaths(rig), 0U);
   rig.kill(1);
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.ask(4, "view")["member"] == true; }));
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree(four); }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.query_fleet(4, "view")["member"] == true; }));
+  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
 }
 
 json run_ctl(const std::string& arguments, int& status) {
@@ -265,14 +266,15 @@
   Rig rig(gatekeeper, 4, 10);
   rig.start_all();
   expect_agreement(rig);
-  rig.upgrade_begins(3);
+  rig.restart_with_held_socket(3);
   expect_agreement(rig);
   const std::uint64_t incarnation = incarnation_of(rig, 3);
-  rig.forget_events();
-  rig.upgrade(3);
-  CHECK(Rig::until(kConvergenceTimeout, [&] { return rig.agree() && incarnation_of(rig, 3) > incarnation; }));
-  for (const lab::Event& e : rig.events())
-    CHECK(e.what != "left" && (e.what != "died" || e.life == incarnation));
+  rig.clear_events();
+  rig.start_successor(3);
+  CHECK(Rig::wait_until(kConvergenceTimeout,
+                        [&] { return rig.agree() && incarnation_of(rig, 3) > incarnation; }));
+  for (const lab::FleetEvent& e : rig.events())
+    CHECK(e.kind != "left" && (e.kind != "died" || e.incarnation == incarnation));
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const fleet::Key kKey = *fleet::key_in(std::string(64, 'a') + "\n");
+const fleet::Key kKey = *fleet::parse_key(std::string(64, 'a') + "\n");
 const std::string kFleet = "trail";
 
 Record record(const std::string& name, std::size_t address_length = 14) {
@@ -23,18 +23,18 @@
   r.address = std::string(address_length, '9');
   r.refutation = 70'000;
   r.state = State::suspect;
-  r.evidence = Evidence::unresponsive;
+  r.state_reason = StateReason::unresponsive;
   r.suspecting_member = name;
   return r;
 }
 
 std::vector<membership::Datagram> one_datagram_of_each_kind() {
   std::vector<membership::Datagram> all;
-  const auto add = [&](Body body) {
+  const auto add = [&](MessageBody body) {
     membership::Datagram d;
     d.from = record("n1");
     d.to = "n2";
-    d.number = 77;
+    d.sequence_number = 77;
     d.digest = ~std::uint64_t{0};
     d.catching_up = all.size() % 2 == 1;
     d.body = std::move(body);
@@ -48,7 +48,7 @@
   add(PingRequest{7, "n3", "127.0.0.1:7946"});
   add(RelayedAck{8});
   add(Nack{9});
-  add(SyncRequest{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
+  add(SyncRequest{std::vector<std::uint64_t>(kDigestBuckets, ~std::uint64_t{0})});
   add(Gossip{});
   return all;
 }
@@ -72,7 +72,7 @@
     const membership::Datagram again = read(bytes);
     CHECK_EQ(fleet::encode(again, kFleet, kKey), bytes);
     CHECK_EQ(again.records.size(), 2U);
-    CHECK(again.from.suspecting_member == "n1" && again.to == "n2" && again.number == 77);
+    CHECK(again.from.suspecting_member == "n1" && again.to == "n2" && again.sequence_number == 77);
   }
 }
 
@@ -119,7 +119,7 @@
   CHECK(decode_error(bytes + "x") == fleet::DecodeError::tag);
   CHECK(decode_error(std::string(1201, 'x')) == fleet::DecodeError::too_long);
   CHECK(decode_error(bytes, "other") == fleet::DecodeError::fleet);
-  CHECK(decode_error(bytes, kFleet, *fleet::key_in(std::string(64, 'b'))) == fleet::DecodeError::tag);
+  CHECK(decode_error(bytes, kFleet, *fleet::parse_key(std::string(64, 'b'))) == fleet::DecodeError::tag);
 }
 
 // A holder of the key may still send malformed content: it must be rejected without a crash.
@@ -142,10 +142,10 @@
 }
 
 void key_requires_64_hex_digits() {
-  CHECK(!fleet::key_in(std::string(63, 'a')));
-  CHECK(!fleet::key_in(std::string(66, 'a')));
-  CHECK(!fleet::key_in(std::string(63, 'a') + "g"));
-  CHECK(fleet::key_in("  " + std::string(32, '0') + "\n" + std::string(32, 'F') + "\n").has_value());
+  CHECK(!fleet::parse_key(std::string(63, 'a')));
+  CHECK(!fleet::parse_key(std::string(66, 'a')));
+  CHECK(!fleet::parse_key(std::string(63, 'a') + "g"));
+  CHECK(fleet::parse_key("  " + std::string(32, '0') + "\n" + std::string(32, 'F') + "\n").has_value());
 }
 
 // ---- the gatekeeper's fleet part
@@ -165,15 +165,16 @@
   return d;
 }
 
-struct FleetFixture : Lab {
-  explicit FleetFixture(const PlatformConfig& config = config_for_tests()) : Lab(config, deploy("n0")) {}
-  void datagram(const std::string& bytes) { tell(net::Datagram{Concern::fleet, "127.0.0.1:7947", bytes}); }
+struct FleetFixture : GatekeeperLab {
+  explicit FleetFixture(const PlatformConfig& config = config_for_tests())
+      : GatekeeperLab(config, deploy("n0")) {}
+  void datagram(const std::string& bytes) { deliver(net::Datagram{Concern::fleet, "127.0.0.1:7947", bytes}); }
   nlohmann::json request(const std::string& what) {
     const ConnId conn{Concern::control, 1};
-    tell(net::Accepted{conn});
+    deliver(net::Accepted{conn});
     receive(conn, R"({"op":"fleet","what":")" + what + "\"}\n");
-    nlohmann::json line = nlohmann::json::parse(take(conn));
-    tell(net::Closed{conn, false});
+    nlohmann::json line = nlohmann::json::parse(take_sent(conn));
+    deliver(net::Closed{conn, false});
     return line;
   }
   std::string counter(const std::string& name) {
@@ -207,7 +208,7 @@
   elsewhere.to = "n9";
   lab.datagram(fleet::encode(elsewhere, kFleet, kKey));
   CHECK_EQ(lab.counter("fleet.dropped.misdirected"), "1");
-  lab.pass(2s);
+  lab.advance(2s);
   CHECK_EQ(lab.request("view")["size"], 1);
 }
 
@@ -232,7 +233,7 @@
       CHECK_EQ(sent.peer, "127.0.0.1:7947");
       other.step(lab.now, DatagramReceived{read(sent.bytes)}, effects);
     }
-    lab.pass(50ms);
+    lab.advance(50ms);
     other.step(lab.now, Tick{}, effects);
   }
   const nlohmann::json members = lab.request("members");
@@ -243,10 +244,10 @@
   CHECK_EQ(lab.request("nothing")["ok"], false);
 
   // Its port is unreachable, and again when it is pinged a second time.
-  lab.tell(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
+  lab.deliver(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
   CHECK_EQ(lab.request("members")["members"][1]["state"], "suspect");
-  lab.pass(200ms);
-  lab.tell(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
+  lab.advance(200ms);
+  lab.deliver(net::Unreachable{Concern::fleet, "127.0.0.1:7947", {}});
   CHECK_EQ(lab.request("members")["members"][1]["state"], "dead");
   CHECK_EQ(lab.counter("fleet.deaths_by_refusal"), "1");
 }
@@ -256,8 +257,8 @@
   CHECK_EQ(lab.binds.size(), 1U);
   CHECK(lab.binds[0].exclusive);
   for (int i = 0; i < 3; ++i) {
-    lab.tell(net::BindFailed{Concern::fleet});
-    lab.pass(200ms);
+    lab.deliver(net::BindFailed{Concern::fleet});
+    lab.advance(200ms);
   }
   CHECK_EQ(lab.binds.size(), 4U);
   CHECK(!lab.exit_status);
@@ -266,13 +267,13 @@
 void stopping_process_leaves_or_hands_over() {
   for (const bool inherited : {false, true}) {
     PlatformConfig config = config_for_tests();
-    if (inherited) config.inherited = 7;
+    if (inherited) config.inherited_socket = 7;
     FleetFixture lab(config);
-    lab.pass(1s);  // no seed answers: it announces itself alone
+    lab.advance(1s);  // no seed answers: it announces itself alone
     CHECK_EQ(lab.request("view")["member"], true);
-    lab.tell(net::StopRequested{});
+    lab.deliver(net::StopRequested{});
     CHECK_EQ(lab.unbinds, 0);  // the leave or handover is announced first
-    lab.pass(400ms);
+    lab.advance(400ms);
     CHECK_EQ(lab.unbinds, inherited ? 1 : 0);
     CHECK_EQ(lab.request("view")["member"], false);
   }
@@ -281,7 +282,7 @@
 // An operator's leave is announced, and the process continues to serve calls.
 void operator_leave_keeps_serving_calls() {
   FleetFixture lab;
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK_EQ(lab.request("leave")["member"], false);
   CHECK_EQ(lab.request("members")["members"][0]["state"], "left");
   lab.bring_up();
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -88,7 +88,7 @@
   }
   void record(const net::SendDatagram& e) { text_ += "datagram " + e.peer + " " + escape(e.bytes) + "\n"; }
   void record(const net::Print& e) {
-    text_ += std::string("print ") + (e.answer ? "to stdout " : "") + escape(e.text) + "\n";
+    text_ += std::string("print ") + (e.to_stdout ? "to stdout " : "") + escape(e.text) + "\n";
   }
   void record(const net::WriteFile& e) { text_ += "write " + e.path + " " + escape(e.text) + "\n"; }
   void record(const net::ReadFile& e) { text_ += "read " + e.path + "\n"; }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -86,10 +86,10 @@
 
 // ---- datagrams between gatekeepers
 
-const fleet::Key kFleetKey = *fleet::key_in(std::string(64, 'a') + "\n");
+const fleet::Key kFleetKey = *fleet::parse_key(std::string(64, 'a') + "\n");
 
 membership::Record member_record(const std::string& name, membership::State state,
-                                 membership::Evidence evidence) {
+                                 membership::StateReason evidence) {
   membership::Record record;
   record.name = name;
   record.incarnation = 1'764'600'000'000;
@@ -97,7 +97,7 @@
   record.address = "127.0.0.1:7946";
   record.refutation = 70'000;
   record.state = state;
-  record.evidence = evidence;
+  record.state_reason = evidence;
   record.suspecting_member = state == membership::State::alive ? "" : "n9";
   record.handing_over = state == membership::State::left;
   return record;
@@ -116,20 +116,20 @@
   using namespace membership;
   std::string text;
   std::uint64_t number = 77;
-  const auto add = [&](Body body) {
+  const auto add = [&](MessageBody body) {
     membership::Datagram datagram;
-    datagram.from = member_record("n1", State::alive, Evidence::self_reported);
+    datagram.from = member_record("n1", State::alive, StateReason::self_reported);
     datagram.to = "n2";
-    datagram.number = ++number;
+    datagram.sequence_number = ++number;
     datagram.digest = ~std::uint64_t{0};
     datagram.catching_up = number % 2 == 1;
     datagram.body = std::move(body);
-    datagram.records = {member_record("n3", State::suspect, Evidence::unresponsive),
-                        member_record("n4", State::dead, Evidence::port_unreachable),
-                        member_record("n5", State::left, Evidence::replaced)};
+    datagram.records = {member_record("n3", State::suspect, StateReason::unresponsive),
+                        member_record("n4", State::dead, StateReason::port_unreachable),
+                        member_record("n5", State::left, StateReason::replaced)};
     text += hex(fleet::encode(datagram, "trail", kFleetKey)) + "\n";
   };
-  const membership::Record known = member_record("n2", State::alive, Evidence::self_reported);
+  const membership::Record known = member_record("n2", State::alive, StateReason::self_reported);
   add(Ping{5, true, true, known});
   add(Ping{5, false, false, {}});
   add(Ack{6, true, known});
@@ -137,7 +137,7 @@
   add(PingRequest{7, "n3", "127.0.0.1:7946"});
   add(RelayedAck{8});
   add(Nack{9});
-  add(SyncRequest{std::vector<std::uint64_t>(kBuckets, ~std::uint64_t{0})});
+  add(SyncRequest{std::vector<std::uint64_t>(kDigestBuckets, ~std::uint64_t{0})});
   add(Gossip{});
   check_golden("datagrams.txt", text);
 }
@@ -192,7 +192,7 @@
   Gatekeeper gatekeeper(gatekeeper_config(), deploy_with_everything(), {});
   Recorded<Gatekeeper> run(gatekeeper);
   run.step(net::Started{});
-  run.step(net::Bound{Concern::fleet});
+  run.step(net::BindSucceeded{Concern::fleet});
   run.bring_up();
   run.step(net::Accepted{kOperator});
   run.step(net::Accepted{kPublisher});
@@ -243,7 +243,7 @@
   Gatekeeper gatekeeper(gatekeeper_config(), deploy_with_everything(), {});
   Recorded<Gatekeeper> run(gatekeeper);
   run.step(net::Started{});
-  run.step(net::Bound{Concern::fleet});
+  run.step(net::BindSucceeded{Concern::fleet});
   run.bring_up();
   run.step(net::Accepted{kCaller});
   run.step(net::Accepted{kOperator});
@@ -286,7 +286,7 @@
   run.step(net::Accepted{kCaller});
   run.receive(kCaller, R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                        "\n");
-  run.receive(kCaller, set_up_line(kCallId, "voice", 3000, 0, "offer\\r\\nc=IN IP4 10.4.7.9"));
+  run.receive(kCaller, setup_line(kCallId, "voice", 3000, 0, "offer\\r\\nc=IN IP4 10.4.7.9"));
   const auto answer = [](int cseq, int status, const std::string& more, const std::string& body) {
     return "SIP/2.0 " + std::to_string(status) + " x\r\nCall-ID: " + kCallId +
            "\r\nCSeq: " + std::to_string(cseq) + " INVITE\r\n" + more +
@@ -300,14 +300,14 @@
   run.receive(second, server_bye(kCallId, 41));
   run.receive(kCaller, release_line(kCallId, 16));
   run.transcript.title("a call that is given up, and one that runs out of time");
-  run.receive(kCaller, set_up_line(kOtherCallId, "safety", 3000, 1, "offer"));
+  run.receive(kCaller, setup_line(kOtherCallId, "safety", 3000, 1, "offer"));
   run.pass(300ms);
   run.receive(kCaller, release_line(kOtherCallId, 16));
   run.pass(2s);
-  run.receive(kCaller, set_up_line("9b1f03aa5c7e2d43", "voice", 400, 0, "offer"));
+  run.receive(kCaller, setup_line("9b1f03aa5c7e2d43", "voice", 400, 0, "offer"));
   run.pass(2s);
   run.transcript.title("what can't be read, and what is unknown");
-  run.receive(kCaller, set_up_line("9b1f03aa5c7e2d44", "nothing", 400, 0, "offer"));
+  run.receive(kCaller, setup_line("9b1f03aa5c7e2d44", "nothing", 400, 0, "offer"));
   run.receive(kCaller, "{\"type\":\"setup\",\"id\":\"9b1f03aa5c7e2d45\",\"fields\":{}}\n");
   run.receive(kCaller, release_line("9b1f03aa5c7e2d49", 34));
   run.receive(first,
@@ -316,7 +316,7 @@
   for (const ConnId conn : {first, second}) run.step(net::Closed{conn, true});
   for (const net::Connect& connect : std::exchange(run.connects, {}))
     run.step(net::ConnectFailed{connect.conn, true});
-  run.receive(kCaller, set_up_line("9b1f03aa5c7e2d46", "voice", 1500, 0, "offer"));
+  run.receive(kCaller, setup_line("9b1f03aa5c7e2d46", "voice", 1500, 0, "offer"));
   run.pass(2s);
   run.transcript.title("SIGTERM and SIGUSR1");
   run.step(net::StopRequested{});
@@ -382,7 +382,7 @@
     run.step(net::Started{});
     run.bring_up();
     run.step(net::Accepted{kCaller});
-    run.receive(kCaller, set_up_line(kCallId, "voice", 4000, 0, "offer"));
+    run.receive(kCaller, setup_line(kCallId, "voice", 4000, 0, "offer"));
     run.bring_up();
     run.pass(600ms);
     run.receive(kCaller, release_line(kCallId, 16));
@@ -406,11 +406,11 @@
   Gatekeeper gatekeeper(config, deploy, {});
   Recorded<Gatekeeper> run(gatekeeper);
   run.step(net::Started{});
-  run.step(net::Bound{Concern::fleet});
+  run.step(net::BindSucceeded{Concern::fleet});
   run.bring_up();
   run.step(net::Accepted{kCaller});
   for (int i = 0; i < 6; ++i) {
-    run.receive(kCaller, set_up_line("00000000000000" + std::to_string(10 + i), "voice", 600, 0, "offer"));
+    run.receive(kCaller, setup_line("00000000000000" + std::to_string(10 + i), "voice", 600, 0, "offer"));
     run.pass(250ms);
     run.bring_up();
   }
