--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -12,11 +12,11 @@
 std::string publisher_binary;
 
 void platform_calls_are_served_until_stopped() {
-  World world;
+  ProgramFixture world;
   world.caller.send(R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                     "\n");
   CHECK_EQ(json::parse(world.caller.line())["cause"], 1);
-  world.caller.send(set_up("00000000000000aa", 5000));
+  world.caller.send(setup_line_with_key("00000000000000aa", 5000));
   const sip::Message invite = world.from_server();
   CHECK_EQ(invite.method, "INVITE");
   CHECK_EQ(invite.body, "offer");
@@ -26,7 +26,7 @@
 
   // The deadline passes while the server does not answer.
   const auto started_at = std::chrono::steady_clock::now();
-  world.caller.send(set_up("00000000000000bb", 300));
+  world.caller.send(setup_line_with_key("00000000000000bb", 300));
   CHECK_EQ(world.from_server().method, "INVITE");
   const json deadline_release = json::parse(world.caller.line());
   const auto elapsed = std::chrono::steady_clock::now() - started_at;
@@ -39,15 +39,15 @@
   Socket endless = Socket::connected(world.port);
   endless.send(R"({"type":"setup","id":"00000000000000dd","x":")" + std::string(150'000, 'x'));
   CHECK_EQ(json::parse(endless.line())["id"], "00000000000000dd");
-  CHECK(endless.ends());
+  CHECK(endless.wait_for_close());
   // Malformed input closes only the connection that it came on.
   Socket other = Socket::connected(world.port);
   other.send("what?\n");
-  CHECK(other.ends());
+  CHECK(other.wait_for_close());
 
   world.program->signal(SIGUSR1);
   world.program->signal(SIGTERM);
-  world.caller.send(set_up("00000000000000cc", 3000));
+  world.caller.send(setup_line_with_key("00000000000000cc", 3000));
   const sip::Message last_invite = world.from_server();
   CHECK_EQ(last_invite.method, "INVITE");
   world.answer(last_invite, "486 Busy");
@@ -74,8 +74,8 @@
 void sip_calls_over_udp_and_tcp_are_served_and_traced() {
   Socket collector_listener = Socket::bound(SOCK_STREAM);
   const int sip_port = free_port();
-  World world({{"sip", {{"udp", at(sip_port)}, {"tcp", at(sip_port)}}},
-               {"otlp", {{"collector", at(collector_listener.port())}, {"every_ms", 50}}}});
+  ProgramFixture world({{"sip", {{"udp", at(sip_port)}, {"tcp", at(sip_port)}}},
+                        {"otlp", {{"collector", at(collector_listener.port())}, {"every_ms", 50}}}});
   for (const std::string transport : {"UDP", "TCP"}) {
     const bool udp = transport == "UDP";
     Socket peer = udp ? Socket::bound(SOCK_DGRAM) : Socket::connected(sip_port);
@@ -129,19 +129,19 @@
 // Guards against SIGHUP ending the program or its calls: a call is outstanding while the journal's address
 // changes.
 void reload_moves_journal_and_keeps_calls() {
-  World world;
-  world.caller.send(set_up("00000000000000aa", 5000));
+  ProgramFixture world;
+  world.caller.send(setup_line_with_key("00000000000000aa", 5000));
   const sip::Message invite = world.from_server();
-  world.program->configure("no configuration");  // is rejected
+  world.program->write_config("no configuration");  // is rejected
   world.program->signal(SIGHUP);
   world.program->wait_for_log("the old configuration is kept");
   Socket new_journal = Socket::bound(SOCK_STREAM);
   world.config["journal"] = at(new_journal.port());
-  world.program->configure(world.config.dump());
+  world.program->write_config(world.config.dump());
   world.program->signal(SIGHUP);
   Socket watch = new_journal.accept();
-  CHECK(watch.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
-  CHECK(world.journal.ends());
+  CHECK(watch.read_until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
+  CHECK(world.journal.wait_for_close());
   world.answer(invite, "200 OK", "answer");
   CHECK_EQ(json::parse(world.caller.line())["sdp"], "answer");
   world.program->signal(SIGTERM);
@@ -167,8 +167,8 @@
   const std::string publisher_address = at(free_port());
   const std::string dir = std::string(::getenv("TMPDIR") ? ::getenv("TMPDIR") : "/tmp");
   const std::string file = dir + "/graniterun-gaps-" + std::to_string(::getpid());
-  World world({{"control", {{"listen", control}}},
-               {"gaps", {{"fleet_size", 1}, {"fleet_index", 0}, {"hot", {{"gaps", 1}}}}}});
+  ProgramFixture world({{"control", {{"listen", control}}},
+                        {"gaps", {{"fleet_size", 1}, {"fleet_index", 0}, {"hot", {{"gaps", 1}}}}}});
   const auto start_publisher = [&] {
     const pid_t pid = ::fork();
     if (pid == 0) {
@@ -185,14 +185,15 @@
                                           " --number 7f3a9c21e0b4d655 --one-in none --words busy");
   CHECK_EQ(status, 0);
   CHECK(text.find("1 of 1 gatekeepers obey") != std::string::npos);
-  world.caller.send(set_up("00000000000000aa", 5000));
+  world.caller.send(setup_line_with_key("00000000000000aa", 5000));
   const json rejected = json::parse(world.caller.line());
   CHECK(rejected["cause"] == 42 && rejected["fields"]["reason"] == "busy" &&
         rejected["fields"].contains("wait"));
   ::kill(publisher, SIGKILL);
   ::waitpid(publisher, nullptr, 0);
   CHECK_EQ(run_gap_ctl("list --to " + publisher_address).first, 3);
-  world.caller.send(set_up("00000000000000ab", 5000));  // the gap stays active without its publisher
+  world.caller.send(
+      setup_line_with_key("00000000000000ab", 5000));  // the gap stays active without its publisher
   CHECK_EQ(json::parse(world.caller.line())["cause"], 42);
   publisher = start_publisher();
   Socket::connected(std::stoi(publisher_address.substr(publisher_address.rfind(':') + 1)));
@@ -200,7 +201,7 @@
   CHECK_EQ(json::parse(gaps)["targets"][0]["gaps"][0]["id"], "hiker");
   CHECK_EQ(json::parse(gaps)["targets"][1]["gaps"][0]["gapped"], 2);
   CHECK_EQ(run_gap_ctl("lift hiker --to " + publisher_address).first, 0);
-  world.caller.send(set_up("00000000000000ac", 5000));
+  world.caller.send(setup_line_with_key("00000000000000ac", 5000));
   const sip::Message invite = world.from_server();
   CHECK_EQ(invite.method, "INVITE");
   world.answer(invite, "200 OK", "answer");
--- a/tests/lab.h
+++ b/tests/lab.h
@@ -56,26 +56,26 @@
     h.state = ServerState::in_service;
     list.endpoints.push_back(h);
   }
-  c.known.push_back(list);
+  c.cached_endpoints.push_back(list);
   return c;
 }
 
 // The line of a caller's setup.
-inline std::string set_up_line(const std::string& id, const std::string& call_class = "voice",
-                               int left = 3000, int dest = 0, const std::string& sdp = "x") {
+inline std::string setup_line(const std::string& id, const std::string& call_class = "voice", int left = 3000,
+                              int dest = 0, const std::string& sdp = "x") {
   return R"({"type":"setup","id":")" + id + R"(","fields":{"class":")" + call_class + R"(","left":")" +
          std::to_string(left) + R"(","key":"7f3a9c21e0b4d655","extras":"dest:)" + std::to_string(dest) +
          R"(;width:1;via:-1"},"sdp":")" + sdp + R"("})" + "\n";
 }
 
-class Lab {
+class GatekeeperLab {
  public:
-  explicit Lab(const PlatformConfig& config = config_for_tests(), const DeployConfig& deploy = {})
+  explicit GatekeeperLab(const PlatformConfig& config = config_for_tests(), const DeployConfig& deploy = {})
       : gatekeeper(config, deploy, {}) {
-    tell(net::Started{});
+    deliver(net::Started{});
   }
 
-  void tell(const net::Event& event) {
+  void deliver(const net::Event& event) {
     net::Effects effects;
     gatekeeper.step(now, event, effects);
     for (const net::Effect& effect : effects) {
@@ -83,7 +83,7 @@
       if (const auto* e = std::get_if<net::Send>(&effect)) sent[e->conn] += e->bytes;
       if (const auto* e = std::get_if<net::WithdrawSend>(&effect)) {  // like the runtime
         if (unwritten.contains(e->conn)) {
-          recalled.push_back({e->conn, e->ticket});
+          withdrawals.push_back({e->conn, e->ticket});
         } else if (!e->fallback.empty()) {
           sent[e->conn] += e->fallback;
         }
@@ -94,41 +94,41 @@
       if (const auto* e = std::get_if<net::SendDatagram>(&effect)) datagrams.push_back(*e);
       if (const auto* e = std::get_if<net::Close>(&effect)) {
         closed.push_back(e->conn);
-        closed_unread += e->conn.concern == Concern::platform ? 1 : 0;
+        closed_without_check += e->conn.concern == Concern::platform ? 1 : 0;
       }
       if (const auto* e = std::get_if<net::Drop>(&effect)) {
         closed.push_back(e->conn);
         dropped.push_back(e->conn);
       }
-      if (const auto* e = std::get_if<net::CloseIfIdle>(&effect)) quiet.push_back(e->conn);
+      if (const auto* e = std::get_if<net::CloseIfIdle>(&effect)) idle_closes.push_back(e->conn);
       if (const auto* e = std::get_if<net::Listen>(&effect)) listens.push_back(*e);
       if (const auto* e = std::get_if<net::StopListening>(&effect)) stopped_listening.push_back(e->concern);
       if (const auto* e = std::get_if<net::Exit>(&effect)) exit_status = e->status;
-      if (const auto* e = std::get_if<net::ExitIfIdle>(&effect); e != nullptr && quiet_at_exit)
+      if (const auto* e = std::get_if<net::ExitIfIdle>(&effect); e != nullptr && idle_at_exit)
         exit_status = e->status;
       if (const auto* e = std::get_if<net::ArmTimer>(&effect)) timers.push({e->at, ++order, e->key});
       if (const auto* e = std::get_if<net::Consume>(&effect)) unread[e->conn].erase(0, e->count);
     }
     if (watch) watch();
-    for (const net::WriteWithdrawn& e : std::exchange(recalled, {})) tell(e);
-    for (const ConnId conn : std::exchange(quiet, {})) {  // like the runtime
+    for (const net::WriteWithdrawn& e : std::exchange(withdrawals, {})) deliver(e);
+    for (const ConnId conn : std::exchange(idle_closes, {})) {  // like the runtime
       closed.push_back(conn);
-      tell(net::Closed{conn, false});
+      deliver(net::Closed{conn, false});
     }
   }
   void receive(ConnId conn, const std::string& bytes) {
     unread[conn] += bytes;
     const std::string all = unread[conn];
-    tell(net::Received{conn, all});
+    deliver(net::Received{conn, all});
   }
   // Advances the clock by `span` and fires the timers that are due.
-  void pass(Duration span) {
+  void advance(Duration span) {
     const Time end = now + span;
     while (!timers.empty() && timers.top().at <= end) {
       const Timer timer = timers.top();
       timers.pop();
       now = std::max(now, timer.at);
-      tell(net::TimerFired{timer.key});
+      deliver(net::TimerFired{timer.key});
     }
     now = end;
   }
@@ -137,31 +137,31 @@
     std::vector<ConnId> up;
     for (const net::Connect& c : std::exchange(connects, {})) {
       if (c.address == address) up.push_back(c.conn);
-      tell(net::Connected{c.conn});
+      deliver(net::Connected{c.conn});
     }
     return up;
   }
   // Opens a new management connection.
   ConnId open_management() {
     const ConnId conn{Concern::management, ++last_management};
-    tell(net::Accepted{conn});
+    deliver(net::Accepted{conn});
     return conn;
   }
   // The value and type of a metric of `telemetry`, for instance 812|c; "none" if it is absent.
-  std::string figure(const std::string& name) {
+  std::string telemetry_metric(const std::string& name) {
     const ConnId conn = open_management();
     receive(conn, "telemetry\n");
-    const std::string text = take(conn);
+    const std::string text = take_sent(conn);
     const std::string start = "\ngatekeeper." + name + ":";
     const std::size_t at = text.find(start);
     if (at == std::string::npos) return "none";
     return text.substr(at + start.size(), text.find('\n', at + 1) - at - start.size());
   }
-  std::string take(ConnId conn) { return std::exchange(sent[conn], {}); }
+  std::string take_sent(ConnId conn) { return std::exchange(sent[conn], {}); }
   // The SIP messages sent on a connection since the last call.
   std::vector<sip::Message> messages(ConnId conn) {
     std::vector<sip::Message> all;
-    const std::string bytes = take(conn);
+    const std::string bytes = take_sent(conn);
     for (std::string_view rest = bytes; !rest.empty();) {
       sip::ReadResult read = sip::read_stream(rest);
       CHECK(read.state == sip::ReadState::message);
@@ -172,7 +172,7 @@
   }
   std::vector<jsonl::Message> lines(ConnId conn) {
     std::vector<jsonl::Message> all;
-    const std::string bytes = take(conn);
+    const std::string bytes = take_sent(conn);
     for (std::string_view rest = bytes; !rest.empty();) {
       jsonl::ReadResult read = jsonl::read(rest);
       CHECK(read.state == jsonl::ReadState::message);
@@ -191,12 +191,12 @@
   std::vector<net::Bind> binds;
   int unbinds = 0;
   std::vector<ConnId> closed;
-  std::size_t closed_unread = 0;              // of `closed`: callers closed without a check for unread input
-  std::vector<ConnId> dropped;                // of `closed`: dropped without writing pending output
-  std::vector<ConnId> quiet;                  // CloseIfIdle effects of the current step
-  std::vector<net::WriteWithdrawn> recalled;  // withdrawals to confirm after the step
-  std::set<ConnId> unwritten;                 // output there counts as unwritten: withdrawals succeed
-  bool quiet_at_exit = true;                  // ExitIfIdle finds no unwritten output and no unread input
+  std::size_t closed_without_check = 0;  // of `closed`: callers closed without a check for unread input
+  std::vector<ConnId> dropped;           // of `closed`: dropped without writing pending output
+  std::vector<ConnId> idle_closes;       // CloseIfIdle effects of the current step
+  std::vector<net::WriteWithdrawn> withdrawals;  // withdrawals to confirm after the step
+  std::set<ConnId> unwritten;                    // output there counts as unwritten: withdrawals succeed
+  bool idle_at_exit = true;                      // ExitIfIdle finds no unwritten output and no unread input
   std::vector<net::Listen> listens;
   std::vector<Concern> stopped_listening;
   std::optional<int> exit_status;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr Time kStart{1'700'000'000s};
-constexpr Fleet kSingleGatekeeper{};
+constexpr FleetPosition kSingleGatekeeper{};
 
 Announcement announcement(const std::string& id, std::uint64_t version, Gap gap, Time start = kStart,
                           Duration duration = 1h) {
@@ -41,10 +41,10 @@
 }
 
 struct RegisterFixture : GapRegister {
-  explicit RegisterFixture(Fleet fleet = kSingleGatekeeper, Time started_at = kStart)
+  explicit RegisterFixture(FleetPosition fleet = kSingleGatekeeper, Time started_at = kStart)
       : GapRegister(fleet, 7, started_at) {}
   bool passes(Time now, const std::string& number, const std::string& c = "voice") {
-    const Verdict v = check(now, number, c);
+    const GapDecision v = check(now, number, c);
     if (!v.passes) CHECK(v.retry_after > 0s && v.retry_after <= 2s);
     return v.passes;
   }
@@ -209,7 +209,7 @@
   CHECK(!gap_register.passes(kStart + 10s, "1"));
   CHECK(!gap_register.passes(kStart + 14999ms, "1"));
   CHECK(gap_register.passes(kStart + 15s, "1"));
-  CHECK(!gap_register.list(kStart + 15s)[0].in_force);
+  CHECK(!gap_register.list(kStart + 15s)[0].active);
 }
 
 void clock_step_passes_no_burst() {
@@ -262,7 +262,7 @@
   std::map<long, int> times;
   for (int i = 0; i < 400; ++i) {
     const Time now = kStart + std::chrono::milliseconds(i * 5);
-    const Verdict v = gap_register.check(now, "1", "voice");
+    const GapDecision v = gap_register.check(now, "1", "voice");
     if (!v.passes && i >= 200) ++times[(now + v.retry_after - kStart) / 100ms];
   }
   for (const auto& [slot, count] : times) CHECK(count < 60);
@@ -411,7 +411,7 @@
   const Announcement a = announcement("g", 1, on_prefix("47", kInterval, shape));
   std::vector<std::unique_ptr<RegisterFixture>> registers;
   for (std::uint32_t i = 0; i < size; ++i) {
-    registers.push_back(std::make_unique<RegisterFixture>(Fleet{size, i}));
+    registers.push_back(std::make_unique<RegisterFixture>(FleetPosition{size, i}));
     registers.back()->announce(kStart, a);
   }
   auto allocator = std::make_unique<QuotaAllocator>(size, kInterval, 1);
@@ -457,7 +457,7 @@
     }
     if (restarts && random() % 400 == 0) {
       const std::uint32_t i = random() % size;
-      registers[i] = std::make_unique<RegisterFixture>(Fleet{size, i}, now);
+      registers[i] = std::make_unique<RegisterFixture>(FleetPosition{size, i}, now);
       registers[i]->announce(now, a);
     }
     if (restarts && random() % 1000 == 0)
@@ -510,8 +510,8 @@
     if (flood && random() % 5 == 0) hot_numbers.record_call(now, "4712");  // 40 per second
     if ((now - kStart) % 200ms != 0ms) continue;
     for (const auto& change : hot_numbers.update(now)) {
-      seen[change.what].push_back(change.number.number);
-      if (change.what == HotNumbers::Change::What::hot && change.number.number == "4711") hot_since = now;
+      seen[change.kind].push_back(change.number.number);
+      if (change.kind == HotNumbers::Change::What::hot && change.number.number == "4711") hot_since = now;
     }
     if (now == kStart + 30s) {
       const auto hot = hot_numbers.hot(now);
--- a/tests/load_control_test.cpp
+++ b/tests/load_control_test.cpp
@@ -109,10 +109,10 @@
   LoadControlDocument d;
   d.version = 7;
   d.rules.push_back(*rule_of(a));
-  CHECK_EQ(d.rules[0].figure, 4.0);
+  CHECK_EQ(d.rules[0].limit, 4.0);
   a.gap->interval.reset();
   d.rules.push_back(*rule_of(a));
-  CHECK_EQ(d.rules[1].figure, 0.0);
+  CHECK_EQ(d.rules[1].limit, 0.0);
   CHECK(read_load_control(write_load_control(d)) == d);
   // A gap that no rule can express is not converted to a different one.
   a.gap->shape = call_gapping::Shape::each_number;
--- a/tests/management_test.cpp
+++ b/tests/management_test.cpp
@@ -15,13 +15,13 @@
   return c;
 }
 
-struct ManagementLab : Lab {
-  explicit ManagementLab(const PlatformConfig& config = with_management()) : Lab(config) {}
+struct ManagementLab : GatekeeperLab {
+  explicit ManagementLab(const PlatformConfig& config = with_management()) : GatekeeperLab(config) {}
   std::string ask(const std::string& text) {
     const ConnId conn = open_management();
     receive(conn, text);
     CHECK(std::count(closed.begin(), closed.end(), conn) == 1);
-    return take(conn);
+    return take_sent(conn);
   }
 };
 
@@ -32,7 +32,7 @@
   CHECK(it != lab.listens.end());
   CHECK_EQ(it->address, "127.0.0.1:9901");
   CHECK(it->reserved_connections > 0 && !it->required);
-  Lab without_management;
+  GatekeeperLab without_management;
   CHECK(std::none_of(without_management.listens.begin(), without_management.listens.end(), is_management));
 }
 
@@ -42,7 +42,7 @@
   lab.bring_up();
   CHECK(lab.ask("readyz\n").starts_with("OK"));
   CHECK(lab.ask("readyz\r\n").starts_with("OK"));
-  lab.tell(net::StopRequested{});
+  lab.deliver(net::StopRequested{});
   CHECK(lab.ask("readyz\n").starts_with("ERR "));
   CHECK(lab.ask("telemetry\n").ends_with("\nEND\n"));
 }
@@ -62,11 +62,11 @@
   ManagementLab lab;
   const ConnId conn = lab.open_management();
   for (const char c : std::string("telemetry\n")) {
-    CHECK(lab.take(conn).empty());
+    CHECK(lab.take_sent(conn).empty());
     lab.receive(conn, std::string(1, c));
-    lab.pass(1ms);
+    lab.advance(1ms);
   }
-  CHECK(lab.take(conn).starts_with("OK\ngatekeeper."));
+  CHECK(lab.take_sent(conn).starts_with("OK\ngatekeeper."));
 }
 
 void connections_without_request_are_bounded_in_time_and_number() {
@@ -74,12 +74,12 @@
   const ConnId silent = lab.open_management();
   const ConnId half = lab.open_management();
   lab.receive(half, "telem");
-  lab.pass(1900ms);
+  lab.advance(1900ms);
   CHECK(lab.closed.empty());
-  lab.pass(300ms);
+  lab.advance(300ms);
   CHECK_EQ(lab.closed.size(), 2U);
-  CHECK(lab.take(silent).starts_with("ERR "));
-  CHECK(lab.take(half).starts_with("ERR "));
+  CHECK(lab.take_sent(silent).starts_with("ERR "));
+  CHECK(lab.take_sent(half).starts_with("ERR "));
 
   lab.closed.clear();
   std::vector<ConnId> all;
@@ -94,53 +94,53 @@
   ManagementLab lab;
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  CHECK_EQ(lab.figure("ok.voice"), "0|c");
-  CHECK_EQ(lab.figure("errors.safety"), "0|c");
-  CHECK_EQ(lab.figure("pool_size"), "2|g");
-  CHECK_EQ(lab.figure("pool_ejected"), "0|g");
-
-  lab.receive(kCaller, set_up_line("00000000000000aa"));
-  CHECK_EQ(lab.figure("active"), "1|g");
+  lab.deliver(net::Accepted{kCaller});
+  CHECK_EQ(lab.telemetry_metric("ok.voice"), "0|c");
+  CHECK_EQ(lab.telemetry_metric("errors.safety"), "0|c");
+  CHECK_EQ(lab.telemetry_metric("pool_size"), "2|g");
+  CHECK_EQ(lab.telemetry_metric("pool_ejected"), "0|g");
+
+  lab.receive(kCaller, setup_line("00000000000000aa"));
+  CHECK_EQ(lab.telemetry_metric("active"), "1|g");
   sip::Message invite = lab.messages(s0).back();
   lab.receive(s0, server_answer(invite, 200, "answer"));
-  CHECK_EQ(lab.figure("ok.voice"), "1|c");
-  CHECK_EQ(lab.figure("active"), "1|g");  // an established call counts as active
+  CHECK_EQ(lab.telemetry_metric("ok.voice"), "1|c");
+  CHECK_EQ(lab.telemetry_metric("active"), "1|g");  // an established call counts as active
   lab.receive(s0, server_bye("00000000000000aa", 16));
-  CHECK_EQ(lab.figure("active"), "0|g");
+  CHECK_EQ(lab.telemetry_metric("active"), "0|g");
 
-  lab.receive(kCaller, set_up_line("00000000000000ab", "safety"));
+  lab.receive(kCaller, setup_line("00000000000000ab", "safety"));
   lab.receive(s0, server_answer(lab.messages(s0).back(), 486));
-  CHECK_EQ(lab.figure("errors.safety"), "1|c");
+  CHECK_EQ(lab.telemetry_metric("errors.safety"), "1|c");
 
   // Cancelled by its caller: no answer, not counted.
-  lab.receive(kCaller, set_up_line("00000000000000ac"));
+  lab.receive(kCaller, setup_line("00000000000000ac"));
   lab.receive(kCaller, R"({"type":"release","id":"00000000000000ac","fields":{},"cause":16})"
                        "\n");
-  lab.pass(1s);
-  CHECK_EQ(lab.figure("ok.voice"), "1|c");
-  CHECK_EQ(lab.figure("errors.voice"), "0|c");
-  CHECK_EQ(lab.figure("active"), "0|g");
+  lab.advance(1s);
+  CHECK_EQ(lab.telemetry_metric("ok.voice"), "1|c");
+  CHECK_EQ(lab.telemetry_metric("errors.voice"), "0|c");
+  CHECK_EQ(lab.telemetry_metric("active"), "0|g");
 
   // A class that only a caller names gets no metric.
-  lab.receive(kCaller, set_up_line("00000000000000ad", "invented"));
-  CHECK_EQ(lab.figure("errors.invented"), "none");
+  lab.receive(kCaller, setup_line("00000000000000ad", "invented"));
+  CHECK_EQ(lab.telemetry_metric("errors.invented"), "none");
 }
 
 void full_server_causes_rejection_and_ejection() {
   PlatformConfig config = with_management();
-  config.known = config_for_tests(1).known;
+  config.cached_endpoints = config_for_tests(1).cached_endpoints;
   ManagementLab lab(config);
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.receive(kCaller, set_up_line("00000000000000aa"));
+  lab.deliver(net::Accepted{kCaller});
+  lab.receive(kCaller, setup_line("00000000000000aa"));
   lab.receive(s0, server_answer(lab.messages(s0).back(), 503, {}, "Warning-Word: cpu_full\r\n"));
-  lab.pass(3s);
-  CHECK_EQ(lab.figure("shed.voice"), "1|c");
-  CHECK_EQ(lab.figure("pool_ejected"), "1|g");
-  lab.pass(10s);  // the ejection has expired
-  CHECK_EQ(lab.figure("pool_ejected"), "0|g");
+  lab.advance(3s);
+  CHECK_EQ(lab.telemetry_metric("shed.voice"), "1|c");
+  CHECK_EQ(lab.telemetry_metric("pool_ejected"), "1|g");
+  lab.advance(10s);  // the ejection has expired
+  CHECK_EQ(lab.telemetry_metric("pool_ejected"), "0|g");
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -87,7 +87,7 @@
       d.from.name = "g9";
       d.from.address = "10.0.0.9:7946";
       d.from.incarnation = d.from.start_nonce = 4;
-      d.number = 1;
+      d.sequence_number = 1;
       d.body = Ping{1, false, false, {}};
       effects.clear();
       m.step(now, DatagramReceived{d}, effects);
@@ -98,11 +98,11 @@
         }
       }
       CHECK(token != 0);
-      d.number = 2;
+      d.sequence_number = 2;
       d.body = Ack{token, false, {}};
       m.step(now, DatagramReceived{d}, effects);
       for (const std::size_t i : order) {
-        ++d.number;
+        ++d.sequence_number;
         d.body = Gossip{};
         d.records = {five[i]};
         m.step(now, DatagramReceived{d}, effects);
@@ -162,11 +162,11 @@
                        std::function<void(std::size_t, membership::Settings&)> edit = {})
       : FleetSim(size, seed, std::move(edit)) {
     start_all();
-    if (!until(10s, [&] { return all_agree(); })) {
+    if (!run_until_true(10s, [&] { return all_agree(); })) {
       std::cerr << "seed " << seed << '\n';
       CHECK(false);
     }
-    take_found();
+    take_reported_events();
   }
 };
 
@@ -178,11 +178,11 @@
   return count;
 }
 std::size_t count_events(const FleetSim& sim, MemberEventKind kind) {
-  return static_cast<std::size_t>(std::count_if(sim.found().begin(), sim.found().end(),
+  return static_cast<std::size_t>(std::count_if(sim.reported_events().begin(), sim.reported_events().end(),
                                                 [&](const auto& f) { return f.what.kind == kind; }));
 }
 void expect_agreement_within(FleetSim& sim, Duration timeout) {
-  CHECK(sim.until(timeout, [&] { return sim.all_agree(); }).has_value());
+  CHECK(sim.run_until_true(timeout, [&] { return sim.all_agree(); }).has_value());
 }
 
 // Exhaustive: each of the first datagrams of a fleet of three is delivered, lost, duplicated or delayed. In
@@ -192,19 +192,20 @@
   const std::uint64_t all = std::uint64_t{1} << (2 * datagrams);
   for (std::uint64_t choice = 0; choice < all; ++choice) {
     FleetSim sim(3, 5);
-    sim.fate = [&](std::uint64_t nth) -> std::optional<FleetSim::Fate> {
+    sim.datagram_fault = [&](std::uint64_t nth) -> std::optional<FleetSim::DatagramFault> {
       if (nth > static_cast<std::uint64_t>(datagrams)) return std::nullopt;
-      return static_cast<FleetSim::Fate>(choice >> (2 * (nth - 1)) & 3);
+      return static_cast<FleetSim::DatagramFault>(choice >> (2 * (nth - 1)) & 3);
     };
     sim.start_all();
-    if (!sim.until(10s, [&] { return sim.all_agree(); })) {
+    if (!sim.run_until_true(10s, [&] { return sim.all_agree(); })) {
       std::cerr << "choice " << choice << '\n';
       CHECK(false);
     }
     CHECK_EQ(sim.false_deaths(), 0U);
     if (choice % 16 != 0) continue;
     sim.kill(2);
-    CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 2, State::dead) == 2; }).has_value());
+    CHECK(
+        sim.run_until_true(1500ms, [&] { return members_reporting(sim, 2, State::dead) == 2; }).has_value());
   }
 }
 
@@ -212,7 +213,8 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     AgreedFleet sim(seed);
     sim.kill(5);
-    CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; }).has_value());
+    CHECK(sim.run_until_true(1500ms, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; })
+              .has_value());
     CHECK(sim.counts().refused > 0);
     CHECK_EQ(sim.false_deaths({5}), 0U);
     expect_agreement_within(sim, 2s);
@@ -225,15 +227,17 @@
   sim.kill(5, true);
   sim.run(2500ms);
   CHECK_EQ(members_reporting(sim, 5, State::dead), 0U);
-  CHECK(sim.until(6s, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; }).has_value());
-  CHECK(sim.counts().unheard_datagrams > 0);
+  CHECK(sim.run_until_true(6s, [&] { return members_reporting(sim, 5, State::dead) == kSize - 1; })
+            .has_value());
+  CHECK(sim.counts().undelivered_datagrams > 0);
   CHECK_EQ(sim.false_deaths({5}), 0U);
 }
 
 void leave_is_accepted_at_once() {
   AgreedFleet sim(3);
   sim.leave(4);
-  CHECK(sim.until(300ms, [&] { return members_reporting(sim, 4, State::left) == kSize - 1; }).has_value());
+  CHECK(sim.run_until_true(300ms, [&] { return members_reporting(sim, 4, State::left) == kSize - 1; })
+            .has_value());
   CHECK_EQ(count_events(sim, MemberEventKind::suspected) + count_events(sim, MemberEventKind::died), 0U);
   sim.kill(4);
   sim.run(5s);
@@ -260,9 +264,9 @@
       }
       return false;
     };
-    sim.until(400ms, check_single_member);
+    sim.run_until_true(400ms, check_single_member);
     sim.start(6);
-    sim.until(2s, check_single_member);
+    sim.run_until_true(2s, check_single_member);
     expect_agreement_within(sim, 2s);
     CHECK_EQ(sim.false_deaths(), 0U);
     unreachable_pings += sim.counts().refused;
@@ -297,7 +301,8 @@
   AgreedFleet sim(9, kSize,
                   [](std::size_t i, membership::Settings& s) { s.incarnation += i % 2 == 0 ? 0 : 120'000; });
   sim.kill(3);
-  CHECK(sim.until(1500ms, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
+  CHECK(sim.run_until_true(1500ms, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; })
+            .has_value());
   sim.start(3);
   expect_agreement_within(sim, 3s);
 }
@@ -306,7 +311,7 @@
   AgreedFleet sim(11);
   Link cut;
   cut.cut = true;
-  sim.link(2, 7, cut);
+  sim.set_link(2, 7, cut);
   sim.run(30s);
   CHECK(sim.counts().cut > 0);
   CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
@@ -328,8 +333,9 @@
   AgreedFleet sim(12);
   Link cut;
   cut.cut = true;
-  for (std::size_t i = 0; i < kSize; ++i) sim.link(3, i, cut);
-  CHECK(sim.until(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
+  for (std::size_t i = 0; i < kSize; ++i) sim.set_link(3, i, cut);
+  CHECK(sim.run_until_true(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; })
+            .has_value());
   sim.run(20s);
   CHECK_EQ(sim.false_deaths({3}), 0U);
   for (std::size_t i = 0; i < kSize; ++i) {
@@ -344,8 +350,9 @@
   AgreedFleet sim(13);
   Link cut;
   cut.cut = true;
-  for (std::size_t i = 0; i < kSize; ++i) sim.link(i, 3, cut);
-  CHECK(sim.until(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; }).has_value());
+  for (std::size_t i = 0; i < kSize; ++i) sim.set_link(i, 3, cut);
+  CHECK(sim.run_until_true(15s, [&] { return members_reporting(sim, 3, State::dead) == kSize - 1; })
+            .has_value());
   sim.run(30s);
   CHECK_EQ(sim.false_deaths({3}), 0U);
   CHECK_EQ(members_reporting(sim, 3, State::dead), kSize - 1);  // its own pings do not make it a member again
@@ -377,7 +384,7 @@
   CHECK(sim.counts().cut > 0);
   Link bad;
   bad.loss = 0.2;
-  sim.all_links(bad);
+  sim.set_all_links(bad);
   expect_agreement_within(sim, 10s);
   CHECK(sim.counts().lost > 0);
 }
@@ -387,13 +394,13 @@
     AgreedFleet sim(seed);
     Link bad;
     bad.loss = 0.3;
-    bad.doubled = 0.05;
-    bad.most = 60ms;
-    sim.all_links(bad);
+    bad.duplication = 0.05;
+    bad.max_delay = 60ms;
+    sim.set_all_links(bad);
     sim.run(60s);
     CHECK(sim.counts().lost > 1000);
     CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
-    sim.all_links({});
+    sim.set_all_links({});
     expect_agreement_within(sim, 5s);
   }
 }
@@ -411,9 +418,9 @@
       sim.resume(4);
       sim.run(2s);
       CHECK_EQ(sim.false_deaths({4}), 0U);
-      for (const auto& f : sim.found())
-        CHECK(f.what.kind != MemberEventKind::suspected || f.what.record.suspecting_member != "g4" ||
-              f.what.record.name == "g4");
+      for (const auto& f : sim.reported_events())
+        CHECK(f.event.kind != MemberEventKind::suspected || f.event.record.suspecting_member != "g4" ||
+              f.event.record.name == "g4");
       CHECK_EQ(sim.member(4).metrics().pauses, 1U);
       expect_agreement_within(sim, 4s);
       if (span <= 2s) CHECK_EQ(count_events(sim, MemberEventKind::died), 0U);
@@ -434,22 +441,23 @@
       });
       Link bad;
       bad.loss = 0.4;
-      sim.all_links(bad);
+      sim.set_all_links(bad);
       // Until it suspects a member.
-      CHECK(sim.until(60s,
-                      [&] {
-                        const auto all = sim.member(4).members();
-                        return std::any_of(all.begin(), all.end(), [](const MemberView& m) {
-                          return m.record.state == State::suspect;
-                        });
-                      })
+      CHECK(sim.run_until_true(60s,
+                               [&] {
+                                 const auto all = sim.member(4).members();
+                                 return std::any_of(all.begin(), all.end(), [](const MemberView& m) {
+                                   return m.record.state == State::suspect;
+                                 });
+                               })
                 .has_value());
-      sim.all_links({});
+      sim.set_all_links({});
       sim.pause(4);
       sim.run(7s);
       sim.resume(4);
       sim.run(1s);
-      for (const auto& f : sim.found()) deaths += f.what.kind == MemberEventKind::died && f.by == 4 ? 1 : 0;
+      for (const auto& f : sim.reported_events())
+        deaths += f.event.kind == MemberEventKind::died && f.reported_by == 4 ? 1 : 0;
     }
     CHECK_EQ(deaths > 0, !pause_detection);
   }
@@ -519,16 +527,18 @@
   });
   for (std::size_t i = 0; i < kSize; ++i) sim.start(i);
   expect_agreement_within(sim, 5s);
-  sim.take_found();
+  sim.take_reported_events();
   sim.start(kSize);
   sim.run(20s);
   CHECK(!sim.member(kSize).is_member());
   CHECK(sim.member(5).is_member());
   CHECK_EQ(count_events(sim, MemberEventKind::stood_down), 1U);
-  for (const auto& f : sim.found())
-    CHECK(f.by == kSize || (f.what.kind != MemberEventKind::joined && f.what.kind != MemberEventKind::died));
+  for (const auto& f : sim.reported_events())
+    CHECK(f.reported_by == kSize ||
+          (f.event.kind != MemberEventKind::joined && f.event.kind != MemberEventKind::died));
   sim.kill(5);
-  CHECK(sim.until(20s, [&] { return sim.member(kSize).is_member() && sim.all_agree(); }).has_value());
+  CHECK(
+      sim.run_until_true(20s, [&] { return sim.member(kSize).is_member() && sim.all_agree(); }).has_value());
 }
 
 void both_processes_of_a_name_report_the_conflict() {
@@ -543,9 +553,9 @@
   sim.run(5s);
   bool first = false;
   bool second = false;
-  for (const auto& f : sim.found()) {
-    first = first || (f.by == 1 && f.what.kind == MemberEventKind::name_taken);
-    second = second || (f.by == 3 && f.what.kind == MemberEventKind::stood_down);
+  for (const auto& f : sim.reported_events()) {
+    first = first || (f.reported_by == 1 && f.event.kind == MemberEventKind::name_taken);
+    second = second || (f.reported_by == 3 && f.event.kind == MemberEventKind::stood_down);
   }
   CHECK(first && second);
 }
@@ -572,16 +582,16 @@
 void replayed_datagrams_change_nothing() {
   AgreedFleet sim(51);
   std::vector<membership::Datagram> recorded;
-  sim.tap = [&](std::size_t from, std::size_t, const membership::Datagram& d) {
+  sim.on_datagram_sent = [&](std::size_t from, std::size_t, const membership::Datagram& d) {
     if (from == 5 && recorded.size() < 500) recorded.push_back(d);
   };
   sim.run(5s);
-  sim.tap = {};
+  sim.on_datagram_sent = {};
   CHECK(recorded.size() > 20);
   sim.kill(5);
   sim.run(60s);
   CHECK_EQ(members_reporting(sim, 5, State::dead), kSize - 1);
-  sim.take_found();
+  sim.take_reported_events();
   for (const membership::Datagram& d : recorded) {
     for (std::size_t i = 0; i < kSize; ++i) {
       if (i != 5) sim.inject(i, d);
@@ -593,11 +603,11 @@
   // Replayed datagrams of a running member are dropped, because each was accepted once.
   std::uint64_t dropped = 0;
   recorded.clear();
-  sim.tap = [&](std::size_t from, std::size_t to, const membership::Datagram& d) {
+  sim.on_datagram_sent = [&](std::size_t from, std::size_t to, const membership::Datagram& d) {
     if (from == 6 && to == 7) recorded.push_back(d);
   };
   sim.run(3s);
-  sim.tap = {};
+  sim.on_datagram_sent = {};
   sim.run(100ms);
   for (const membership::Datagram& d : recorded) sim.inject(7, d);
   for (const auto reason : {DropReason::duplicate, DropReason::too_old})
@@ -614,12 +624,12 @@
   for (int round = 0; round < 100; ++round) {
     membership::Datagram d;
     d.from = liar;
-    d.number = ++number;
+    d.sequence_number = ++number;
     d.body = Gossip{};
     for (std::size_t i = 0; i < 8; ++i) {
       Record r = sim.member(i).self();
       r.state = State::dead;
-      r.evidence = Evidence::unresponsive;
+      r.state_reason = StateReason::unresponsive;
       r.suspecting_member = "g11";
       d.records.push_back(r);
     }
@@ -643,7 +653,7 @@
   d.from.name = "stranger";
   d.from.address = "10.9.9.9:1";
   d.from.incarnation = d.from.start_nonce = 1;
-  d.number = 1;
+  d.sequence_number = 1;
   d.body = Ping{1, false, false, {}};
   sim.inject(0, d);
   sim.run(3s);
@@ -660,7 +670,7 @@
     d.from.name = "s" + std::to_string(random() % 100'000);
     d.from.address = "10.9." + std::to_string(random() % 250) + "." + std::to_string(random() % 250) + ":1";
     d.from.incarnation = d.from.start_nonce = random() >> 1;
-    d.number = random();
+    d.sequence_number = random();
     if (i % 3 == 0)
       d.body = Ping{random(), i % 2 == 0, false, {}};
     else if (i % 3 == 1)
@@ -672,7 +682,7 @@
     sim.run(1ms);
   }
   CHECK(sim.member(0).members().size() == kSize);
-  CHECK(sim.member(0).memory() < 400'000);
+  CHECK(sim.member(0).memory_bytes() < 400'000);
   CHECK_EQ(count_events(sim, MemberEventKind::died) + count_events(sim, MemberEventKind::joined), 0U);
 }
 
@@ -699,7 +709,7 @@
   d.from.name = FleetSim::name_of(1);
   d.from.address = FleetSim::address_of(1);
   d.from.incarnation = d.from.start_nonce = 2;
-  d.number = 1;
+  d.sequence_number = 1;
   d.body = Ping{1, false, false, {}};
   effects.clear();
   existing.step(now, DatagramReceived{d}, effects);
@@ -709,7 +719,7 @@
     if (ping != nullptr) d.body = Ack{ping->token, false, {}};
   }
   CHECK(std::holds_alternative<Ack>(d.body));
-  ++d.number;
+  ++d.sequence_number;
   existing.step(now, DatagramReceived{d}, effects);
   d.body = Gossip{};
   for (std::size_t i = 2; i < kFleet; ++i) {
@@ -718,7 +728,7 @@
     r.address = FleetSim::address_of(i);
     r.incarnation = r.start_nonce = i + 1;
     d.records = {r};
-    ++d.number;
+    ++d.sequence_number;
     existing.step(now, DatagramReceived{d}, effects);
   }
   CHECK_EQ(existing.members().size(), kFleet);
@@ -804,16 +814,16 @@
       case 4: {
         Link l;
         l.cut = true;
-        sim.link(i, random() % size, l);
+        sim.set_link(i, random() % size, l);
         cut = true;
         break;
       }
       case 5: {
         Link l;
         l.loss = 0.2;
-        l.doubled = 0.1;
-        l.most = 50ms;
-        sim.all_links(l);
+        l.duplication = 0.1;
+        l.max_delay = 50ms;
+        sim.set_all_links(l);
         break;
       }
       case 6:
@@ -831,10 +841,10 @@
     sim.run(std::chrono::milliseconds(random() % 1500));
   }
   if (!cut) CHECK_EQ(sim.false_deaths(touched), 0U);
-  sim.all_links({});
+  sim.set_all_links({});
   for (const std::size_t i : stopped) sim.resume(i);
   for (const std::size_t i : down) sim.start(i);
-  if (!sim.until(30s, [&] { return sim.all_agree(); })) {
+  if (!sim.run_until_true(30s, [&] { return sim.all_agree(); })) {
     std::cerr << "seed " << seed << ": no agreement\n";
     for (std::size_t i = 0; i < size; ++i) {
       std::cerr << i << (sim.member(i).is_member() ? " member " : " none ") << sim.member(i).view().settled
--- a/tests/otlp_test.cpp
+++ b/tests/otlp_test.cpp
@@ -60,15 +60,15 @@
   CHECK(post.starts_with("POST /v1/traces HTTP/1.1\r\n"));
   CHECK(post.find("\"parentSpanId\"") != std::string::npos);
   lab.answer(conn, "503 Busy");
-  CHECK_EQ(lab.counters.of("otlp.posts_dropped"), 0U);
+  CHECK_EQ(lab.counters.value("otlp.posts_dropped"), 0U);
   lab.export_now();
   conn = lab.connect();
   CHECK_EQ(lab.sent(), post);
   lab.answer(conn, "200 OK");
-  CHECK_EQ(lab.counters.of("otlp.spans"), 1U);
+  CHECK_EQ(lab.counters.value("otlp.spans"), 1U);
   CHECK(lab.sent().starts_with("POST /v1/metrics "));
   lab.answer(conn, "400 Bad Request");  // not retryable
-  CHECK_EQ(lab.counters.of("otlp.posts_dropped"), 1U);
+  CHECK_EQ(lab.counters.value("otlp.posts_dropped"), 1U);
 }
 
 void gauges_are_exported_with_their_attributes() {
@@ -91,7 +91,7 @@
 void unresponsive_collector_uses_bounded_memory() {
   ExporterLab lab;
   for (int i = 0; i < 5000; ++i) lab.request();
-  CHECK_EQ(lab.counters.of("otlp.spans_dropped"), 5000U - 2048U);
+  CHECK_EQ(lab.counters.value("otlp.spans_dropped"), 5000U - 2048U);
   lab.export_now();
   const ConnId conn = lab.connect();
   CHECK(!lab.sent().empty());
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 void call_is_established_and_released() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
   CHECK_EQ(invite.uri, "sip:7f3a9c21e0b4d655@net");
   CHECK_EQ(invite.header("Call-ID"), kId);
@@ -25,7 +25,7 @@
   const jsonl::Message answer = lab.line();
   CHECK_EQ(answer.type, "answer");
   CHECK_EQ(*answer.description, "answer");
-  lab.pass(5s);
+  lab.advance(5s);
   lab.receive(lab.s0, server_bye(kId, 16));
   CHECK_EQ(lab.messages(lab.s0).at(0).status, 200);
   const jsonl::Message release = lab.line();
@@ -35,32 +35,32 @@
 
 // Callers that get no Retry-After redial at once.
 void rejection_carries_retry_after() {
-  Ready lab(1);
-  lab.tell(net::Closed{lab.s0, true});
-  for (const net::Connect& c : std::exchange(lab.connects, {})) lab.tell(net::ConnectFailed{c.conn, true});
-  lab.receive(kCaller, set_up());
-  lab.pass(1600ms);
+  ConnectedLab lab(1);
+  lab.deliver(net::Closed{lab.s0, true});
+  for (const net::Connect& c : std::exchange(lab.connects, {})) lab.deliver(net::ConnectFailed{c.conn, true});
+  lab.receive(kCaller, setup_line_with_key());
+  lab.advance(1600ms);
   const jsonl::Message release = lab.line();
   CHECK_EQ(release.type, "release");
   CHECK(!release.field("wait").empty());
 }
 
 void final_answer_comes_at_the_deadline() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.invite(lab.s0);
-  lab.pass(1499ms);
+  lab.advance(1499ms);
   CHECK(lab.lines(kCaller).empty());
-  lab.pass(1ms);
+  lab.advance(1ms);
   CHECK_EQ(lab.line().type, "release");
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "CANCEL");
-  lab.pass(5s);
+  lab.advance(5s);
   CHECK(lab.lines(kCaller).empty());
 }
 
 void late_success_after_cancel_is_released() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
   lab.receive(kCaller, R"({"type":"release","id":")" + kId +
                            R"(","fields":{},"cause":16})"
@@ -71,25 +71,25 @@
   CHECK_EQ(after.size(), 2U);
   CHECK_EQ(after[0].method, "ACK");
   CHECK_EQ(after[1].method, "BYE");
-  lab.pass(3s);
+  lab.advance(3s);
   CHECK(lab.messages(lab.s0).empty() && lab.messages(lab.s1).empty() && lab.lines(kCaller).empty());
 }
 
 void attempt_after_reset_waits_for_release_guard() {
-  Ready lab;
-  lab.receive(kCaller, set_up(kId, 3000));
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key(kId, 3000));
   const sip::Message invite = lab.invite(lab.s0);
   lab.receive(lab.s0, server_answer(invite, 504));
   CHECK_EQ(lab.messages(lab.s0).at(0).method, "ACK");
-  lab.pass(199ms);
+  lab.advance(199ms);
   CHECK(lab.messages(lab.s1).empty());
-  lab.pass(200ms);
+  lab.advance(200ms);
   CHECK_EQ(lab.messages(lab.s1).at(0).header("CSeq"), "2 INVITE");
 }
 
 void setup_rejected_by_full_server_is_retried_elsewhere_at_once() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
   lab.receive(lab.s0,
               server_answer(invite, 503, {}, "Warning-Word: cpu_full\r\nP-Load: x0:3;latency_ms:900\r\n"));
@@ -102,7 +102,7 @@
   const auto parse = [](const std::string& header) {
     const std::string text =
         "SIP/2.0 503 x\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\n" + header + "Content-Length: 0\r\n\r\n";
-    return upstream::retry_after_of(sip::read_stream(text).message);
+    return upstream::parse_retry_after(sip::read_stream(text).message);
   };
   CHECK(parse("P-Wait: 2949\r\n") == Duration(2949ms));
   CHECK(parse("P-Wait: 0\r\n") == Duration(0ms));
@@ -111,15 +111,15 @@
                           "P-Wait: 99999999999999999999\r\n", "P-Wait: nan\r\n", "P-Wait: 12 ms\r\n"})
     CHECK(!parse(bad));
 
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
   lab.receive(lab.s0, server_answer(invite, 503, {}, "Warning-Word: cpu_full\r\nP-Wait: -7\r\n"));
   CHECK_EQ(lab.messages(lab.s1).at(0).method, "INVITE");
 }
 
 // The value of a counter of the gatekeeper; 0 if it has none of that name.
-std::uint64_t counter_value(Lab& lab, const std::string& name) {
+std::uint64_t counter_value(GatekeeperLab& lab, const std::string& name) {
   net::Effects effects;
   lab.gatekeeper.step(lab.now, net::CountersRequested{}, effects);
   for (const net::Effect& effect : effects) {
@@ -133,59 +133,60 @@
 // Guards against ticks, answers and load reports that iterate over the whole endpoint list: the counter
 // servers.looked_at grows only with servers that have pending work.
 void ticks_visit_only_servers_with_pending_work() {
-  Ready lab(300);
-  lab.pass(1s);
+  ConnectedLab lab(300);
+  lab.advance(1s);
   auto visited = [&lab, before = std::uint64_t{0}]() mutable {
     const std::uint64_t all = counter_value(lab, "servers.looked_at");
     return all - std::exchange(before, all);
   };
   CHECK(visited() <= 2 * 300);  // at the start
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK_EQ(visited(), 0U);
   // One server has a call: it is visited by each of 20 ticks a second, and once for its answer.
-  lab.receive(kCaller, set_up());
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK_EQ(visited(), 201U);
   lab.receive(lab.s0, server_bye(kId, 16));
-  lab.pass(15s);  // the released call is retained for a while
+  lab.advance(15s);  // the released call is retained for a while
   visited();
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK_EQ(visited(), 0U);
   // Each server sends two load reports on its own connection.
   for (std::uint32_t i = 0; i < 600; ++i)
     lab.receive({Concern::server, lab.s0.number + i % 300},
                 "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nP-Load: x0:9\r\nContent-Length: 0\r\n\r\n");
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(visited() <= 600);
   // A server whose connection is lost is visited until it is back; no other one is.
   lab.connects.clear();
-  lab.tell(net::Closed{lab.s1, true});
+  lab.deliver(net::Closed{lab.s1, true});
   CHECK_EQ(lab.connects.size(), 1U);
-  lab.tell(net::ConnectFailed{lab.connects[0].conn, true});
+  lab.deliver(net::ConnectFailed{lab.connects[0].conn, true});
   lab.connects.clear();
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK_EQ(lab.connects.size(), 1U);
   CHECK(visited() <= 21);
   lab.bring_up();
-  lab.pass(1s);
+  lab.advance(1s);
   visited();
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK_EQ(visited(), 0U);
 }
 
 // Servers put their own number into CSeq, always 1. If responses were matched on it as well, the answer to a
 // second attempt at the same server would go to the first one, and the call would hang until its deadline.
 void second_attempt_at_the_same_server_is_answered() {
-  Ready lab(1);
-  lab.receive(kCaller, set_up(kId, 4000));
+  ConnectedLab lab(1);
+  lab.receive(kCaller, setup_line_with_key(kId, 4000));
   const sip::Message first = lab.invite(lab.s0);
-  lab.pass(70ms);                                    // within the throttle's latency budget
-  lab.receive(kCaller, set_up("00000000000000bb"));  // answered before it: the first one counts as lost
+  lab.advance(70ms);  // within the throttle's latency budget
+  lab.receive(kCaller,
+              setup_line_with_key("00000000000000bb"));  // answered before it: the first one counts as lost
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "b"));
   CHECK_EQ(lab.line().id, "00000000000000bb");
   lab.messages(lab.s0);
-  lab.pass(1200ms);
+  lab.advance(1200ms);
   const auto sent = lab.messages(lab.s0);
   CHECK_EQ(sent.size(), 2U);
   CHECK_EQ(sent[0].method, "CANCEL");
@@ -201,20 +202,21 @@
 // The release of the second attempt's call comes on the connection of the first attempt, to which it must not
 // be attributed.
 void release_may_come_on_the_connection_of_an_earlier_attempt() {
-  Ready lab(1);
-  lab.receive(kCaller, set_up(kId, 4000));
+  ConnectedLab lab(1);
+  lab.receive(kCaller, setup_line_with_key(kId, 4000));
   const sip::Message first = lab.invite(lab.s0);
-  lab.pass(100ms);
-  lab.receive(kCaller, set_up("00000000000000bb") + set_up("00000000000000cc", 8000));
+  lab.advance(100ms);
+  lab.receive(kCaller,
+              setup_line_with_key("00000000000000bb") + setup_line_with_key("00000000000000cc", 8000));
   const auto others = lab.messages(lab.s0);
   lab.receive(lab.s0, server_answer(others.at(0), 200, "b"));
   lab.lines(kCaller);
-  lab.pass(580ms);
+  lab.advance(580ms);
   CHECK_EQ(lab.messages(lab.s0).back().method, "CANCEL");
-  lab.pass(100ms);  // no input for 0.6 s: a second connection is opened and takes later setups
+  lab.advance(100ms);  // no input for 0.6 s: a second connection is opened and takes later setups
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.pass(400ms);
+  lab.advance(400ms);
   CHECK_EQ(lab.messages(next).at(0).header("Call-ID"), kId);
   lab.receive(next, server_answer(first, 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
@@ -225,29 +227,30 @@
 // A server that answers within 60 ms must be found unresponsive by overdue answers: a fixed limit of 600 ms
 // without input left 15 calls hanging.
 void unresponsive_connection_is_detected_by_overdue_answers() {
-  Ready lab(2);
+  ConnectedLab lab(2);
   const auto id = [](int i) { return "00000000000000" + std::to_string(10 + i); };
   for (int i = 0; i < 8; ++i) {
-    lab.receive(kCaller, set_up(id(i)));
+    lab.receive(kCaller, setup_line_with_key(id(i)));
     const sip::Message invite = lab.invite(lab.s0);
-    lab.pass(60ms);
+    lab.advance(60ms);
     lab.receive(lab.s0, server_answer(invite, 200, "a"));
     lab.messages(lab.s0);
   }
   lab.lines(kCaller);
   CHECK(lab.connects.empty());
-  lab.receive(kCaller, set_up(id(20)) + set_up(id(21)) + set_up(id(22)));
+  lab.receive(kCaller,
+              setup_line_with_key(id(20)) + setup_line_with_key(id(21)) + setup_line_with_key(id(22)));
   CHECK_EQ(lab.messages(lab.s0).size(), 3U);
-  lab.pass(90ms);
+  lab.advance(90ms);
   CHECK(lab.connects.empty());
-  lab.pass(60ms);                     // still within the throttle's latency budget
+  lab.advance(60ms);                  // still within the throttle's latency budget
   CHECK_EQ(lab.connects.size(), 1U);  // suspect: new setups go elsewhere, open ones wait for their answers
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.receive(kCaller, set_up(id(30)));
+  lab.receive(kCaller, setup_line_with_key(id(30)));
   const sip::Message invite = lab.invite(next);
   CHECK(std::count(lab.closed.begin(), lab.closed.end(), lab.s0) == 0);
-  lab.pass(20ms);
+  lab.advance(20ms);
   lab.receive(next, server_answer(invite, 200, "a"));  // overtakes the three open ones
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), lab.s0), 1);
   CHECK_EQ(std::count(lab.dropped.begin(), lab.dropped.end(), lab.s0),
@@ -264,10 +267,10 @@
     lab.receive(release_conn, server_bye(id(i), 16));  // kept while calls are established
   CHECK_EQ(lab.lines(kCaller).size(), 7U);
   lab.messages(next);
-  lab.receive(kCaller, set_up(id(31)));
+  lab.receive(kCaller, setup_line_with_key(id(31)));
   CHECK_EQ(lab.invite(next).header("Call-ID"), id(31));
   lab.messages(lab.s1);
-  lab.pass(500ms);
+  lab.advance(500ms);
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), release_conn), 1);
   std::set<std::string> again;
   for (const sip::Message& m : lab.messages(lab.s1)) {
@@ -279,13 +282,13 @@
 // The connection that replaces an unresponsive one is unresponsive as well. It must be replaced in time: when
 // that took 1.2 s, callers got releases later than the required 1 s.
 void second_unresponsive_connection_is_detected_in_time() {
-  Ready lab(1);
-  lab.stand(lab.s0);
+  ConnectedLab lab(1);
+  lab.establish_call(lab.s0);
   const auto call_until_reconnect = [&](int from) {  // calls arrive continuously and none is answered
     Duration waited{};
     for (int i = from; lab.connects.empty() && waited < 3s; ++i, waited += 50ms) {
-      lab.receive(kCaller, set_up("00000000000000" + std::to_string(i), 4000));
-      lab.pass(50ms);
+      lab.receive(kCaller, setup_line_with_key("00000000000000" + std::to_string(i), 4000));
+      lab.advance(50ms);
     }
     return waited;
   };
@@ -295,34 +298,34 @@
   CHECK(call_until_reconnect(40) <= 900ms);
   const ConnId third = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.release_is_told_on(third);
+  lab.expect_release_forwarded(third);
 }
 
 // When the callers of all open setups on a suspect connection have left, it is closed although calls are
 // established there. It must be dropped and replaced, not half-closed: releases that the server has written
 // to it would be lost.
 void release_from_unresponsive_connection_arrives_on_another() {
-  Ready lab(1);
-  lab.stand(lab.s0);
-  lab.receive(kCaller, set_up("00000000000000bb", 900));  // never answered
-  while (lab.connects.empty()) lab.pass(50ms);
+  ConnectedLab lab(1);
+  lab.establish_call(lab.s0);
+  lab.receive(kCaller, setup_line_with_key("00000000000000bb", 900));  // never answered
+  while (lab.connects.empty()) lab.advance(50ms);
   lab.bring_up();
-  lab.pass(1s);  // its caller has left
+  lab.advance(1s);  // its caller has left
   CHECK_EQ(std::count(lab.dropped.begin(), lab.dropped.end(), lab.s0), 1);
   CHECK_EQ(lab.connects.size(), 1U);
   const ConnId release_conn = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.release_is_told_on(release_conn);
+  lab.expect_release_forwarded(release_conn);
 }
 
 // Releases of calls whose connection is lost come on a connection opened for them. When that one is
 // unresponsive, another must replace it: it was closed after 0.3 s without a successor, and a release sent on
 // it was lost.
 void unresponsive_release_connection_is_replaced() {
-  Ready lab(1);
-  lab.stand(lab.s0);
-  lab.receive(kCaller, set_up("00000000000000bb", 4000));  // not answered
-  for (int i = 0; i < 40 && lab.connects.empty(); ++i) lab.pass(50ms);
+  ConnectedLab lab(1);
+  lab.establish_call(lab.s0);
+  lab.receive(kCaller, setup_line_with_key("00000000000000bb", 4000));  // not answered
+  for (int i = 0; i < 40 && lab.connects.empty(); ++i) lab.advance(50ms);
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
   lab.receive(lab.s0, "what is this\r\n\r\n");  // malformed: the established call has no connection any more
@@ -332,16 +335,16 @@
     lab.bring_up();
     Duration waited{};
     for (; lab.connects.empty() && waited < 3s; waited += 50ms) {
-      lab.pass(50ms);
+      lab.advance(50ms);
       lab.receive(next, "SIP/2.0 100 x\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n");
     }
     CHECK(waited >= 500ms && waited <= 700ms);
   }
   const ConnId last = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.release_is_told_on(last);
+  lab.expect_release_forwarded(last);
   lab.messages(last);
-  lab.pass(700ms);  // no release is left to come
+  lab.advance(700ms);  // no release is left to come
   CHECK_EQ(std::count(lab.closed.begin(), lab.closed.end(), last), 1);
 }
 
@@ -361,14 +364,14 @@
       "SIP/2.0 200 OK" + head + "20\r\n\r\na",   // Content-Length beyond the received bytes
   };
   for (const std::string& bytes : malformed) {
-    Ready lab;
-    lab.receive(kCaller, set_up(kId, 3000));
+    ConnectedLab lab;
+    lab.receive(kCaller, setup_line_with_key(kId, 3000));
     lab.invite(lab.s0);
     lab.receive(lab.s0, bytes);
-    lab.pass(500ms);
+    lab.advance(500ms);
     CHECK(!lab.closed.empty() && lab.closed[0] == lab.s0);
     CHECK(lab.lines(kCaller).empty());
-    lab.pass(300ms);
+    lab.advance(300ms);
     CHECK_EQ(lab.messages(lab.s1).at(0).header("Call-ID"), kId);
   }
 }
@@ -379,8 +382,8 @@
   const std::string noise =
       "\x01gx\xd7\xfe"
       "E\r\n\r\n";
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
   lab.receive(lab.s0, server_bye(kId, 16) + noise);
@@ -390,60 +393,60 @@
   CHECK(!lab.dropped.empty() && lab.dropped[0] == lab.s0);  // the begin of the next message is unknown
 
   // A rejection as well: its setup is finished and needs no release guard.
-  Ready other;
-  other.receive(kCaller, set_up(kId, 3000));
+  ConnectedLab other;
+  other.receive(kCaller, setup_line_with_key(kId, 3000));
   other.receive(other.s0, server_answer(other.invite(other.s0), 503, "") + noise);
-  other.pass(100ms);
+  other.advance(100ms);
   CHECK_EQ(other.messages(other.s1).at(0).header("Call-ID"), kId);
 }
 
 // A duplicate response, or one with an unknown id and any content, is ignored; valid messages beside it are
 // used.
 void duplicate_and_unknown_responses_are_ignored() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
   sip::Message unknown = invite;
   unknown.set("Call-ID", "00000000000000ff");
   const std::string good = server_answer(invite, 200, "a");
   lab.receive(lab.s0, server_answer(unknown, 200, "\xff\xfe") + good + good);
   CHECK_EQ(lab.line().type, "answer");
-  lab.pass(500ms);
+  lab.advance(500ms);
   CHECK(lab.closed.empty() && lab.lines(kCaller).empty());
 }
 
 // A release before the answer was ignored, and the caller got no final answer.
 void release_without_an_answer_ends_the_setup() {
-  Ready lab;
-  lab.receive(kCaller, set_up(kId, 3000));
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key(kId, 3000));
   const sip::Message invite = lab.invite(lab.s0);
   lab.receive(lab.s0, server_bye(kId, 16));
   CHECK_EQ(lab.line().type, "release");
   lab.messages(lab.s0);
   lab.receive(lab.s0, server_answer(invite, 200, "a"));
   CHECK_EQ(lab.messages(lab.s0).at(1).method, "BYE");
-  lab.pass(3s);
+  lab.advance(3s);
   CHECK(lab.lines(kCaller).empty() && lab.messages(lab.s1).empty());
 }
 
 // A connection that stays open without input while the server reports its load on others is half-open, and
 // its setups would hang.
 void connection_without_load_reports_that_others_carry_is_closed() {
-  Ready lab;
+  ConnectedLab lab;
   const std::string state = "NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nContent-Length: 0\r\n\r\n";
   for (int i = 0; i < 3; ++i) {
-    lab.pass(400ms);
+    lab.advance(400ms);
     lab.receive(lab.s0, state);
   }
-  lab.receive(kCaller, set_up(kId, 3000));
+  lab.receive(kCaller, setup_line_with_key(kId, 3000));
   lab.messages(lab.s0);
-  lab.pass(700ms);
+  lab.advance(700ms);
   const auto second = lab.bring_up("127.0.0.1:9000");
   CHECK_EQ(second.size(), 1U);
   CHECK(lab.closed.empty());
   lab.receive(second[0], state);
   CHECK(lab.closed.size() == 1 && lab.closed[0] == lab.s0);
-  lab.pass(300ms);
+  lab.advance(300ms);
   CHECK_EQ(lab.messages(lab.s1).at(0).header("Call-ID"), kId);
 }
 
@@ -451,33 +454,33 @@
 void draining_server_gets_no_new_setups() {
   PlatformConfig config = config_for_tests();
   config.journal = "127.0.0.1:8500";
-  Lab lab(config);
-  lab.tell(net::Accepted{kCaller});
+  GatekeeperLab lab(config);
+  lab.deliver(net::Accepted{kCaller});
   std::map<std::string, ConnId> by_address;
   for (const net::Connect& c : lab.connects) by_address[c.address] = c.conn;
   const ConnId journal = by_address.at("127.0.0.1:8500");
   const ConnId s0 = by_address.at("127.0.0.1:9000");
   const ConnId s1 = by_address.at("127.0.0.1:9001");
-  lab.tell(net::Connected{journal});
-  lab.tell(net::Connected{s1});
-  CHECK(lab.take(journal).find("Last-Event-ID: 0\r\n") != std::string::npos);
-  lab.receive(kCaller, set_up());
-  CHECK(lab.take(s0).empty());
+  lab.deliver(net::Connected{journal});
+  lab.deliver(net::Connected{s1});
+  CHECK(lab.take_sent(journal).find("Last-Event-ID: 0\r\n") != std::string::npos);
+  lab.receive(kCaller, setup_line_with_key());
+  CHECK(lab.take_sent(s0).empty());
   const std::string event =
       R"({"pos":4,"hosts":{"rev":2,"all":false,"targets":[{"uid":"s0","endpoint":"127.0.0.1:9000","az":"",)"
       R"("pod_group":0,"state":"draining","boot_ms":0}]}})";
   const std::string stream =
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hi\n\nid: 4\ndata: " + event + "\n\n";
   for (const char c : stream) lab.receive(journal, std::string(1, c));
-  lab.tell(net::Connected{s0});
-  CHECK(lab.take(s0).empty());
+  lab.deliver(net::Connected{s0});
+  CHECK(lab.take_sent(s0).empty());
   CHECK_EQ(lab.messages(s1).at(0).method, "INVITE");
   // After a disconnect the watch resumes from the last event.
-  lab.tell(net::Closed{journal, true});
-  lab.pass(300ms);
+  lab.deliver(net::Closed{journal, true});
+  lab.advance(300ms);
   const ConnId again = lab.connects.back().conn;
-  lab.tell(net::Connected{again});
-  CHECK(lab.take(again).find("Last-Event-ID: 4\r\n") != std::string::npos);
+  lab.deliver(net::Connected{again});
+  CHECK(lab.take_sent(again).find("Last-Event-ID: 4\r\n") != std::string::npos);
 }
 
 // After the move, the old connection may still be established, deliver events or close, and its reconnect
@@ -486,8 +489,8 @@
   for (const bool broken : {false, true}) {
     PlatformConfig config = config_for_tests();
     config.journal = "127.0.0.1:8500";
-    config.known_position = 7;
-    Lab lab(config);
+    config.cached_position = 7;
+    GatekeeperLab lab(config);
     const auto connections_to = [&](const std::string& address) {
       std::vector<ConnId> all;
       for (const net::Connect& c : lab.connects) {
@@ -496,32 +499,33 @@
       return all;
     };
     const ConnId old = connections_to("127.0.0.1:8500").at(0);
-    if (broken) lab.tell(net::ConnectFailed{old, true});
+    if (broken) lab.deliver(net::ConnectFailed{old, true});
     const nlohmann::json moved_config = {
         {"listen", "127.0.0.1:1"}, {"seed", "1"}, {"journal", "127.0.0.1:8501"}, {"settings", settings()}};
-    lab.tell(net::FileRead{"", moved_config.dump()});
+    lab.deliver(net::FileRead{"", moved_config.dump()});
     const ConnId moved = connections_to("127.0.0.1:8501").at(0);
-    lab.tell(net::Connected{moved});
-    CHECK(lab.take(moved).find("Last-Event-ID: 7\r\n") != std::string::npos);
-    if (!broken) lab.tell(net::Closed{old, false});
-    lab.pass(2s);
+    lab.deliver(net::Connected{moved});
+    CHECK(lab.take_sent(moved).find("Last-Event-ID: 7\r\n") != std::string::npos);
+    if (!broken) lab.deliver(net::Closed{old, false});
+    lab.advance(2s);
     CHECK_EQ(connections_to("127.0.0.1:8500").size(), 1U);
     CHECK_EQ(connections_to("127.0.0.1:8501").size(), 1U);
     // A service that sends nothing while its connection is open is reconnected well within 4 s.
-    lab.pass(500ms);
+    lab.advance(500ms);
     CHECK_EQ(connections_to("127.0.0.1:8501").size(), 2U);
   }
 }
 
 void lost_connection_ends_its_setups_and_keeps_established_calls() {
-  Ready lab;
-  lab.receive(kCaller, set_up("00000000000000aa") + set_up("00000000000000bb", 3000));
+  ConnectedLab lab;
+  lab.receive(kCaller,
+              setup_line_with_key("00000000000000aa") + setup_line_with_key("00000000000000bb", 3000));
   const auto invites = lab.messages(lab.s0);
   CHECK_EQ(invites.size(), 2U);
   lab.receive(lab.s0, server_answer(invites[0], 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
-  lab.tell(net::Closed{lab.s0, true});
-  lab.pass(400ms);
+  lab.deliver(net::Closed{lab.s0, true});
+  lab.advance(400ms);
   CHECK_EQ(lab.messages(lab.s1).at(0).header("Call-ID"), "00000000000000bb");
   CHECK(lab.lines(kCaller).empty());  // the established call is kept
   // Its release comes on the next connection.
@@ -536,14 +540,14 @@
 
 // Such a server sends no release: the calls must be released within 8 s.
 void calls_at_an_unreachable_server_are_released_in_time() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.line();
   for (int i = 0; i < 75; ++i) {
-    lab.pass(100ms);
+    lab.advance(100ms);
     for (const net::Connect& c : std::exchange(lab.connects, {})) {
-      if (c.address == "127.0.0.1:9000") lab.tell(net::ConnectFailed{c.conn, false});
+      if (c.address == "127.0.0.1:9000") lab.deliver(net::ConnectFailed{c.conn, false});
     }
   }
   CHECK_EQ(lab.line().type, "release");
@@ -553,11 +557,11 @@
 // server releases the call, which had been established there. The caller gets that release as its final
 // answer, so no further attempt may start.
 void release_of_a_waiting_setup_is_its_only_final_answer() {
-  Ready lab;
-  lab.pass(300ms);
-  lab.receive(kCaller, set_up(kId, 3000));
+  ConnectedLab lab;
+  lab.advance(300ms);
+  lab.receive(kCaller, setup_line_with_key(kId, 3000));
   lab.invite(lab.s0);
-  lab.tell(net::Closed{lab.s0, true});
+  lab.deliver(net::Closed{lab.s0, true});
   const ConnId next = lab.connects.at(0).conn;
   lab.bring_up();
   lab.receive(next, server_bye(kId, 16));
@@ -567,7 +571,7 @@
   CHECK(!release.field("wait").empty());
   lab.receive(next, server_bye(kId, 16));  // repeated: not forwarded either
   CHECK_EQ(lab.messages(next).at(0).status, 200);
-  lab.pass(5s);
+  lab.advance(5s);
   CHECK(lab.messages(next).empty() && lab.messages(lab.s1).empty() && lab.lines(kCaller).empty());
 }
 
@@ -575,11 +579,11 @@
 // call.
 void release_of_an_earlier_attempt_keeps_the_next_one() {
   for (const int status : {200, 503}) {
-    Ready lab;
-    lab.receive(kCaller, set_up(kId, 3000));
+    ConnectedLab lab;
+    lab.receive(kCaller, setup_line_with_key(kId, 3000));
     lab.invite(lab.s0);
-    lab.tell(net::Closed{lab.s0, true});
-    lab.pass(400ms);
+    lab.deliver(net::Closed{lab.s0, true});
+    lab.advance(400ms);
     const sip::Message second = lab.invite(lab.s1);
     const ConnId next = lab.connects.at(0).conn;
     lab.bring_up();
@@ -587,7 +591,7 @@
     CHECK_EQ(lab.messages(next).at(0).status, 200);
     CHECK(lab.lines(kCaller).empty());
     lab.receive(lab.s1, server_answer(second, status, status == 200 ? "answer" : ""));
-    lab.pass(2900ms);
+    lab.advance(2900ms);
     CHECK_EQ(lab.line().type, status == 200 ? "answer" : "release");
     CHECK(lab.messages(next).empty());
   }
@@ -595,7 +599,7 @@
 
 // A call established before a restart is unknown here, but its caller may still be connected.
 void release_of_an_unknown_call_is_forwarded() {
-  Ready lab;
+  ConnectedLab lab;
   lab.receive(lab.s0, server_bye(kId, 41));
   const jsonl::Message release = lab.line();
   CHECK_EQ(release.id, kId);
@@ -604,13 +608,13 @@
 
 // Guards against setups that hang until their callers time out.
 void setups_at_an_unreachable_server_are_retried_elsewhere() {
-  Ready lab;
-  lab.receive(kCaller, set_up(kId, 4000));
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key(kId, 4000));
   lab.invite(lab.s0);
   for (int i = 0; i < 15; ++i) {
-    lab.pass(100ms);
+    lab.advance(100ms);
     for (const net::Connect& c : std::exchange(lab.connects, {})) {
-      if (c.address == "127.0.0.1:9000") lab.tell(net::ConnectFailed{c.conn, false});
+      if (c.address == "127.0.0.1:9000") lab.deliver(net::ConnectFailed{c.conn, false});
     }
   }
   const auto at_other = lab.messages(lab.s1);
@@ -621,12 +625,12 @@
 
 // The server sends nothing but accepts connections.
 void calls_at_an_idle_reachable_server_are_kept() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.line();
   for (int i = 0; i < 200; ++i) {
-    lab.pass(100ms);
+    lab.advance(100ms);
     lab.bring_up();
   }
   CHECK(lab.lines(kCaller).empty());
@@ -634,14 +638,14 @@
 
 // Calls are not bound to a connection.
 void release_is_sent_on_another_connection() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   lab.line();
-  lab.tell(net::Closed{kCaller, false});
+  lab.deliver(net::Closed{kCaller, false});
   lab.receive(lab.s0, server_bye(kId, 16));
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
+  lab.deliver(net::Accepted{other});
   CHECK_EQ(lab.lines(other).at(0).id, kId);
   // The same holds for a release of a call that was established before a restart.
   lab.receive(lab.s0, server_bye("00000000000000cc", 16));
@@ -649,14 +653,14 @@
 }
 
 void malformed_lines_are_rejected_and_affect_no_other_call() {
-  Ready lab;
-  lab.receive(kCaller, set_up());
+  ConnectedLab lab;
+  lab.receive(kCaller, setup_line_with_key());
   lab.receive(kCaller, "{\"type\":\"setup\",\"id\":\"00000000000000dd\",\"fields\":{\"class\":\"no\"}}\n");
   const jsonl::Message rejection = lab.line();
   CHECK_EQ(rejection.id, "00000000000000dd");
   CHECK(lab.closed.empty());
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
+  lab.deliver(net::Accepted{other});
   lab.receive(other, "not json\n");
   CHECK(lab.closed.size() == 1 && lab.closed[0] == other);
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
@@ -666,19 +670,19 @@
 // Guards against the answer of an open call going to the last connection that named its id, and against a
 // setup under the id of an established call without any answer.
 void open_id_belongs_to_its_caller() {
-  Ready lab;
+  ConnectedLab lab;
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
-  lab.receive(kCaller, set_up());
+  lab.deliver(net::Accepted{other});
+  lab.receive(kCaller, setup_line_with_key());
   const sip::Message invite = lab.invite(lab.s0);
-  std::string different = set_up();
+  std::string different = setup_line_with_key();
   different.replace(different.find("offer"), 5, "other");
   lab.receive(other, different);
   CHECK_EQ(lab.lines(other).at(0).type, "release");
   lab.receive(other, R"({"type":"release","id":")" + kId + R"(","fields":{},"cause":16})" + "\n");
   lab.receive(other, R"({"type":"setup","id":")" + kId + R"(","fields":{"class":"no"}})" + "\n");
   CHECK_EQ(lab.lines(other).size(), 2U);
-  lab.receive(kCaller, set_up());  // a copy of the same setup starts no second call
+  lab.receive(kCaller, setup_line_with_key());  // a copy of the same setup starts no second call
   lab.receive(lab.s0, server_answer(invite, 200, "a"));
   CHECK_EQ(lab.messages(lab.s0).size(), 1U);  // the ACK: nothing was cancelled
   CHECK_EQ(lab.line().type, "answer");
@@ -688,22 +692,22 @@
 }
 
 void setup_repeated_during_a_close_is_answered_on_its_new_connection() {
-  Ready lab;
+  ConnectedLab lab;
   const ConnId other{Concern::platform, 2};
-  lab.tell(net::Accepted{other});
-  lab.receive(kCaller, set_up());
-  lab.receive(other, set_up(kId, 1400));
-  lab.tell(net::Closed{kCaller, false});
+  lab.deliver(net::Accepted{other});
+  lab.receive(kCaller, setup_line_with_key());
+  lab.receive(other, setup_line_with_key(kId, 1400));
+  lab.deliver(net::Closed{kCaller, false});
   lab.receive(lab.s0, server_answer(lab.invite(lab.s0), 200, "a"));
   CHECK_EQ(lab.lines(other).at(0).type, "answer");
 }
 
 // An answer could not be attributed to one of the two calls.
 void two_calls_under_one_id_on_one_connection_are_both_rejected() {
-  Ready lab;
-  std::string different = set_up();
+  ConnectedLab lab;
+  std::string different = setup_line_with_key();
   different.replace(different.find("offer"), 5, "other");
-  lab.receive(kCaller, set_up() + different);
+  lab.receive(kCaller, setup_line_with_key() + different);
   CHECK_EQ(lab.line().type, "release");
   const auto sent = lab.messages(lab.s0);
   CHECK_EQ(sent.at(1).method, "CANCEL");
@@ -711,44 +715,44 @@
   CHECK(lab.lines(kCaller).empty());
 }
 
-bool is_closed(const Lab& lab, ConnId conn) {
+bool is_closed(const GatekeeperLab& lab, ConnId conn) {
   return std::find(lab.closed.begin(), lab.closed.end(), conn) != lab.closed.end();
 }
 
 // Guards against connections without input, or with an incomplete line, that fill the connection limit.
 void connection_without_a_complete_line_is_closed_within_three_seconds() {
-  Ready lab;
+  ConnectedLab lab;
   const ConnId silent{Concern::platform, 2};
   const ConnId half{Concern::platform, 3};
   const ConnId pinging{Concern::platform, 4};
-  for (const ConnId conn : {silent, half, pinging}) lab.tell(net::Accepted{conn});
-  lab.receive(kCaller, set_up(kId, 30'000));
+  for (const ConnId conn : {silent, half, pinging}) lab.deliver(net::Accepted{conn});
+  lab.receive(kCaller, setup_line_with_key(kId, 30'000));
   lab.receive(pinging, R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                        "\n");
   for (int i = 0; i < 28; ++i) {  // byte by byte
-    lab.pass(100ms);
+    lab.advance(100ms);
     if (!is_closed(lab, half)) lab.receive(half, "{");
   }
   CHECK(is_closed(lab, silent) && is_closed(lab, half));
   CHECK(!is_closed(lab, pinging) && !is_closed(lab, kCaller));
-  lab.pass(15s);
+  lab.advance(15s);
   CHECK(is_closed(lab, pinging) && !is_closed(lab, kCaller));  // a setup is open there
 }
 
 // Guards against new callers that are not accepted.
 void idle_connections_are_closed_for_room() {
   PlatformConfig config = config_for_tests();
-  config.sockets = 90;
-  Lab lab(config);
+  config.max_sockets = 90;
+  GatekeeperLab lab(config);
   const std::string ping = R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                            "\n";
-  lab.tell(net::Accepted{kCaller});
-  lab.receive(kCaller, set_up());
+  lab.deliver(net::Accepted{kCaller});
+  lab.receive(kCaller, setup_line_with_key());
   for (std::uint32_t i = 2; i <= 100; ++i) {
-    lab.tell(net::Accepted{{Concern::platform, i}});
+    lab.deliver(net::Accepted{{Concern::platform, i}});
     lab.receive({Concern::platform, i}, ping);
     CHECK(!is_closed(lab, {Concern::platform, i}));
-    lab.pass(1ms);
+    lab.advance(1ms);
   }
   CHECK_EQ(lab.closed.size(), 100U - 31U);
   CHECK(!is_closed(lab, kCaller));
@@ -756,11 +760,11 @@
 
 // Such numbers must not reach the decision module or the servers.
 void extras_out_of_range_are_rejected() {
-  Ready lab;
+  ConnectedLab lab;
   for (const std::string extras :
        {"dest:nan", "dest:1e300", "dest:-3", "dest:0.5", "dest:0;width:nan", "dest:0;width:-1",
         "dest:0;width:0", "dest:0;width:400", "dest:0;width:inf", "dest:"}) {
-    std::string line = set_up();
+    std::string line = setup_line_with_key();
     const std::string usual = "dest:0;width:1;via:-1";
     line.replace(line.find(usual), usual.size(), extras);
     lab.receive(kCaller, line);
@@ -770,8 +774,8 @@
 }
 
 void pong_reports_readiness() {
-  Lab lab;
-  lab.tell(net::Accepted{kCaller});
+  GatekeeperLab lab;
+  lab.deliver(net::Accepted{kCaller});
   const std::string ping = R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                            "\n";
   lab.receive(kCaller, ping);
@@ -782,12 +786,12 @@
 }
 
 void stop_waits_for_open_requests() {
-  Ready lab;
-  lab.tell(net::StopRequested{});
-  lab.pass(800ms);
-  lab.receive(kCaller, set_up());  // arrives after SIGTERM
+  ConnectedLab lab;
+  lab.deliver(net::StopRequested{});
+  lab.advance(800ms);
+  lab.receive(kCaller, setup_line_with_key());  // arrives after SIGTERM
   const sip::Message invite = lab.invite(lab.s0);
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(!lab.exit_status);
   lab.receive(lab.s0, server_answer(invite, 200, "a"));
   CHECK_EQ(lab.line().type, "answer");
@@ -800,8 +804,8 @@
 void random_events_keep_the_invariants() {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     std::mt19937 random(seed);
-    Lab lab;
-    lab.tell(net::Accepted{kCaller});
+    GatekeeperLab lab;
+    lab.deliver(net::Accepted{kCaller});
     enum class State { connecting, connected, closed };
     std::map<ConnId, State> model;
     struct Attempt {
@@ -860,7 +864,7 @@
         const int left = 200 + static_cast<int>(random() % 3000);
         deadline[id] = lab.now + std::chrono::milliseconds(left);
         final_answers[id] = 0;
-        lab.receive(kCaller, set_up(id, left, static_cast<int>(random() % 2)));
+        lab.receive(kCaller, setup_line_with_key(id, left, static_cast<int>(random() % 2)));
       } else if (pick < 6 && !attempts.empty()) {
         auto it = attempts.begin();
         std::advance(it, random() % attempts.size());
@@ -877,9 +881,9 @@
           const bool up = random() % 3 != 0;
           state = up ? State::connected : State::closed;
           if (up) {
-            lab.tell(net::Connected{conn});
+            lab.deliver(net::Connected{conn});
           } else {
-            lab.tell(net::ConnectFailed{conn, random() % 2 == 0});
+            lab.deliver(net::ConnectFailed{conn, random() % 2 == 0});
           }
           break;
         }
@@ -891,7 +895,7 @@
             if (it->second.conn == conn) ended_at[it->first] = lab.now;
             it = it->second.conn == conn ? attempts.erase(it) : std::next(it);
           }
-          lab.tell(net::Closed{conn, true});
+          lab.deliver(net::Closed{conn, true});
           break;
         }
       } else if (pick == 8 && !server_of_established.empty()) {
@@ -900,9 +904,9 @@
           if (state == State::connected && address.at(conn) == at) lab.receive(conn, server_bye(id, 41));
         }
       }
-      lab.pass(std::chrono::milliseconds(random() % 200));
+      lab.advance(std::chrono::milliseconds(random() % 200));
     }
-    lab.pass(4s);  // past every deadline
+    lab.advance(4s);  // past every deadline
     for (const auto& [id, count] : final_answers) CHECK_EQ(count, 1);
   }
 }
--- a/tests/ready.h
+++ b/tests/ready.h
@@ -8,18 +8,18 @@
 constexpr ConnId kCaller{Concern::platform, 1};
 inline const std::string kId = "9b1f03aa5c7e2d41";
 
-inline std::string set_up(const std::string& id = kId, int left = 1500, int dest = 0) {
-  return set_up_line(id, "voice", left, dest, "offer");
+inline std::string setup_line_with_key(const std::string& id = kId, int left = 1500, int dest = 0) {
+  return setup_line(id, "voice", left, dest, "offer");
 }
 
 // A lab with one caller and all servers connected.
-struct Ready : Lab {
-  explicit Ready(int servers = 2) : Lab(config_for_tests(servers)) {
+struct ConnectedLab : GatekeeperLab {
+  explicit ConnectedLab(int servers = 2) : GatekeeperLab(config_for_tests(servers)) {
     CHECK_EQ(connects.size(), static_cast<std::size_t>(servers));
     s0 = connects[0].conn;
     if (servers > 1) s1 = connects[1].conn;
     bring_up();
-    tell(net::Accepted{kCaller});
+    deliver(net::Accepted{kCaller});
   }
   sip::Message invite(ConnId conn) {
     const auto all = messages(conn);
@@ -33,14 +33,14 @@
     return all[0];
   }
   // Establishes the caller's call kId on that server connection and discards the messages that were sent.
-  void stand(ConnId conn) {
-    receive(kCaller, set_up());
+  void establish_call(ConnId conn) {
+    receive(kCaller, setup_line_with_key());
     receive(conn, server_answer(invite(conn), 200, "a"));
     messages(conn);
     lines(kCaller);
   }
   // Checks that a BYE for kId on that connection is forwarded to its caller.
-  void release_is_told_on(ConnId conn) {
+  void expect_release_forwarded(ConnId conn) {
     lines(kCaller);
     receive(conn, server_bye(kId, 16));
     CHECK_EQ(line().type, "release");
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -23,23 +23,23 @@
   return f;
 }
 
-struct ReloadLab : Lab {
-  ReloadLab() : Lab(read_platform_config(file_with_two_servers().dump())) {
+struct ReloadLab : GatekeeperLab {
+  ReloadLab() : GatekeeperLab(read_platform_config(file_with_two_servers().dump())) {
     bring_up();
-    tell(net::Accepted{kCaller});
+    deliver(net::Accepted{kCaller});
   }
   void load(const std::string& text) {
-    tell(net::ReloadRequested{});
-    tell(net::FileRead{"", text});
+    deliver(net::ReloadRequested{});
+    deliver(net::FileRead{"", text});
   }
   std::uint64_t count(const std::string& name) {
-    const std::string text = figure(name);
+    const std::string text = telemetry_metric(name);
     CHECK(text != "none");
     return std::stoull(text);
   }
   // Sends a setup of the class; returns the immediate answer, or nothing if it was forwarded.
   std::vector<jsonl::Message> call(const std::string& id, const std::string& call_class) {
-    receive(kCaller, set_up_line(id, call_class));
+    receive(kCaller, setup_line(id, call_class));
     return lines(kCaller);
   }
   sip::Message last_invite() {  // the last INVITE sent to either server
@@ -172,7 +172,7 @@
   CHECK_EQ(lab.count("ok.voice"), 1U);
   for (std::uint32_t n = 1; n <= 2; ++n)
     lab.receive(ConnId{Concern::server, n}, server_answer(safety, 503, {}, "Warning-Word: cpu_full\r\n"));
-  lab.pass(2s);
+  lab.advance(2s);
   CHECK(lab.count("shed.safety") + lab.count("errors.safety") == 1U);
   CHECK_EQ(lab.count("tries"), 0U);  // counted by the runtime, which this test does not use
 }
@@ -182,7 +182,7 @@
   for (int i = 0; i < 9; ++i) {
     lab.load(with_class(file_with_two_servers(), "c" + std::to_string(i)).dump());
     CHECK(lab.call("000000000000000" + std::to_string(i), "c" + std::to_string(i)).empty());
-    lab.pass(100ms);
+    lab.advance(100ms);
   }
   lab.load("{");
   CHECK_EQ(lab.count("config_applied"), 9U);
@@ -220,25 +220,25 @@
       in_use[open_call.index] = true;
     }
     const core::ClassTable before = table;
-    const auto after = core::assign_places(table, names, terms, in_use);
+    const auto after = core::assign_class_indexes(table, names, terms, in_use);
     CHECK(after.has_value());
     table = *after;
     std::vector<ClassIndex> seen;
     for (std::size_t i = 0; i < names.size(); ++i) {
       const core::NamedClass* c = table.classes->find(names[i]);
-      CHECK(c != nullptr && c->terms == terms[i] && table.places.at(c->place) == terms[i]);
-      CHECK(std::count(seen.begin(), seen.end(), c->place) == 0);
-      seen.push_back(c->place);
+      CHECK(c != nullptr && c->terms == terms[i] && table.by_index.at(c->index) == terms[i]);
+      CHECK(std::count(seen.begin(), seen.end(), c->index) == 0);
+      seen.push_back(c->index);
       const core::NamedClass* old = before.classes->find(names[i]);
-      if (old != nullptr && old->terms == terms[i]) CHECK_EQ(old->place, c->place);
+      if (old != nullptr && old->terms == terms[i]) CHECK_EQ(old->index, c->index);
     }
-    for (const OpenCall& open_call : open) CHECK(table.places.at(open_call.index) == open_call.terms);
+    for (const OpenCall& open_call : open) CHECK(table.by_index.at(open_call.index) == open_call.terms);
     if (!open.empty() && draw() % 2 == 0) open.erase(open.begin());
     if (open.size() < 4) {
       const core::NamedClass& c = table.classes->named[draw() % table.classes->named.size()];
-      open.push_back({c.place, c.terms});
+      open.push_back({c.index, c.terms});
     }
-    max_indexes = std::max(max_indexes, table.places.size());
+    max_indexes = std::max(max_indexes, table.by_index.size());
   }
   CHECK(max_indexes <= 6 + 4 + 1);
 }
@@ -247,10 +247,10 @@
   std::vector<std::string> names;
   for (std::size_t i = 0; i < core::ClassTable::kMaxClasses; ++i) names.push_back(std::to_string(i));
   const std::vector<CallClass> terms(names.size());
-  const auto full = core::assign_places({}, names, terms, {});
+  const auto full = core::assign_class_indexes({}, names, terms, {});
   CHECK(full.has_value());
-  CHECK(!core::assign_places(*full, {"new"}, {CallClass{}}, std::vector<bool>(names.size(), true)));
-  CHECK(core::assign_places(*full, {"new"}, {CallClass{}}, {}).has_value());
+  CHECK(!core::assign_class_indexes(*full, {"new"}, {CallClass{}}, std::vector<bool>(names.size(), true)));
+  CHECK(core::assign_class_indexes(*full, {"new"}, {CallClass{}}, {}).has_value());
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -223,7 +223,7 @@
     EXPECT_TRUE(settings_.may_notify_peers);
     EXPECT_LE(action.bytes.size(), 256U);
   }
-  void check(const FollowList&) { EXPECT_EQ(settings_.discovery, Discovery::on_request); }
+  void check(const RequestServerList&) { EXPECT_EQ(settings_.discovery, Discovery::on_request); }
 
   void answer(CallId id) {
     CallState& call = calls_.at(static_cast<std::uint64_t>(id));
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -22,8 +22,8 @@
 void unwritten_bytes_of_all_connections_are_bounded() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.outbound = 64 * 1024 * 1024;
-  limits.outbound_all = 2 * 1024 * 1024;
+  limits.max_outbound_bytes = 64 * 1024 * 1024;
+  limits.max_total_outbound_bytes = 2 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> readers;  // which do not read
   std::vector<net::ConnId> open;
@@ -51,11 +51,11 @@
 }
 
 void emptied_ring_buffer_releases_memory() {  // long-lived connections kept their peak memory
-  net::Ring ring(1024 * 1024);
-  CHECK(ring.put(std::string(500'000, 'x')));
-  ring.drop(500'000);
+  net::RingBuffer ring(1024 * 1024);
+  CHECK(ring.append(std::string(500'000, 'x')));
+  ring.consume(500'000);
   CHECK(ring.capacity() <= 4096);
-  CHECK(ring.put("again") && ring.contents() == "again");
+  CHECK(ring.append("again") && ring.contents() == "again");
 }
 
 // The descriptor that the platform passes is checked before it is used.
@@ -103,8 +103,8 @@
   });
   CHECK_EQ(status, 0);
   CHECK(closed_idle == open[0]);
-  CHECK_EQ(callers[0].until("whole"), "whole");
-  CHECK(callers[0].ends());
+  CHECK_EQ(callers[0].read_until("whole"), "whole");
+  CHECK(callers[0].wait_for_close());
   CHECK_EQ(runtime.counters().counted_written, 1U);
   const Socket late = Socket::connected(port);  // the socket still listens
   CHECK(listening.accept().descriptor() >= 0);
@@ -115,7 +115,7 @@
   const int port = Socket::bound(SOCK_STREAM).port();
   const int reserved_port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.connections = 2;
+  limits.max_connections = 2;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> all;
   std::size_t common = 0;
@@ -285,7 +285,7 @@
 void peer_close_is_delivered_while_reading_is_paused() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
+  limits.max_outbound_bytes = limits.max_total_outbound_bytes = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   Socket caller;
   net::ConnId conn{};
@@ -316,7 +316,7 @@
 void caller_that_reads_nothing_is_closed() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.outbound = limits.outbound_all = 256 * 1024 * 1024;
+  limits.max_outbound_bytes = limits.max_total_outbound_bytes = 256 * 1024 * 1024;
   limits.unread_timeout = std::chrono::milliseconds(700);
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> callers;
@@ -328,7 +328,7 @@
       if (e->key.number == 0) {
         for (int i = 0; i < 2; ++i) callers.push_back(Socket::connected(port));
       } else if (e->key.number == 1) {
-        callers[1].some(16 * 1024);  // a slow reader
+        callers[1].read_available(16 * 1024);  // a slow reader
         effects.push_back(net::ArmTimer{e->key, now + std::chrono::milliseconds(5)});
       } else {
         effects.push_back(net::Exit{0});
@@ -356,7 +356,7 @@
 void unwritten_message_can_be_withdrawn() {
   const Socket listening = Socket::bound(SOCK_STREAM);
   net::RuntimeLimits limits;
-  limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
+  limits.max_outbound_bytes = limits.max_total_outbound_bytes = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   const net::ConnId conn{net::Concern::server, 1};
   Socket server;
@@ -386,7 +386,7 @@
         effects.push_back(net::Send{conn, "<end>"});
         effects.push_back(net::ArmTimer{{net::Concern::server, 2}, now});
       } else {
-        received_text += server.some(1 << 20);
+        received_text += server.read_available(1 << 20);
         if (!received_text.ends_with("<end>"))
           return effects.push_back(
               net::ArmTimer{{net::Concern::server, 2}, now + std::chrono::milliseconds(1)});
@@ -408,7 +408,7 @@
 void connection_above_limit_waits_and_is_accepted() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.connections = 2;
+  limits.max_connections = 2;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> callers;
   std::size_t answered = 0;
@@ -434,7 +434,7 @@
   });
   CHECK_EQ(status, 0);
   CHECK_EQ(max_open, 2U);
-  for (Socket& caller : callers) CHECK_EQ(caller.until("answer"), "answer");
+  for (Socket& caller : callers) CHECK_EQ(caller.read_until("answer"), "answer");
   CHECK(runtime.counters().accept_paused > 0);
 }
 
@@ -467,7 +467,7 @@
       freed = true;
       held_descriptors.clear();
     } else if (const auto* failed = std::get_if<net::ConnectFailed>(&event)) {
-      local = failed->local && !failed->refused;
+      local = failed->local_shortage && !failed->refused;
     } else if (std::holds_alternative<net::Accepted>(event)) {
       accepted_after = freed;
       effects.push_back(net::Exit{0});
@@ -482,7 +482,7 @@
 void exit_waits_for_unwritten_output() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
-  limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
+  limits.max_outbound_bytes = limits.max_total_outbound_bytes = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   constexpr std::size_t kAnswerBytes = 16 * 1024 * 1024;
   Socket caller;
@@ -496,7 +496,7 @@
         return;
       }
       exit_deferred = got > 0;
-      got += caller.some(1 << 20).size();
+      got += caller.read_available(1 << 20).size();
       effects.push_back(net::ExitIfIdle{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(1)});
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
@@ -507,7 +507,7 @@
   });
   CHECK_EQ(status, 0);
   CHECK(exit_deferred);
-  CHECK_EQ(caller.bytes(kAnswerBytes - got).size(), kAnswerBytes - got);
+  CHECK_EQ(caller.read_bytes(kAnswerBytes - got).size(), kAnswerBytes - got);
 }
 
 // ExitIfIdle does nothing with unread input on an open connection or a new connection not accepted yet.
@@ -570,7 +570,7 @@
       effects.push_back(net::Exit{0});
     });
     CHECK_EQ(status, required ? 1 : 0);
-    CHECK_EQ(other.some(64), required ? "" : "voted");
+    CHECK_EQ(other.read_available(64), required ? "" : "voted");
   }
 }
 
@@ -584,7 +584,7 @@
     threads.emplace_back([&, i] {
       const auto own = std::this_thread::get_id();
       net::RuntimeLimits limits;
-      limits.signals = false;
+      limits.handle_signals = false;
       net::Runtime runtime(limits, net::Logger(net::Level::error));
       runtime.run([&, i](Time now, const net::Event& event, net::Effects& effects) {
         CHECK(std::this_thread::get_id() == own);
--- a/tests/sip_test.cpp
+++ b/tests/sip_test.cpp
@@ -42,13 +42,13 @@
   }
 };
 
-struct SipLab : Lab {
-  explicit SipLab(int servers = 2) : Lab(config_for_tests(servers), deploy_for_tests()) {
+struct SipLab : GatekeeperLab {
+  explicit SipLab(int servers = 2) : GatekeeperLab(config_for_tests(servers), deploy_for_tests()) {
     s0 = connects.at(0).conn;
     if (servers > 1) s1 = connects.at(1).conn;
     bring_up();
   }
-  void udp(const std::string& text) { tell(net::Datagram{Concern::sip, kPeer, text}); }
+  void udp(const std::string& text) { deliver(net::Datagram{Concern::sip, kPeer, text}); }
   std::vector<sip::Message> messages_to_caller() {
     std::vector<sip::Message> all;
     for (const net::SendDatagram& d : std::exchange(datagrams, {})) {
@@ -75,7 +75,7 @@
     CHECK_EQ(found.size(), 1U);
     return found[0];
   }
-  bool nothing_sent_to_servers() { return take(s0).empty() && take(s1).empty(); }
+  bool nothing_sent_to_servers() { return take_sent(s0).empty() && take_sent(s1).empty(); }
   // Establishes a call; returns the gatekeeper's tag.
   std::string establish(Caller& caller) {
     udp(caller.text("INVITE", 1, "offer"));
@@ -108,7 +108,7 @@
   CHECK_EQ(lab.invite.body, "offer");
   CHECK_EQ(lab.invite.header("Priority-Class"), "voice");
   lab.acknowledge(caller);
-  lab.pass(40s);
+  lab.advance(40s);
   CHECK(lab.messages_to_caller().empty());
   lab.receive(lab.server_conn, server_bye(std::string(lab.invite.header("Call-ID")), 16));
   const sip::Message bye = lab.only_message();
@@ -118,9 +118,9 @@
   CHECK_EQ(sip::parameter(bye.header("From"), "tag"), caller.to_tag);
   CHECK_EQ(bye.header("Reason"), "Q.850;cause=16");
   // Timers E and F: over UDP it is retransmitted for 32 s, at intervals that double up to 4 s.
-  lab.pass(31900ms);
+  lab.advance(31900ms);
   CHECK_EQ(lab.messages_to_caller().size(), 10U);
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK(lab.messages_to_caller().empty());
 }
 
@@ -145,12 +145,12 @@
   SipLab lab;
   Caller caller;
   lab.establish(caller);
-  lab.pass(3600ms);  // after 0.5, 1.5 and 3.5 s
+  lab.advance(3600ms);  // after 0.5, 1.5 and 3.5 s
   const auto again = lab.messages_to_caller();
   CHECK_EQ(again.size(), 3U);
   for (const sip::Message& m : again) CHECK_EQ(m.body, "answer");
   lab.acknowledge(caller);
-  lab.pass(60s);
+  lab.advance(60s);
   CHECK(lab.messages_to_caller().empty());
 }
 
@@ -158,9 +158,9 @@
   SipLab lab;
   Caller caller;
   lab.establish(caller);
-  lab.pass(31900ms);
+  lab.advance(31900ms);
   lab.messages_to_caller();
-  lab.pass(200ms);
+  lab.advance(200ms);
   CHECK_EQ(lab.only_message().method, "BYE");
   CHECK_EQ(lab.messages(lab.server_conn).at(0).method, "BYE");
 }
@@ -185,7 +185,7 @@
   CHECK_EQ(after[0].method, "ACK");
   CHECK_EQ(after[1].method, "BYE");
   lab.acknowledge(caller);
-  lab.pass(60s);
+  lab.advance(60s);
   CHECK(lab.nothing_sent_to_servers());
 }
 
@@ -199,7 +199,7 @@
   CHECK_EQ(lab.only_message().status, 200);
   CHECK(lab.nothing_sent_to_servers());
   lab.acknowledge(caller);
-  lab.pass(60s);
+  lab.advance(60s);
   CHECK(lab.messages_to_caller().empty());
   cancel.branch = "z9hG4bKother";
   lab.udp(cancel.text("CANCEL", 1));
@@ -216,17 +216,17 @@
   lab.udp(caller.text("INVITE", 1));
   CHECK_EQ(lab.only_message().status, 100);
   CHECK(lab.nothing_sent_to_servers());
-  lab.pass(2s);
+  lab.advance(2s);
   const sip::Message end = lab.only_message();
   CHECK_EQ(end.status, 480);
   CHECK(!end.header("Retry-After").empty());
-  lab.take(lab.s0);
-  lab.take(lab.s1);
+  lab.take_sent(lab.s0);
+  lab.take_sent(lab.s1);
   lab.udp(caller.text("INVITE", 1));  // after the final response
   CHECK_EQ(lab.only_message().text(), end.text());
   lab.udp(caller.text("ACK", 1));
   lab.udp(caller.text("INVITE", 1));  // after the ACK
-  lab.pass(10s);
+  lab.advance(10s);
   CHECK(lab.messages_to_caller().empty());
   lab.udp(caller.text("INVITE", 1));  // after the transaction has ended
   CHECK_EQ(lab.only_message().status, 482);
@@ -235,14 +235,14 @@
 
 void rejection_is_retransmitted_until_the_ack() {
   SipLab lab(1);
-  lab.tell(net::Closed{lab.s0, true});
-  for (const net::Connect& c : std::exchange(lab.connects, {})) lab.tell(net::ConnectFailed{c.conn, true});
+  lab.deliver(net::Closed{lab.s0, true});
+  for (const net::Connect& c : std::exchange(lab.connects, {})) lab.deliver(net::ConnectFailed{c.conn, true});
   Caller caller;
   caller.extra_headers = "Expires: 1\r\n";
   lab.udp(caller.text("INVITE", 1));
-  lab.pass(999ms);
+  lab.advance(999ms);
   lab.datagrams.clear();
-  lab.pass(1600ms);
+  lab.advance(1600ms);
   const auto sent = lab.messages_to_caller();
   CHECK(sent.size() >= 1U);
   for (const sip::Message& m : sent) {
@@ -294,7 +294,7 @@
   lab.udp(again.text("INVITE", 4, "another offer"));
   CHECK_EQ(lab.only_message().status, 488);
   lab.udp(again.text("ACK", 4));
-  lab.pass(60s);
+  lab.advance(60s);
   CHECK(lab.messages_to_caller().empty());
   CHECK(lab.nothing_sent_to_servers());
 }
@@ -322,7 +322,7 @@
   lab.udp("nonsense\r\n\r\n");
   CHECK(lab.messages_to_caller().empty());
   const ConnId stream{Concern::sip, 1};
-  lab.tell(net::Accepted{stream});
+  lab.deliver(net::Accepted{stream});
   lab.receive(stream, "nonsense\r\nContent-Length: 0\r\n\r\n");
   CHECK(lab.closed.size() == 1 && lab.closed[0] == stream);
   CHECK(lab.nothing_sent_to_servers());
@@ -333,7 +333,7 @@
   Caller caller;
   caller.transport = "TCP";
   const ConnId stream{Concern::sip, 1};
-  lab.tell(net::Accepted{stream});
+  lab.deliver(net::Accepted{stream});
   for (const char c : caller.text("INVITE", 1, "offer")) lab.receive(stream, std::string(1, c));
   CHECK_EQ(lab.messages(stream).at(0).status, 100);
   const auto [conn, invite] = lab.take_invite();
@@ -342,12 +342,12 @@
   caller.to_tag = sip::parameter(ok.header("To"), "tag");
   caller.branch = "z9hG4bK2";
   lab.receive(stream, caller.text("ACK", 1));
-  lab.tell(net::Closed{stream, false});
+  lab.deliver(net::Closed{stream, false});
   lab.messages(conn);
   lab.receive(conn, server_bye(std::string(invite.header("Call-ID")), 41));
   CHECK_EQ(lab.connects.back().address, kPeer);  // the caller's Contact
   const ConnId new_conn = lab.connects.back().conn;
-  lab.tell(net::Connected{new_conn});
+  lab.deliver(net::Connected{new_conn});
   CHECK_EQ(lab.messages(new_conn).at(0).method, "BYE");
 }
 
@@ -361,17 +361,17 @@
       Caller caller;
       caller.transport = "TCP";
       const ConnId stream{Concern::sip, 1};
-      lab.tell(net::Accepted{stream});
+      lab.deliver(net::Accepted{stream});
       lab.receive(stream, caller.text("INVITE", 1, "offer"));
       const auto [conn, invite] = lab.take_invite();
       if (waits) {
         lab.receive(conn, server_answer(invite, 504));
         lab.messages(conn);
-        lab.pass(50ms);
+        lab.advance(50ms);
       }
-      lab.take(stream);
+      lab.take_sent(stream);
       if (half) {
-        lab.tell(net::PeerClosed{stream});
+        lab.deliver(net::PeerClosed{stream});
         CHECK_EQ(lab.messages(stream).at(0).status, 487);
         Caller second;
         second.transport = "TCP";
@@ -380,11 +380,11 @@
         lab.receive(stream, second.text("INVITE", 1, "offer"));
         CHECK_EQ(lab.messages(stream).at(0).status, 487);
       } else {
-        lab.tell(net::Closed{stream, false});
+        lab.deliver(net::Closed{stream, false});
       }
       if (!waits) CHECK_EQ(lab.messages(conn).at(0).method, "CANCEL");
       for (int i = 0; i < 40; ++i) {
-        lab.pass(100ms);
+        lab.advance(100ms);
         for (const ConnId server : {lab.s0, lab.s1}) {
           for (const sip::Message& m : lab.messages(server)) CHECK(m.method != "INVITE");
         }
@@ -463,9 +463,9 @@
         if (status == 504) ended_at[correlation_id] = lab.now;
         lab.receive(attempt.first, server_answer(attempt.second, status, "a"));
       }
-      lab.pass(std::chrono::milliseconds(random() % 150));
+      lab.advance(std::chrono::milliseconds(random() % 150));
     }
-    lab.pass(5s);
+    lab.advance(5s);
     for (const auto& [id, call] : calls) CHECK(!call.final_text.empty());
   }
 }
@@ -483,7 +483,7 @@
   const ConnId half{Concern::sip, 2};
   const ConnId wrong_length{Concern::sip, 3};
   const ConnId good{Concern::sip, 4};
-  for (const ConnId conn : {silent, half, wrong_length, good}) lab.tell(net::Accepted{conn});
+  for (const ConnId conn : {silent, half, wrong_length, good}) lab.deliver(net::Accepted{conn});
   Caller caller;
   caller.transport = "TCP";
   const std::string options = caller.text("OPTIONS", 1);
@@ -492,7 +492,7 @@
   lab.receive(wrong_length, options + "8 101");
   CHECK(is_closed(wrong_length));
   for (const char c : options.substr(0, 25)) {
-    lab.pass(100ms);
+    lab.advance(100ms);
     if (!is_closed(half)) lab.receive(half, std::string(1, c));
   }
   CHECK(is_closed(silent) && is_closed(half) && !is_closed(good));
--- a/tests/slot_failover_test.cpp
+++ b/tests/slot_failover_test.cpp
@@ -34,7 +34,7 @@
 }
 
 void slots_of_ended_gatekeepers_directly_before_are_taken_over() {
-  SlotFailover failover(Fleet{4, 2});
+  SlotFailover failover(FleetPosition{4, 2});
   const auto refuse_probe = [&](Time now, std::uint32_t gatekeeper) {
     failover.mark_unreachable(now, gatekeeper, now - 1ms);
   };
@@ -97,15 +97,15 @@
   const auto local = [&](std::uint32_t i, Time t) { return t + gatekeepers[i].clock_error; };
   const auto start = [&](std::uint32_t i, Time now) {
     auto p = std::make_unique<Process>();
-    p->failover = std::make_unique<SlotFailover>(Fleet{kSize, i});
-    p->gaps = std::make_unique<GapRegister>(Fleet{kSize, i}, random(), local(i, now));
+    p->failover = std::make_unique<SlotFailover>(FleetPosition{kSize, i});
+    p->gaps = std::make_unique<GapRegister>(FleetPosition{kSize, i}, random(), local(i, now));
     if (with_failover) p->gaps->use_failover(p->failover.get());
-    p->gaps->set_place_owned(local(i, now), false);
+    p->gaps->set_port_owned(local(i, now), false);
     p->gaps->announce(local(i, now), first);
     if (second) p->gaps->announce(local(i, now), *second);
     if (gatekeepers[i].processes.empty()) {
       p->holds_port = true;
-      p->gaps->set_place_owned(local(i, now), true);
+      p->gaps->set_port_owned(local(i, now), true);
     }
     gatekeepers[i].processes.push_back(std::move(p));
   };
@@ -114,7 +114,7 @@
     gatekeepers[i].processes.erase(gatekeepers[i].processes.begin());
     if (gatekeepers[i].processes.empty()) return;
     gatekeepers[i].processes[0]->holds_port = true;
-    gatekeepers[i].processes[0]->gaps->set_place_owned(local(i, now), true);
+    gatekeepers[i].processes[0]->gaps->set_port_owned(local(i, now), true);
   };
   for (std::uint32_t i = 0; i < kSize; ++i) {
     gatekeepers[i].clock_error = std::chrono::milliseconds(static_cast<std::int64_t>(random() % 400) - 200);
@@ -146,7 +146,7 @@
         break;
       case 4:
         if (gatekeeper.processes.size() == 2) {  // the old process releases the port and ends
-          gatekeeper.processes[0]->gaps->set_place_owned(local(i, now), false);
+          gatekeeper.processes[0]->gaps->set_port_owned(local(i, now), false);
           end(i, now);
         }
         break;
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -1,5 +1,5 @@
 // Test peers over loopback, and the real program as a child process. Every wait ends with the awaited event
-// or fails the test after kPatienceMs.
+// or fails the test after kTestTimeoutMs.
 #pragma once
 
 #include <arpa/inet.h>
@@ -22,7 +22,7 @@
 
 namespace graniterun::test {
 
-constexpr int kPatienceMs = 10'000;
+constexpr int kTestTimeoutMs = 10'000;
 
 inline sockaddr_in loopback(int port) {
   sockaddr_in address{};
@@ -54,7 +54,7 @@
   }
   // Connects, retrying until the peer listens.
   static Socket connected(int port) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
     while (true) {
       Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
       const sockaddr_in address = loopback(port);
@@ -83,7 +83,7 @@
                    sizeof address) > 0);
   }
   // Reads up to and including `mark`, and `more` bytes after it.
-  std::string until(const std::string& mark, std::size_t more = 0) {
+  std::string read_until(const std::string& mark, std::size_t more = 0) {
     while (true) {
       const std::size_t at = buffer_.find(mark);
       if (at != std::string::npos && buffer_.size() >= at + mark.size() + more) {
@@ -94,7 +94,7 @@
       CHECK(read_some());
     }
   }
-  std::string line() { return until("\n"); }
+  std::string line() { return read_until("\n"); }
   std::string datagram() const {
     wait_readable();
     char buffer[65536];
@@ -104,7 +104,7 @@
   }
   // Reads a SIP or HTTP message: its head, and the body of its Content-Length.
   std::string message() {
-    std::string head = until("\r\n\r\n");
+    std::string head = read_until("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
     const int length = at == std::string::npos ? 0 : std::atoi(head.c_str() + at + 16);
     while (buffer_.size() < static_cast<std::size_t>(length)) CHECK(read_some());
@@ -113,20 +113,20 @@
     return head;
   }
   // Waits for and returns `count` bytes.
-  std::string bytes(std::size_t count) {
+  std::string read_bytes(std::size_t count) {
     while (buffer_.size() < count) CHECK(read_some());
     std::string text = buffer_.substr(0, count);
     buffer_.erase(0, count);
     return text;
   }
   // Returns up to `most` available bytes without waiting; ignores the buffer.
-  std::string some(std::size_t most) const {
+  std::string read_available(std::size_t most) const {
     std::string text(most, '\0');
     const ssize_t got = ::recv(fd_, text.data(), text.size(), MSG_DONTWAIT);
     text.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
     return text;
   }
-  bool ends() {  // waits for the peer's close; true if it sent nothing more
+  bool wait_for_close() {  // waits for the peer's close; true if it sent nothing more
     while (read_some()) {
     }
     return buffer_.empty();
@@ -135,7 +135,7 @@
  private:
   void wait_readable() const {
     pollfd p{fd_, POLLIN, 0};
-    CHECK_EQ(::poll(&p, 1, kPatienceMs), 1);
+    CHECK_EQ(::poll(&p, 1, kTestTimeoutMs), 1);
   }
   bool read_some() {
     wait_readable();
@@ -157,7 +157,7 @@
           int inherited = -1, const std::function<void()>& in_child = {}) {
     const std::string dir = std::string(::getenv("TMPDIR") ? ::getenv("TMPDIR") : "/tmp");
     base_ = dir + "/graniterun-test-" + std::to_string(::getpid()) + "-" + std::to_string(++started());
-    configure(config);
+    write_config(config);
     if (!deploy.empty()) std::ofstream(base_ + ".deploy") << deploy;
     const pid_t test = ::getpid();
     const bool main_thread = ::gettid() == test;
@@ -197,10 +197,10 @@
     }
     for (const char* end : {".json", ".deploy", ".log"}) ::unlink((base_ + end).c_str());
   }
-  void configure(const std::string& config) const { std::ofstream(base_ + ".json") << config; }
+  void write_config(const std::string& config) const { std::ofstream(base_ + ".json") << config; }
   // Polls the log until it contains `text`.
   void wait_for_log(const std::string& text) const {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
     while (log().find(text) == std::string::npos) {
       CHECK(std::chrono::steady_clock::now() < end);
       ::poll(nullptr, 0, 5);
--- a/tests/trunk_test.cpp
+++ b/tests/trunk_test.cpp
@@ -17,10 +17,10 @@
   return config;
 }
 
-struct TrunkLab : Lab {
+struct TrunkLab : GatekeeperLab {
   explicit TrunkLab(const std::string& transport = "udp", const PlatformConfig& config = config_for_tests())
-      : Lab(config, deploy(transport)) {
-    tell(net::Accepted{kCaller});
+      : GatekeeperLab(config, deploy(transport)) {
+    deliver(net::Accepted{kCaller});
   }
   void call(int time_left_ms = 3000, const std::string& id = "00000000000000aa") {
     receive(kCaller, R"({"type":"setup","id":")" + id + R"(","fields":{"class":"voice","left":")" +
@@ -30,12 +30,12 @@
   // Ends the first call from the caller's side.
   void end_call(const std::string& ending) {
     if (ending == "close") {
-      tell(net::PeerClosed{kCaller});
+      deliver(net::PeerClosed{kCaller});
     } else if (ending == "release") {
       receive(kCaller, R"({"type":"release","id":"00000000000000aa","fields":{},"cause":16})"
                        "\n");
     } else {
-      pass(301ms);  // past its deadline
+      advance(301ms);  // past its deadline
     }
   }
   std::vector<std::pair<std::string, sip::Message>> take_datagrams_to_servers() {
@@ -55,7 +55,7 @@
     return all[0].second;
   }
   void receive_from(const std::string& peer, const std::string& text) {
-    tell(net::Datagram{Concern::trunk, peer, text});
+    deliver(net::Datagram{Concern::trunk, peer, text});
   }
 };
 
@@ -84,10 +84,10 @@
   lab.call();
   const sip::Message invite = lab.take_one();
   CHECK_EQ(invite.body, "offer");
-  lab.pass(600ms);  // timer A retransmits the INVITE
+  lab.advance(600ms);  // timer A retransmits the INVITE
   CHECK_EQ(lab.take_one().text(), invite.text());
   lab.receive_from(kServers[0], answer(invite, 180));
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(lab.take_datagrams_to_servers().empty());
   lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));
   const sip::Message ack = lab.take_one();
@@ -112,7 +112,7 @@
   CHECK_EQ(end.header("CSeq"), "2 BYE");
   CHECK_EQ(sip::parameter(end.header("To"), "tag"), "st");
   lab.receive_from(kServers[0], answer(end, 200));
-  lab.pass(100s);
+  lab.advance(100s);
   CHECK(lab.take_datagrams_to_servers().empty());
 }
 
@@ -148,7 +148,7 @@
   lab.call(1000);
   const sip::Message invite = lab.take_one();
   lab.receive_from(kServers[0], answer(invite, 100));
-  lab.pass(1s);
+  lab.advance(1s);
   const sip::Message cancel = lab.take_one();
   CHECK_EQ(cancel.method, "CANCEL");
   CHECK_EQ(cancel.header("Via"), invite.header("Via"));
@@ -160,7 +160,7 @@
   CHECK_EQ(after[1].second.method, "BYE");
   lab.receive_from(kServers[0], answer(cancel, 200));
   lab.receive_from(kServers[0], answer(after[1].second, 200));
-  lab.pass(100s);
+  lab.advance(100s);
   CHECK(lab.take_datagrams_to_servers().empty() && lab.lines(kCaller).empty());
 }
 
@@ -168,7 +168,7 @@
   TrunkLab lab;
   lab.call(300);
   const sip::Message invite = lab.take_one();
-  lab.pass(5s);  // an abandoned INVITE is not retransmitted either
+  lab.advance(5s);  // an abandoned INVITE is not retransmitted either
   CHECK(lab.take_datagrams_to_servers().empty());
   lab.receive_from(kServers[0], answer(invite, 100));
   CHECK_EQ(lab.take_one().method, "CANCEL");
@@ -179,17 +179,17 @@
   lab.call();
   CHECK_EQ(lab.connects.size(), 1U);
   CHECK_EQ(lab.connects[0].address, kServers[0]);
-  lab.tell(net::ConnectFailed{lab.connects[0].conn, true});
+  lab.deliver(net::ConnectFailed{lab.connects[0].conn, true});
   CHECK_EQ(lab.connects.size(), 2U);
   CHECK_EQ(lab.connects[1].address, kServers[1]);
   const ConnId conn = lab.connects[1].conn;
-  lab.tell(net::Connected{conn});
+  lab.deliver(net::Connected{conn});
   const sip::Message invite = lab.messages(conn).at(0);
   CHECK_EQ(invite.method, "INVITE");
   lab.receive(conn, answer(invite, 200, kContact, "answer"));
   CHECK_EQ(lab.messages(conn).at(0).method, "ACK");
   CHECK_EQ(lab.lines(kCaller).at(0).type, "answer");
-  lab.tell(net::Closed{conn, true});  // an established call outlives its connection
+  lab.deliver(net::Closed{conn, true});  // an established call outlives its connection
   CHECK(lab.lines(kCaller).empty());
 }
 
@@ -204,7 +204,7 @@
   CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
   lab.receive_from(kServers[0], answer(invite, 200, kContact, "answer"));  // the late 200
   CHECK_EQ(lab.take_one().method, "ACK");
-  lab.pass(5s);
+  lab.advance(5s);
   CHECK(lab.take_datagrams_to_servers().empty() && lab.lines(kCaller).empty());
 }
 
@@ -214,16 +214,16 @@
   TrunkLab lab("tcp");
   lab.call();
   const ConnId conn = lab.connects.at(0).conn;
-  lab.tell(net::Connected{conn});
+  lab.deliver(net::Connected{conn});
   const sip::Message invite = lab.messages(conn).at(0);
-  lab.tell(net::Closed{conn, true});
+  lab.deliver(net::Closed{conn, true});
   const ConnId next{Concern::trunk, 900};
-  lab.tell(net::Accepted{next});
+  lab.deliver(net::Accepted{next});
   lab.receive(next, bye(invite));
   CHECK_EQ(lab.messages(next).at(0).status, 200);
   CHECK_EQ(lab.lines(kCaller).at(0).type, "release");
   lab.connects.clear();
-  lab.pass(5s);
+  lab.advance(5s);
   CHECK(lab.connects.empty() && lab.lines(kCaller).empty());
 }
 
@@ -240,18 +240,18 @@
       CHECK_EQ(lab.connects.size(), 1U);
       const ConnId conn = lab.connects[0].conn;
       if (other_call_waits) {
-        lab.tell(net::Accepted{other});
-        lab.receive(other, set_up_line("00000000000000bb"));
+        lab.deliver(net::Accepted{other});
+        lab.receive(other, setup_line("00000000000000bb"));
         CHECK_EQ(lab.connects.size(), 1U);
       }
-      lab.pass(50ms);
+      lab.advance(50ms);
       lab.end_call(ending);
-      lab.tell(net::Connected{conn});
+      lab.deliver(net::Connected{conn});
       const auto sent = lab.messages(conn);
       CHECK_EQ(sent.size(), other_call_waits ? 1U : 0U);
-      CHECK_EQ(lab.figure("tries"), other_call_waits ? "1|c" : "0|c");
+      CHECK_EQ(lab.telemetry_metric("tries"), other_call_waits ? "1|c" : "0|c");
       if (other_call_waits) CHECK(sent[0].header("Call-ID").starts_with("00000000000000bb"));
-      lab.pass(40s);  // nothing follows after the transaction timeout
+      lab.advance(40s);  // nothing follows after the transaction timeout
       for (const sip::Message& m : lab.messages(conn))
         CHECK(!m.header("Call-ID").starts_with("00000000000000aa"));
     }
@@ -266,11 +266,11 @@
     lab.call(300);
     const ConnId conn = lab.connects.at(0).conn;
     lab.unwritten.insert(conn);
-    lab.tell(net::Connected{conn});
+    lab.deliver(net::Connected{conn});
     const sip::Message invite = lab.messages(conn).at(0);
-    CHECK_EQ(lab.figure("tries"), "1|c");
+    CHECK_EQ(lab.telemetry_metric("tries"), "1|c");
     lab.end_call(ending);
-    CHECK_EQ(lab.figure("tries"), "0|c");
+    CHECK_EQ(lab.telemetry_metric("tries"), "0|c");
     CHECK(lab.messages(conn).empty());
     lab.receive(conn, answer(invite, 100));  // a response to an unknown INVITE
     CHECK(lab.messages(conn).empty());
@@ -289,7 +289,7 @@
     config.journal = "127.0.0.1:8500";
     TrunkLab lab("tcp", config);
     const ConnId journal = lab.connects.back().conn;
-    lab.tell(net::Connected{journal});
+    lab.deliver(net::Connected{journal});
     lab.connects.clear();
     lab.call();
     CHECK_EQ(lab.connects.size(), 1U);
@@ -297,7 +297,7 @@
     const ConnId conn = lab.connects[0].conn;
     if (connected) {
       lab.unwritten.insert(conn);
-      lab.tell(net::Connected{conn});
+      lab.deliver(net::Connected{conn});
       CHECK_EQ(lab.messages(conn).size(), 1U);
     }
     lab.receive(
@@ -307,9 +307,9 @@
         "\n\n");
     CHECK_EQ(lab.connects.size(), 2U);
     CHECK_EQ(lab.connects[1].address, kServers[1]);
-    if (!connected) lab.tell(net::Connected{conn});
+    if (!connected) lab.deliver(net::Connected{conn});
     CHECK(lab.messages(conn).empty());
-    lab.tell(net::Connected{lab.connects[1].conn});
+    lab.deliver(net::Connected{lab.connects[1].conn});
     CHECK_EQ(lab.messages(lab.connects[1].conn).at(0).method, "INVITE");
   }
 }
@@ -322,7 +322,7 @@
     udp.call(300);
     const sip::Message invite = udp.take_one();
     udp.end_call(ending);
-    udp.pass(5s);
+    udp.advance(5s);
     CHECK(udp.take_datagrams_to_servers().empty());
     udp.receive_from(kServers[0], answer(invite, 180));
     CHECK_EQ(udp.take_one().method, "CANCEL");
@@ -332,7 +332,7 @@
     TrunkLab tcp("tcp");
     tcp.call(300);
     const ConnId conn = tcp.connects.at(0).conn;
-    tcp.tell(net::Connected{conn});
+    tcp.deliver(net::Connected{conn});
     const sip::Message written = tcp.messages(conn).at(0);
     tcp.end_call(ending);
     CHECK(tcp.messages(conn).empty());
@@ -340,7 +340,7 @@
     CHECK_EQ(tcp.messages(conn).at(0).method, "CANCEL");
     tcp.receive(conn, answer(written, 180));
     CHECK(tcp.messages(conn).empty());
-    CHECK_EQ(tcp.figure("tries"), "1|c");
+    CHECK_EQ(tcp.telemetry_metric("tries"), "1|c");
   }
 }
 
@@ -367,8 +367,8 @@
       TrunkLab tcp("tcp");
       tcp.call(time_left_ms);
       const ConnId conn = tcp.connects.at(0).conn;
-      tcp.pass(Duration(std::chrono::milliseconds(wait_ms)));
-      tcp.tell(net::Connected{conn});
+      tcp.advance(Duration(std::chrono::milliseconds(wait_ms)));
+      tcp.deliver(net::Connected{conn});
       check_time(tcp.messages(conn).at(0), time_left_ms - wait_ms);
     }
   }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -15,11 +15,11 @@
 
 PlatformConfig config_with_inherited_socket() {
   PlatformConfig c = config_for_tests();
-  c.inherited = 7;
+  c.inherited_socket = 7;
   return c;
 }
 
-bool listens_for_callers(const Lab& lab) {
+bool listens_for_callers(const GatekeeperLab& lab) {
   return std::any_of(lab.listens.begin(), lab.listens.end(),
                      [](const net::Listen& l) { return l.concern == Concern::platform; });
 }
@@ -30,24 +30,24 @@
 // Callers accepted before any setup server is connected would get the answer that the gatekeeper is not
 // ready, although the old process still serves.
 void new_process_accepts_callers_once_it_is_ready() {
-  Lab lab(config_with_inherited_socket());
+  GatekeeperLab lab(config_with_inherited_socket());
   CHECK(!listens_for_callers(lab));
   lab.bring_up();
   CHECK(listens_for_callers(lab));
-  CHECK(lab.listens.back().inherited == 7);
-  Lab own;  // without an inherited socket it listens at once
+  CHECK(lab.listens.back().inherited_socket == 7);
+  GatekeeperLab own;  // without an inherited socket it listens at once
   CHECK(listens_for_callers(own));
-  CHECK(!own.listens.back().inherited);
+  CHECK(!own.listens.back().inherited_socket);
 }
 
 void old_process_accepts_no_callers_and_closes_idle_ones() {
-  Lab lab(config_with_inherited_socket());
+  GatekeeperLab lab(config_with_inherited_socket());
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.tell(net::Accepted{kOther});
-  lab.receive(kCaller, set_up_line("00000000000000aa"));
-  lab.tell(net::StopRequested{});
+  lab.deliver(net::Accepted{kCaller});
+  lab.deliver(net::Accepted{kOther});
+  lab.receive(kCaller, setup_line("00000000000000aa"));
+  lab.deliver(net::StopRequested{});
   CHECK_EQ(lab.stopped_listening.size(), 1U);
   CHECK_EQ(lab.closed.size(), 1U);
   CHECK(lab.closed.front() == kOther);
@@ -55,41 +55,41 @@
   // Requests on open connections are served, and a ping there is answered with ready.
   lab.receive(kCaller, kPing);
   CHECK_EQ(lab.lines(kCaller).back().cause.value_or(-1), 1);
-  lab.receive(kCaller, set_up_line("00000000000000ab"));
+  lab.receive(kCaller, setup_line("00000000000000ab"));
   for (const sip::Message& m : lab.messages(s0)) {
     if (m.method == "INVITE") lab.receive(s0, server_answer(m, 200, "answer"));
   }
   CHECK_EQ(lab.lines(kCaller).size(), 2U);
-  lab.pass(300ms);
+  lab.advance(300ms);
   CHECK(lab.closed.back() == kCaller);
 
   // It runs until its established calls are released, and exits after the last one.
-  lab.pass(2s);
+  lab.advance(2s);
   CHECK(!lab.exit_status);
   lab.receive(s0, server_bye("00000000000000aa", 16));
   lab.receive(s0, server_bye("00000000000000ab", 16));
-  lab.pass(100ms);
+  lab.advance(100ms);
   CHECK(lab.exit_status == 0);
 }
 
 // Guards against a process that is stopped before it is ready and accepts callers in its last second.
 void process_stopped_before_ready_accepts_nobody() {
-  Lab lab(config_with_inherited_socket());
-  lab.tell(net::StopRequested{});
+  GatekeeperLab lab(config_with_inherited_socket());
+  lab.deliver(net::StopRequested{});
   lab.bring_up();
   CHECK(!listens_for_callers(lab));
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(lab.exit_status == 0);
 }
 
 void stopped_process_waits_for_the_rest_of_a_line() {
-  Lab lab(config_with_inherited_socket());
+  GatekeeperLab lab(config_with_inherited_socket());
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  const std::string line = set_up_line("00000000000000aa");
+  lab.deliver(net::Accepted{kCaller});
+  const std::string line = setup_line("00000000000000aa");
   lab.receive(kCaller, line.substr(0, 40));
-  lab.tell(net::StopRequested{});
-  lab.pass(300ms);
+  lab.deliver(net::StopRequested{});
+  lab.advance(300ms);
   CHECK(lab.closed.empty());
   lab.receive(kCaller, line.substr(40));
   CHECK_EQ(lab.messages(ConnId{Concern::server, 1}).size(), 1U);
@@ -98,34 +98,34 @@
 // Established calls without a release do not delay the exit beyond the longest caller timeout and a grace
 // period: then they are left to the successor.
 void established_calls_delay_the_exit_for_bounded_time() {
-  Lab lab(config_with_inherited_socket());
+  GatekeeperLab lab(config_with_inherited_socket());
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.receive(kCaller, set_up_line("00000000000000aa"));
+  lab.deliver(net::Accepted{kCaller});
+  lab.receive(kCaller, setup_line("00000000000000aa"));
   lab.receive(s0, server_answer(lab.messages(s0).back(), 200, "answer"));
-  lab.tell(net::StopRequested{});
-  lab.pass(6500ms);
+  lab.deliver(net::StopRequested{});
+  lab.advance(6500ms);
   CHECK(!lab.exit_status);
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(lab.exit_status == 0);
 }
 
 // Planned restart without a successor: it keeps listening until it exits.
 void process_without_successor_listens_until_exit() {
-  Lab lab;
+  GatekeeperLab lab;
   lab.bring_up();
-  lab.tell(net::Accepted{kCaller});
-  lab.tell(net::StopRequested{});
+  lab.deliver(net::Accepted{kCaller});
+  lab.deliver(net::StopRequested{});
   CHECK(lab.stopped_listening.empty() && lab.closed.empty());
   lab.receive(kCaller, kPing);
   CHECK_EQ(lab.lines(kCaller).back().cause.value_or(-1), 0);
-  lab.pass(1s);
+  lab.advance(1s);
   CHECK(lab.exit_status == 0);
 }
 
 // Answers all INVITEs that this process sent to the server with 200.
-void answer_all_invites(Lab& lab, ConnId server) {
+void answer_all_invites(GatekeeperLab& lab, ConnId server) {
   for (const sip::Message& m : lab.messages(server)) {
     if (m.method == "INVITE") lab.receive(server, server_answer(m, 200, "answer"));
   }
@@ -134,31 +134,31 @@
 // Three processes of one gatekeeper at once: each serves its accepted calls to their end, and only the last
 // one accepts more.
 void two_upgrades_in_quick_succession_keep_every_call() {
-  Lab first(config_with_inherited_socket());
-  Lab second(config_with_inherited_socket());
-  Lab third(config_with_inherited_socket());
-  std::vector<Lab*> all{&first, &second, &third};
+  GatekeeperLab first(config_with_inherited_socket());
+  GatekeeperLab second(config_with_inherited_socket());
+  GatekeeperLab third(config_with_inherited_socket());
+  std::vector<GatekeeperLab*> all{&first, &second, &third};
   const char* const ids[] = {"00000000000000a1", "00000000000000a2", "00000000000000a3"};
   std::vector<ConnId> servers;
   for (std::size_t i = 0; i < all.size(); ++i) {
-    Lab& lab = *all[i];
+    GatekeeperLab& lab = *all[i];
     servers.push_back(lab.connects.at(0).conn);
     lab.bring_up();
     CHECK(listens_for_callers(lab));
-    lab.tell(net::Accepted{kCaller});
-    lab.receive(kCaller, set_up_line(ids[i]));
+    lab.deliver(net::Accepted{kCaller});
+    lab.receive(kCaller, setup_line(ids[i]));
     // The first two get SIGTERM, as when their successor is ready, with their call still unanswered.
-    if (i < 2) lab.tell(net::StopRequested{});
+    if (i < 2) lab.deliver(net::StopRequested{});
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
     answer_all_invites(*all[i], servers[i]);
     const auto lines = all[i]->lines(kCaller);
     CHECK_EQ(lines.size(), 1U);
     CHECK(lines[0].type == "answer" && lines[0].id == ids[i]);
-    all[i]->pass(2s);
+    all[i]->advance(2s);
     CHECK(!all[i]->exit_status);  // its call is established
     all[i]->receive(servers[i], server_bye(ids[i], 16));
-    all[i]->pass(200ms);
+    all[i]->advance(200ms);
     CHECK(i == 2 ? !all[i]->exit_status : all[i]->exit_status == 0);
   }
   CHECK_EQ(first.stopped_listening.size() + second.stopped_listening.size(), 2U);
@@ -170,7 +170,7 @@
 void draining_event_applies_to_the_process_that_got_it() {
   PlatformConfig config = config_with_inherited_socket();
   config.journal = "127.0.0.1:8500";
-  const auto drain = [](Lab& lab, ConnId journal) {
+  const auto drain = [](GatekeeperLab& lab, ConnId journal) {
     lab.receive(journal,
                 "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 4\ndata: "
                 R"({"pos":4,"hosts":{"rev":2,"all":false,"targets":[{"uid":"s0","endpoint":"127.0.0.1:9000",)"
@@ -178,29 +178,29 @@
                 "\n\n");
   };
   for (const bool old_process_is_notified : {true, false}) {
-    Lab old(config);
-    Lab fresh(config);
-    std::map<Lab*, std::map<std::string, ConnId>> to;
-    for (Lab* lab : {&old, &fresh}) {
+    GatekeeperLab old(config);
+    GatekeeperLab fresh(config);
+    std::map<GatekeeperLab*, std::map<std::string, ConnId>> to;
+    for (GatekeeperLab* lab : {&old, &fresh}) {
       for (const net::Connect& c : lab->connects) to[lab][c.address] = c.conn;
       lab->bring_up();
-      lab->tell(net::Accepted{kCaller});
+      lab->deliver(net::Accepted{kCaller});
     }
-    old.tell(net::Accepted{kOther});
+    old.deliver(net::Accepted{kOther});
     // An incomplete line keeps the connection open.
     old.receive(kCaller, R"({"type":"progress","id":"00000000000000cc","fields":{)");
-    old.tell(net::StopRequested{});
-    Lab& notified = old_process_is_notified ? old : fresh;
-    Lab& other = old_process_is_notified ? fresh : old;
+    old.deliver(net::StopRequested{});
+    GatekeeperLab& notified = old_process_is_notified ? old : fresh;
+    GatekeeperLab& other = old_process_is_notified ? fresh : old;
     drain(notified, to[&notified]["127.0.0.1:8500"]);
     if (old_process_is_notified) {
-      old.receive(kCaller, "}}\n" + set_up_line("00000000000000d1"));
-      fresh.receive(kCaller, set_up_line("00000000000000d2"));
+      old.receive(kCaller, "}}\n" + setup_line("00000000000000d1"));
+      fresh.receive(kCaller, setup_line("00000000000000d2"));
     } else {
-      fresh.receive(kCaller, set_up_line("00000000000000d1"));
-      old.receive(kCaller, "}}\n" + set_up_line("00000000000000d2"));
+      fresh.receive(kCaller, setup_line("00000000000000d1"));
+      old.receive(kCaller, "}}\n" + setup_line("00000000000000d2"));
     }
-    const auto invites = [](Lab& lab, ConnId conn) {
+    const auto invites = [](GatekeeperLab& lab, ConnId conn) {
       const auto all = lab.messages(conn);
       return std::count_if(all.begin(), all.end(), [](const auto& m) { return m.method == "INVITE"; });
     };
@@ -208,7 +208,7 @@
     CHECK_EQ(invites(notified, to[&notified]["127.0.0.1:9001"]), 1);
     CHECK_EQ(invites(other, to[&other]["127.0.0.1:9000"]), 1);
     drain(other, to[&other]["127.0.0.1:8500"]);
-    other.receive(kCaller, set_up_line("00000000000000d3"));
+    other.receive(kCaller, setup_line("00000000000000d3"));
     CHECK_EQ(invites(other, to[&other]["127.0.0.1:9000"]), 0);
   }
 }
@@ -226,53 +226,53 @@
   const PlatformConfig read = read_platform_config(text);
   config.settings = read.settings;
   config.class_names = read.class_names;
-  Lab old(config);
+  GatekeeperLab old(config);
   const ConnId server = old.connects.at(0).conn;
   old.bring_up();
-  old.tell(net::Accepted{kCaller});
-  old.receive(kCaller, set_up_line("00000000000000e1", read.class_names.at(0)));
-  Lab fresh(config);
-  old.tell(net::StopRequested{});
-  for (Lab* lab : {&old, &fresh}) {
-    lab->tell(net::ReloadRequested{});
-    lab->tell(net::FileRead{"", text});
-    CHECK_EQ(lab->figure("config_applied"), "1|c");
+  old.deliver(net::Accepted{kCaller});
+  old.receive(kCaller, setup_line("00000000000000e1", read.class_names.at(0)));
+  GatekeeperLab fresh(config);
+  old.deliver(net::StopRequested{});
+  for (GatekeeperLab* lab : {&old, &fresh}) {
+    lab->deliver(net::ReloadRequested{});
+    lab->deliver(net::FileRead{"", text});
+    CHECK_EQ(lab->telemetry_metric("config_applied"), "1|c");
   }
   const std::size_t listens = old.listens.size();
   answer_all_invites(old, server);
   CHECK_EQ(old.lines(kCaller).at(0).type, "answer");
-  old.pass(1s);
+  old.advance(1s);
   CHECK_EQ(old.listens.size(), listens);
   CHECK(!old.exit_status);
   CHECK(!listens_for_callers(fresh));
   fresh.bring_up();
-  CHECK(listens_for_callers(fresh) && fresh.listens.back().inherited == 7);
+  CHECK(listens_for_callers(fresh) && fresh.listens.back().inherited_socket == 7);
 }
 
 // The new process does not know the call's server: it confirms the caller's release at once and sends nothing
 // to any server. The call ends at the old process when its server releases it.
 void release_at_the_new_process_of_a_call_of_the_old_one() {
-  Lab old(config_with_inherited_socket());
+  GatekeeperLab old(config_with_inherited_socket());
   const ConnId server = old.connects.at(0).conn;
   old.bring_up();
-  old.tell(net::Accepted{kCaller});
-  old.receive(kCaller, set_up_line("00000000000000f1"));
+  old.deliver(net::Accepted{kCaller});
+  old.receive(kCaller, setup_line("00000000000000f1"));
   answer_all_invites(old, server);
-  Lab fresh(config_with_inherited_socket());
+  GatekeeperLab fresh(config_with_inherited_socket());
   std::vector<ConnId> servers;
   for (const net::Connect& c : fresh.connects) servers.push_back(c.conn);
   fresh.bring_up();
-  old.tell(net::StopRequested{});
-  fresh.tell(net::Accepted{kCaller});
+  old.deliver(net::StopRequested{});
+  fresh.deliver(net::Accepted{kCaller});
   fresh.receive(kCaller, R"({"type":"release","id":"00000000000000f1","fields":{},"cause":16})"
                          "\n");
   CHECK_EQ(fresh.lines(kCaller).at(0).type, "released");
-  fresh.pass(2s);
+  fresh.advance(2s);
   for (const ConnId s : servers) CHECK(fresh.messages(s).empty());
-  old.pass(1s);
+  old.advance(1s);
   CHECK(!old.exit_status);
   old.receive(server, server_bye("00000000000000f1", 16));
-  old.pass(200ms);
+  old.advance(200ms);
   CHECK(old.exit_status == 0);
 }
 
--- a/tests/world.h
+++ b/tests/world.h
@@ -33,14 +33,14 @@
 }
 
 // A running program connected to one setup server and a discovery service, with one connected caller.
-struct World {
-  explicit World(const json& deploy = {}) {
+struct ProgramFixture {
+  explicit ProgramFixture(const json& deploy = {}) {
     config = config_for(port, server_listener.port(), journal_listener.port());
     program.emplace(binary, config.dump(), deploy.is_null() ? "" : deploy.dump());
     server = server_listener.accept();
     server.send("NOTIFY sip:x@net SIP/2.0\r\nCall-ID: n\r\nP-Load: x0:30;x1:40\r\nContent-Length: 0\r\n\r\n");
     journal = journal_listener.accept();
-    CHECK(journal.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
+    CHECK(journal.read_until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
     caller = Socket::connected(port);
   }
   sip::Message from_server() { return sip::read_stream(server.message()).message; }
@@ -59,7 +59,7 @@
   Socket caller;
 };
 
-inline std::string set_up(const std::string& id, int left) {
+inline std::string setup_line_with_key(const std::string& id, int left) {
   return json{{"type", "setup"},
               {"id", id},
               {"fields",
