--- a/lab/config_rig.h
+++ b/lab/config_rig.h
@@ -72,22 +72,22 @@
   std::string hollow{};
   std::size_t distributors = 16;
   std::size_t lightweight = 100;  // lightweight gatekeepers
-  std::size_t processes = 2;      // that run the lightweight gatekeepers
+  std::size_t processes = 2;      // number of processes that run them
   std::size_t real = 2;
-  std::size_t relayed_processes = 0;  // so many processes, the last ones, connect through the relay
+  std::size_t relayed_processes = 0;  // number of processes, the last ones, that connect through the relay
   // Gatekeepers for measuring the cost of the control connections, by comparison with others that differ in
-  // nothing else: `bare_lightweight` lightweight ones without `configuration` and `control`, in a process of
-  // their own; and twice `bare_real` real ones, half of them with both and half without, all without setup
-  // servers.
+  // nothing else: `bare_light` lightweight ones without `configuration` and `control`, in a process of their
+  // own; and twice `bare_real` real ones, half of them with both and half without, all without setup servers.
   std::size_t bare_lightweight = 0;
   std::size_t bare_real = 0;
   int interval_ms = 100;  // between the reports of a process of lightweight gatekeepers
-  int lifetime_s = 240;   // after which a process of lightweight gatekeepers exits by itself
+  int lifetime_s = 240;   // lifetime of a process of lightweight gatekeepers
   std::uint64_t seed = 1;
 };
 
 // Services and their subscribers, with the proportions of the fleet expected in two years: 13,000 gatekeepers
-// of 2,000 services. A fifth of the gatekeepers belong to large services, which are one service in a hundred.
+// of 2,000 services. A fifth of the gatekeepers, with a twentieth of all subscriptions, belong to large
+// services, which are one service in a hundred.
 class SubscriptionLayout {
  public:
   explicit SubscriptionLayout(std::size_t gatekeepers);
--- a/lab/config_sim.h
+++ b/lab/config_sim.h
@@ -705,7 +705,7 @@
     } else {
       const auto& event = std::get<distribution::SubscriberEvent>(message);
       const std::size_t g = connection.client - distributors_.size();
-      // The I/O layer acknowledges notifications by itself.
+      // In the program, the I/O layer acknowledges notifications.
       if (std::holds_alternative<distribution::VersionsNotified>(event))
         send(id, true, distribution::DistributorEvent{distribution::NotificationAcknowledged{id}});
       step_gatekeeper(g, event);
