--- a/src/net/counted.h
+++ b/src/net/counted.h
@@ -1,4 +1,4 @@
-// The runtime's counters by name, as the programs tell them.
+// Adds the runtime's counters to a Counters table under their metric names.
 #pragma once
 
 #include "core/counters.h"
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -1,5 +1,5 @@
-// What the runtime tells the reducer and what the reducer asks of the runtime. Plain data: nothing here reads
-// or writes.
+// Events that the runtime delivers to a reducer, and effects that the reducer requests from the runtime.
+// Plain data: nothing here does I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace graniterun::net {
 
-// Whose connection, socket or timer it is.
+// The part of a program that owns a connection, socket or timer.
 enum class Concern : std::uint8_t {
   broker,
   platform,
@@ -22,11 +22,11 @@
   sip,
   trunk,
   collector,
-  control,         // callers of the control listener
-  control_client,  // gatekeepers that an announcer, or a command line, speaks to
-  management,      // operators' one-line calls
-  fleet,           // datagrams among gatekeepers
-  configuration,   // distributors of it
+  control,         // connections accepted by the control listener
+  control_client,  // connections from the gap publisher, a distributor or the command line
+  management,      // operators' one-line requests
+  fleet,           // datagrams between gatekeepers
+  configuration,   // connections to configuration distributors
   process
 };
 constexpr std::size_t kConcerns = static_cast<std::size_t>(Concern::process) + 1;
@@ -54,25 +54,25 @@
 };
 struct ConnectFailed {
   ConnId conn;
-  bool refused{};  // nobody listens there; else no answer came in time
-  bool local{};    // there was no descriptor or port to be had here: it says nothing of the other side
+  bool refused{};  // connection refused; false: unreachable, timed out or a local failure
+  bool local{};    // no descriptor or port was available here: says nothing about the peer
 };
-// All that has come in and was not consumed yet. What the reducer does not consume stands in the next one
-// too.
+// All received bytes that are not consumed yet. Bytes that the reducer does not consume are delivered again
+// with the next Received.
 struct Received {
   ConnId conn;
   std::string_view bytes;
 };
-struct Closed {  // by the other side, or for an error
+struct Closed {  // by the peer, or after an error
   ConnId conn;
   bool reset{};
 };
-// The other side of an accepted connection has closed it or has closed its half. What it sent before is still
-// told, and then Closed; this comes ahead of what is not read yet, however much that is.
+// The peer of an accepted connection closed it or shut down its sending direction. Delivered ahead of any
+// unread input; the input that the peer sent before follows, and then Closed.
 struct PeerClosed {
   ConnId conn;
 };
-// A Recall was in time: nothing of the message has been written, and nothing will be.
+// A WithdrawSend succeeded: no byte of the message was written, and none will be.
 struct WriteWithdrawn {
   ConnId conn;
   std::uint64_t ticket{};
@@ -82,16 +82,16 @@
   std::string_view peer;  // address:port
   std::string_view bytes;
 };
-// A datagram to that address was refused: nobody listens there.
+// ICMP port unreachable for a datagram sent to `peer`: no process listens there.
 struct Unreachable {
   Concern concern{};
   std::string peer;
-  std::string bytes;  // of the datagram, as far as the network gave them back
+  std::string bytes;  // of the datagram, as far as the ICMP message contains them
 };
-struct Bound {  // an exclusive Bind has its port
+struct Bound {  // an exclusive Bind succeeded
   Concern concern{};
 };
-struct BindFailed {  // of an exclusive Bind
+struct BindFailed {  // an exclusive Bind failed
   Concern concern{};
 };
 struct TimerFired {
@@ -100,7 +100,7 @@
 struct StopRequested {};      // SIGTERM
 struct CountersRequested {};  // SIGUSR1
 struct ReloadRequested {};    // SIGHUP
-struct FileRead {             // what ReadFile asked for; no text: it can't be read
+struct FileRead {             // result of ReadFile; no text: the file could not be read
   std::string path;
   std::optional<std::string> text;
 };
@@ -110,24 +110,24 @@
                            WriteWithdrawn, Datagram, Unreachable, Bound, BindFailed, TimerFired,
                            StopRequested, CountersRequested, ReloadRequested, FileRead>;
 
-// Whose event it is; none: the whole program's.
+// The concern that an event belongs to; absent for events of the whole program.
 inline std::optional<Concern> concern_of(const Event& event) {
   return std::visit(
-      [](const auto& notice) -> std::optional<Concern> {
-        if constexpr (requires { notice.conn; }) return notice.conn.concern;
-        if constexpr (requires { notice.concern; }) return notice.concern;
-        if constexpr (requires { notice.key; }) return notice.key.concern;
+      [](const auto& alternative) -> std::optional<Concern> {
+        if constexpr (requires { alternative.conn; }) return alternative.conn.concern;
+        if constexpr (requires { alternative.concern; }) return alternative.concern;
+        if constexpr (requires { alternative.key; }) return alternative.key.concern;
         return std::nullopt;
       },
       event);
 }
 
-// Hands the event to `handler` if that takes its type; an event of no concern to it is passed over.
+// Calls `handler` with the event if it accepts that type; ignores the event otherwise.
 template <class Handler>
 void dispatch(const Event& event, Handler handler) {
   std::visit(
-      [&](const auto& one) {
-        if constexpr (requires { handler(one); }) handler(one);
+      [&](const auto& alternative) {
+        if constexpr (requires { handler(alternative); }) handler(alternative);
       },
       event);
 }
@@ -137,23 +137,24 @@
 struct Listen {  // TCP
   Concern concern{};
   std::string address;
-  std::optional<int> inherited{};  // a listening socket that this process was started with, instead of an own
+  std::optional<int>
+      inherited{};  // descriptor of a listening socket passed to this process, used instead of a new one
   std::size_t reserved_connections =
-      0;                 // so many connections of it stand beside the common limit; 0: all within the limit
-  bool required = true;  // else the program goes on without it
+      0;  // maximum connections, outside RuntimeLimits::connections; 0: they count against that limit
+  bool required = true;  // false: the program continues if listening fails
 };
-// Takes no more connections. What others do with the same socket goes on.
+// Accepts no more connections. Other processes that share the socket can still accept.
 struct StopListening {
   Concern concern{};
 };
 struct Bind {  // UDP
   Concern concern{};
   std::string address;
-  // Shared with nobody, and told of refused datagrams. Bound comes back, or, where it can't be had,
-  // BindFailed: the program goes on.
+  // The port is not shared (no SO_REUSEADDR), and Unreachable events are reported. The result is Bound or
+  // BindFailed; a failure does not end the program.
   bool exclusive = false;
 };
-// Ends its datagrams: the port is free again.
+// Closes the UDP sockets of the concern, which frees their ports.
 struct Unbind {
   Concern concern{};
 };
@@ -165,11 +166,12 @@
 struct Send {
   ConnId conn;
   std::string bytes;
-  // Not 0: it is counted in the runtime's counters once it is written whole, and may be recalled before.
+  // If not 0: the message is counted in RuntimeCounters::counted_written once it is completely written, and
+  // WithdrawSend can name it until its first byte is written.
   std::uint64_t ticket = 0;
 };
-// Takes a message back of which nothing is written yet: Recalled comes. Where it is too late `otherwise` is
-// sent, if there is any.
+// Withdraws a message of which no byte is written yet; WriteWithdrawn confirms it. If it is too late,
+// `fallback` is sent, unless it is empty.
 struct WithdrawSend {
   ConnId conn;
   std::uint64_t ticket{};
@@ -184,15 +186,15 @@
   ConnId conn;
   std::size_t count{};
 };
-struct Close {  // once what was sent is written
+struct Close {  // after all sent bytes are written
   ConnId conn;
 };
-struct Drop {  // at once, whatever can't be written now
+struct Drop {  // immediately; bytes that can't be written now are lost
   ConnId conn;
 };
-struct CloseIfIdle {  // unless something has come that was not read yet: that is told first
+struct CloseIfIdle {  // does nothing if the socket has unread input; Received will deliver that
   ConnId conn;
-  bool at_once = false;  // its descriptor is wanted: the other side's end is not awaited
+  bool at_once = false;  // frees the descriptor immediately: does not wait until the peer closes
 };
 struct ArmTimer {
   TimerKey key;
@@ -201,24 +203,26 @@
 struct ReadFile {
   std::string path;
 };
-struct WriteFile {  // whole, or not at all: the old one stays until the new one is on disk
+struct WriteFile {  // atomically: the old file stays until the new one is on disk
   std::string path;
   std::string text;
-  // What comes after it in the step rests on it: where it can't be written the program ends at once, with 1.
+  // Later effects of the step depend on the file: if it can't be written, the program exits at once with
+  // status 1.
   bool required = false;
 };
 struct Log {
   Level level{};
   std::string text;
 };
-struct Print {  // whatever the level
+struct Print {  // regardless of the log level
   std::string text;
-  bool answer = false;  // to whoever started the program: on standard output, else with the log
+  bool answer = false;  // true: to standard output; false: to standard error, like the log
 };
 struct Exit {
   int status{};
 };
-// Unless something is left to write or has come and is not read yet, on any connection or as a new one.
+// Exits unless an accepted connection has unwritten output or unread input, or a new connection waits to be
+// accepted.
 struct ExitIfIdle {
   int status{};
 };
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,4 @@
-// Log lines on standard error, those under the level left out.
+// Writes log lines to standard error; lines below the minimum level are left out.
 #pragma once
 
 #include <iostream>
@@ -10,7 +10,7 @@
 
 class Logger {
  public:
-  explicit Logger(Level least) : min_level_(least) {}
+  explicit Logger(Level min_level) : min_level_(min_level) {}
   void line(Level level, std::string_view text) const {
     constexpr std::string_view kNames[] = {"debug", "info", "warning", "error"};
     if (level >= min_level_) std::cerr << kNames[static_cast<std::size_t>(level)] << ": " << text << '\n';
--- a/src/net/outbox.h
+++ b/src/net/outbox.h
@@ -1,4 +1,4 @@
-// What a sub-reducer answers an event with: effects for the runtime, and events for the broker.
+// Output of a sub-reducer for one event: effects for the runtime, and events for the broker.
 #pragma once
 
 #include <string>
@@ -15,12 +15,12 @@
   std::vector<core::Event> core;
 
   void send(net::ConnId conn, std::string bytes) { net.push_back(net::Send{conn, std::move(bytes)}); }
-  // Counted by the runtime once it is written whole; `recall` takes it back before.
+  // The runtime counts the message once it is completely written; `withdraw_send` can withdraw it before.
   void send_counted(net::ConnId conn, std::string bytes, std::uint64_t ticket) {
     net.push_back(net::Send{conn, std::move(bytes), ticket});
   }
-  void withdraw_send(net::ConnId conn, std::uint64_t ticket, std::string otherwise) {
-    net.push_back(net::WithdrawSend{conn, ticket, std::move(otherwise)});
+  void withdraw_send(net::ConnId conn, std::uint64_t ticket, std::string fallback) {
+    net.push_back(net::WithdrawSend{conn, ticket, std::move(fallback)});
   }
   void close(net::ConnId conn) { net.push_back(net::Close{conn}); }
   void drop(net::ConnId conn) { net.push_back(net::Drop{conn}); }
@@ -31,7 +31,7 @@
   void notify_broker(core::Event event) { core.push_back(std::move(event)); }
 };
 
-// Warnings of one kind, one a second at most: a flood of bad input must not become a flood of lines.
+// Writes at most one warning of a kind per second, so that a flood of bad input does not flood the log.
 class RateLimitedWarning {
  public:
   void line(Time now, std::string text, Outbox& out) {
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -26,28 +26,28 @@
 namespace graniterun::net {
 namespace {
 
-struct Unref {
+struct GObjectUnref {
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 template <class T>
-using Owned = std::unique_ptr<T, Unref>;
+using GObjectPtr = std::unique_ptr<T, GObjectUnref>;
 
-// The text of a GError, which is freed.
-std::string text_of(GError* error) {
+// Returns the text of a GError and frees it.
+std::string take_error_text(GError* error) {
   std::string text = error != nullptr ? error->message : "unknown error";
   g_clear_error(&error);
   return text;
 }
 
-Owned<GSocketAddress> address_of(const std::string& text) {
+GObjectPtr<GSocketAddress> parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return nullptr;
   const int port = std::atoi(text.c_str() + colon + 1);
-  return Owned<GSocketAddress>(
+  return GObjectPtr<GSocketAddress>(
       g_inet_socket_address_new_from_string(text.substr(0, colon).c_str(), static_cast<guint>(port)));
 }
 
-std::string text_of(GSocketAddress* address) {
+std::string format_address(GSocketAddress* address) {
   auto* inet = G_INET_SOCKET_ADDRESS(address);
   gchar* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet));
   std::string text = std::string(host) + ":" + std::to_string(g_inet_socket_address_get_port(inet));
@@ -55,22 +55,23 @@
   return text;
 }
 
-// GIO's own source of a socket wakes the loop by a write to itself each time it is dispatched, which cost
-// more than the message that had come; the descriptor's does not where it may be entered again. The loop is
-// never run within itself, so it isn't: but GLib takes any other source's descriptor out of the loop while it
-// is dispatched, by two writes, a read and a turn for nothing.
-GSource* watch(int descriptor, GIOCondition condition) {
+// Source for a descriptor. A GSocket source writes to the loop's wakeup descriptor each time it is
+// dispatched, which cost more than handling the message; a plain descriptor source does so only if it can't
+// recurse, because GLib then removes its descriptor from the loop during the dispatch, at the cost of two
+// writes, a read and an extra iteration. Allowing recursion avoids this; no recursion occurs, since the loop
+// never runs nested.
+GSource* create_descriptor_source(int descriptor, GIOCondition condition) {
   GSource* source = g_unix_fd_source_new(descriptor, condition);
   g_source_set_can_recurse(source, TRUE);
   return source;
 }
 
-// Told of a socket that is watched for anything.
+// Events that epoll reports for every watched socket, whether requested or not.
 constexpr std::uint32_t kErrorEvents = EPOLLERR | EPOLLHUP;
-// So many connections at one turn of the loop; timers are looked at between.
+// Maximum epoll events per main loop iteration; due timers run between iterations.
 constexpr int kMaxEventsPerTurn = 256;
 
-// A source of the running thread's loop that ends with its owner.
+// Owns a GSource attached to the thread's default main context, and destroys it on destruction.
 class Source {
  public:
   Source() = default;
@@ -158,26 +159,26 @@
     Source hangup;
     Source tick;
     Source sockets;
-    // A timer's source: made ready at the earliest due time. Timers go before reading, or a flood of input
-    // would make deadlines late.
+    // One source for all timers, ready at the earliest due time. Its priority is above that of reading, so
+    // that a flood of input does not delay deadlines.
     static GSourceFuncs functions = {nullptr, nullptr, &Impl::dispatch_tick, nullptr, nullptr, nullptr};
     tick.start(g_source_new(&functions, sizeof(GSource)), &Impl::on_tick, this, G_PRIORITY_HIGH);
     tick_ = tick.get();
     poll_ = epoll_create1(EPOLL_CLOEXEC);
     if (poll_ < 0) {
-      logger_.line(Level::error, "there is no descriptor to watch connections by");
+      logger_.line(Level::error, "cannot create the epoll descriptor that connections are watched with");
       g_main_loop_unref(loop_);
       g_main_context_pop_thread_default(context_.get());
       tick_ = nullptr;
       return 1;
     }
-    sockets.start(watch(poll_, G_IO_IN), &Impl::on_sockets, this);
+    sockets.start(create_descriptor_source(poll_, G_IO_IN), &Impl::on_sockets, this);
     if (limits_.signals) {
       term.start(g_unix_signal_source_new(SIGTERM), &Impl::on_term, this);
       user.start(g_unix_signal_source_new(SIGUSR1), &Impl::on_user, this);
       hangup.start(g_unix_signal_source_new(SIGHUP), &Impl::on_hangup, this);
-      const sigset_t held = watched_signals();
-      pthread_sigmask(SIG_UNBLOCK, &held, nullptr);
+      const sigset_t blocked = watched_signals();
+      pthread_sigmask(SIG_UNBLOCK, &blocked, nullptr);
     }
     step(Started{});
     if (!status_) g_main_loop_run(loop_);
@@ -192,36 +193,36 @@
  private:
   struct Listener;
   struct Connection {
-    Connection(Impl& owner, ConnId conn, Owned<GSocket> own, const RuntimeLimits& limits)
-        : impl(owner), id(conn), socket(std::move(own)), in(limits.inbound), out(limits.outbound) {}
+    Connection(Impl& owner, ConnId conn, GObjectPtr<GSocket> new_socket, const RuntimeLimits& limits)
+        : impl(owner), id(conn), socket(std::move(new_socket)), in(limits.inbound), out(limits.outbound) {}
     Impl& impl;
     ConnId id;
-    Owned<GSocket> socket;
+    GObjectPtr<GSocket> socket;
     Ring in;
     Ring out;
-    // What it is watched for. Connections stand behind one descriptor of GLib's loop: as sources of their own
-    // each turn of the loop went through all of them, however few had anything to say.
+    // Requested epoll events. All connections share one epoll descriptor in GLib's loop: with a source for
+    // each, every iteration of the loop went through all of them, however few were ready.
     std::uint32_t reading = 0;
     bool writing = false;
-    std::uint32_t watched = 0;  // as the kernel has it
-    std::uint64_t token = 0;    // by which it is told of; no other connection ever has it
-    Time connect_due{};
+    std::uint32_t watched = 0;  // events registered with the kernel
+    std::uint64_t token = 0;    // identifies it in epoll events; never reused
+    Time connect_deadline{};
     bool connected = false;
     bool closing = false;
-    bool write_closed = false;  // all is written and said to be: what still comes is read and dropped
+    bool write_closed = false;  // all is written and the sending direction shut down; input is discarded
     std::size_t discarded_bytes = 0;
-    struct Ticketed {  // a message that is to be counted, and may be recalled
+    struct Ticketed {  // a message that is to be counted, and may be withdrawn
       std::uint64_t ticket;
-      std::uint64_t begin;  // both in `sent`
+      std::uint64_t begin;  // begin and end: offsets in the stream that `sent` counts
       std::uint64_t end;
     };
-    std::uint64_t sent = 0;           // bytes handed to `out` since the start, but for those recalled
-    std::deque<Ticketed> ticketed{};  // those not written whole, in order
-    Listener* from = nullptr;         // it was accepted there
-    bool peer_closed = false;         // the other side has closed, or its half
-    bool reading_paused = false;      // nothing is read from it until more is written to it
-    bool unread_check_armed = false;  // a timer looks whether its other side reads
-    std::uint64_t taken = 0;          // by the other side, at the last look
+    std::uint64_t sent = 0;           // bytes put into `out` since the start, without withdrawn ones
+    std::deque<Ticketed> ticketed{};  // those not completely written, in order
+    Listener* listener = nullptr;     // that accepted it; null: an outgoing connection
+    bool peer_closed = false;         // the peer closed or shut down its sending direction
+    bool reading_paused = false;      // until the unwritten output is written
+    bool unread_check_armed = false;  // a timer checks whether the peer reads
+    std::uint64_t acknowledged = 0;   // bytes acknowledged by the peer at the last check
     std::uint64_t written() const { return sent - out.size(); }
     ~Connection() {
       reading = 0;
@@ -229,18 +230,18 @@
       impl.update_watch(*this);
       impl.by_token_.erase(token);
       impl.outbound_ -= out.size();
-      if (from != nullptr) --from->open;
+      if (listener != nullptr) --listener->open;
     }
   };
   struct Listener {
     Impl& impl;
     Concern concern;
-    Owned<GSocket> socket;
+    GObjectPtr<GSocket> socket;
     Source source;
     std::size_t reserved_connections = 0;
-    std::size_t open = 0;  // accepted there and not closed yet
+    std::size_t open = 0;  // connections accepted here and not closed yet
     bool exclusive = false;
-    bool stopped = false;  // it takes no more connections
+    bool stopped = false;  // accepts no more connections
   };
   struct Timer {
     Time at;
@@ -254,7 +255,7 @@
   // ---- the loop's callbacks
   static gboolean dispatch_tick(GSource*, GSourceFunc callback, gpointer data) { return callback(data); }
   static gboolean on_tick(gpointer data) {
-    static_cast<Impl*>(data)->fire();
+    static_cast<Impl*>(data)->run_due_timers();
     return G_SOURCE_CONTINUE;
   }
   static gboolean on_term(gpointer data) {
@@ -284,41 +285,45 @@
     return G_SOURCE_CONTINUE;
   }
 
-  // Tells the kernel what the connection is to be watched for, where that has changed.
+  // Registers the connection's requested events with epoll if they changed.
   void update_watch(Connection& connection) {
-    const std::uint32_t wanted = connection.reading | (connection.writing ? std::uint32_t{EPOLLOUT} : 0U);
-    if (wanted == connection.watched) return;
+    const std::uint32_t requested = connection.reading | (connection.writing ? std::uint32_t{EPOLLOUT} : 0U);
+    if (requested == connection.watched) return;
     if (connection.token == 0) by_token_.emplace(connection.token = ++last_token_, &connection);
     epoll_event event{};
-    event.events = wanted;
+    event.events = requested;
     event.data.u64 = connection.token;
-    const int what = connection.watched == 0 ? EPOLL_CTL_ADD : wanted == 0 ? EPOLL_CTL_DEL : EPOLL_CTL_MOD;
-    const bool done = epoll_ctl(poll_, what, g_socket_get_fd(connection.socket.get()), &event) == 0;
-    if (!done && wanted != 0) {  // no memory for it: nothing would ever be told of it
-      logger_.line(Level::error, "a connection can't be watched: it is closed");
+    const int operation = connection.watched == 0 ? EPOLL_CTL_ADD
+                          : requested == 0        ? EPOLL_CTL_DEL
+                                                  : EPOLL_CTL_MOD;
+    const bool registered =
+        epoll_ctl(poll_, operation, g_socket_get_fd(connection.socket.get()), &event) == 0;
+    if (!registered && requested != 0) {  // out of memory: no event would ever be reported for it
+      logger_.line(Level::error, "closing a connection: epoll_ctl failed");
       broken_.push_back(connection.id);
     }
-    connection.watched = wanted;
+    connection.watched = requested;
   }
   void sockets_ready() {
     epoll_event events[kMaxEventsPerTurn];
     const int count = epoll_wait(poll_, events, kMaxEventsPerTurn, 0);
-    // The oldest ones first, as the loop has it with its own sources. The kernel puts who was heard last turn
-    // ahead of who has just spoken: a set-up then waited for two rounds of callers that flood.
+    // Handles the oldest connections first, as GLib does with its own sources. The kernel reports connections
+    // that were ready in the last iteration before newly ready ones: a setup then waited for two rounds of
+    // input from flooding callers.
     std::sort(events, events + std::max(0, count), [](const epoll_event& left, const epoll_event& right) {
       return left.data.u64 < right.data.u64;
     });
     for (int i = 0; i < count && !status_; ++i) {
-      // What came before in this turn may have ended it, or changed what it is watched for.
-      const std::uint32_t told = events[i].events;
+      // An event handled earlier in this iteration may have closed it or changed its requested events.
+      const std::uint32_t reported = events[i].events;
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
         const Connection& connection = *it->second;
-        if (connection.reading != 0 && (told & (connection.reading | kErrorEvents)) != 0)
-          readable(connection.id, (told & connection.reading & EPOLLRDHUP) != 0);
+        if (connection.reading != 0 && (reported & (connection.reading | kErrorEvents)) != 0)
+          readable(connection.id, (reported & connection.reading & EPOLLRDHUP) != 0);
       }
       if (const auto it = by_token_.find(events[i].data.u64); it != by_token_.end()) {
         const Connection& connection = *it->second;
-        if (connection.writing && (told & (EPOLLOUT | kErrorEvents)) != 0) writable(connection.id);
+        if (connection.writing && (reported & (EPOLLOUT | kErrorEvents)) != 0) writable(connection.id);
       }
     }
   }
@@ -329,11 +334,11 @@
     reducer_(clock_now(), event, effects);
     for (Effect& effect : effects) {
       if (status_) break;
-      std::visit([this](auto& notice) { carry_out(notice); }, effect);
+      std::visit([this](auto& alternative) { carry_out(alternative); }, effect);
     }
-    // One write for all that a step sends on a connection.
+    // One write for everything that a step sends on a connection.
     for (const ConnId id : std::exchange(dirty_, {})) flush(id);
-    for (const ConnId id : std::exchange(broken_, {})) lose(id, true);
+    for (const ConnId id : std::exchange(broken_, {})) close_lost(id, true);
   }
 
   void carry_out(const Listen& e) {
@@ -367,39 +372,40 @@
 
   void listen_on_inherited(const Listen& e) {
     GError* error = nullptr;
-    Owned<GSocket> socket(g_socket_new_from_fd(*e.inherited, &error));
+    GObjectPtr<GSocket> socket(g_socket_new_from_fd(*e.inherited, &error));
     if (socket == nullptr) {
-      logger_.line(Level::error, "cannot use the inherited socket: " + text_of(error));
+      logger_.line(Level::error, "cannot use the inherited socket: " + take_error_text(error));
       return carry_out(Exit{1});
     }
     g_socket_set_blocking(socket.get(), FALSE);
     watch_listener(e, std::move(socket), G_SOCKET_TYPE_STREAM);
   }
 
-  void watch_listener(const Listen& e, Owned<GSocket> socket, GSocketType type) {
+  void watch_listener(const Listen& e, GObjectPtr<GSocket> socket, GSocketType type) {
     auto listener =
         std::make_unique<Listener>(Listener{*this, e.concern, std::move(socket), {}, e.reserved_connections});
     if (type == G_SOCKET_TYPE_STREAM) {
       watch_accepting(*listener);
     } else {
-      listener->source.start(watch(g_socket_get_fd(listener->socket.get()), G_IO_IN), &Impl::on_datagram,
-                             listener.get());
+      listener->source.start(create_descriptor_source(g_socket_get_fd(listener->socket.get()), G_IO_IN),
+                             &Impl::on_datagram, listener.get());
     }
     listeners_.push_back(std::move(listener));
   }
   void watch_accepting(Listener& listener) {
-    listener.source.start(watch(g_socket_get_fd(listener.socket.get()), G_IO_IN), &Impl::on_acceptable,
-                          &listener);
+    listener.source.start(create_descriptor_source(g_socket_get_fd(listener.socket.get()), G_IO_IN),
+                          &Impl::on_acceptable, &listener);
   }
 
-  // Whether it listens. One that is exclusive is tried again by whoever wants it, and says so itself.
+  // Opens a listening or UDP socket; returns whether that succeeded. A failure of an exclusive one is not
+  // logged: the reducer gets BindFailed, retries and logs it.
   bool listen(const Listen& wanted, GSocketType type, bool exclusive = false) {
     const bool stream = type == G_SOCKET_TYPE_STREAM;
     GError* error = nullptr;
-    const auto address = address_of(wanted.address);
-    Owned<GSocket> socket(address == nullptr ? nullptr
-                                             : g_socket_new(g_socket_address_get_family(address.get()), type,
-                                                            G_SOCKET_PROTOCOL_DEFAULT, &error));
+    const auto address = parse_address(wanted.address);
+    GObjectPtr<GSocket> socket(address == nullptr ? nullptr
+                                                  : g_socket_new(g_socket_address_get_family(address.get()),
+                                                                 type, G_SOCKET_PROTOCOL_DEFAULT, &error));
     if (socket != nullptr) {
       g_socket_set_blocking(socket.get(), FALSE);
       g_socket_set_listen_backlog(socket.get(), 512);
@@ -414,24 +420,24 @@
       return false;
     }
     logger_.line(Level::error, "cannot listen on " + wanted.address + ": " +
-                                   (address == nullptr ? "not an address" : text_of(error)));
+                                   (address == nullptr ? "not an address" : take_error_text(error)));
     if (wanted.required) carry_out(Exit{1});
     return false;
   }
 
-  // Who comes while there is no room waits in the listener's queue. Taken and closed at once, a caller's
-  // request was lost with the connection; left readable, a listener without a descriptor to take its caller
-  // with kept the loop spinning.
+  // Above the connection limit, or without a free descriptor, accepting pauses and new connections wait in
+  // the listen queue. Accepting and closing them lost the callers' requests; leaving the listener watched
+  // without a free descriptor made the loop spin.
   void accept(Listener& listener) {
-    for (std::size_t i = 0; i < limits_.accepted_from_each; ++i) {
-      if (listener.reserved_connections == 0 && accepted_in_common() >= limits_.connections)
+    for (std::size_t i = 0; i < limits_.max_listener_batch; ++i) {
+      if (listener.reserved_connections == 0 && count_unreserved_connections() >= limits_.connections)
         return pause_accepting(listener);
       GError* error = nullptr;
-      Owned<GSocket> socket(g_socket_accept(listener.socket.get(), nullptr, &error));
+      GObjectPtr<GSocket> socket(g_socket_accept(listener.socket.get(), nullptr, &error));
       if (socket == nullptr) {
-        const bool none_left = !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
+        const bool out_of_descriptors = !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
         g_clear_error(&error);
-        if (!none_left) return;
+        if (!out_of_descriptors) return;
         ++counters.no_descriptor;
         return pause_accepting(listener);
       }
@@ -441,14 +447,14 @@
       }
       ++counters.accepted;
       const ConnId id{listener.concern, ++last_accepted_};
-      adopt(id, std::move(socket), listener);
+      add_accepted(id, std::move(socket), listener);
       step(Accepted{id});
-      // What came with it is read before the next one is taken: where only a few may wait, the newest push
-      // out the oldest, and one that has asked is not to be among those.
+      // Reads the input of this connection before accepting the next one: where only a few connections may
+      // wait, a new one evicts the oldest, and one that has sent its request must not be evicted.
       if (listener.reserved_connections > 0) read(id);
     }
   }
-  std::size_t accepted_in_common() const {
+  std::size_t count_unreserved_connections() const {
     std::size_t all = 0;
     for (const auto& listener : listeners_) all += listener->reserved_connections > 0 ? 0 : listener->open;
     return all;
@@ -465,30 +471,30 @@
     }
   }
 
-  void adopt(ConnId id, Owned<GSocket> socket, Listener& from) {
+  void add_accepted(ConnId id, GObjectPtr<GSocket> socket, Listener& listener) {
     g_socket_set_blocking(socket.get(), FALSE);
     g_socket_set_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
     auto c = std::make_unique<Connection>(*this, id, std::move(socket), limits_);
     c->connected = true;
-    c->from = &from;
-    ++from.open;
+    c->listener = &listener;
+    ++listener.open;
     resume_reading(*c);
     connections_.insert_or_assign(id, std::move(c));
   }
 
-  // A caller's end (EPOLLRDHUP) is looked for beside what it sends, until it is told: it is news though much
-  // else has come before it, or though nothing is read from the connection for now.
+  // Requests EPOLLRDHUP beside EPOLLIN until PeerClosed was delivered, so that a caller's close is noticed
+  // ahead of its unread input, and while reading is paused.
   void resume_reading(Connection& connection) {
     if (connection.reading != 0 && !connection.reading_paused) return;
     connection.reading_paused = false;
-    const bool told = connection.from == nullptr || connection.peer_closed;
-    connection.reading = told ? EPOLLIN : EPOLLIN | EPOLLRDHUP;
+    const bool close_reported = connection.listener == nullptr || connection.peer_closed;
+    connection.reading = close_reported ? EPOLLIN : EPOLLIN | EPOLLRDHUP;
     update_watch(connection);
   }
   void pause_reading(Connection& connection) {
     if (connection.reading_paused || connection.peer_closed) return;
     connection.reading_paused = true;
-    connection.reading = connection.from == nullptr ? 0U : std::uint32_t{EPOLLRDHUP};
+    connection.reading = connection.listener == nullptr ? 0U : std::uint32_t{EPOLLRDHUP};
     update_watch(connection);
   }
   void readable(ConnId id, bool peer_closed) {
@@ -497,7 +503,7 @@
     Connection& connection = *it->second;
     if (peer_closed && !connection.peer_closed) {
       connection.peer_closed = true;
-      // What it did not read keeps nothing back any more: the rest of what it sent is read to its end.
+      // Unwritten output no longer pauses reading: the rest of the peer's input is read to its end.
       connection.reading_paused = true;
       resume_reading(connection);
       if (!connection.closing) step(PeerClosed{id});
@@ -506,50 +512,52 @@
   }
 
   void carry_out(const Connect& e) {
-    const auto address = address_of(e.address);
+    const auto address = parse_address(e.address);
     if (address == nullptr) return defer_event(ConnectFailed{e.conn, true});
     GError* error = nullptr;
-    Owned<GSocket> socket(g_socket_new(g_socket_address_get_family(address.get()), G_SOCKET_TYPE_STREAM,
-                                       G_SOCKET_PROTOCOL_TCP, &error));
-    if (socket == nullptr) return no_connection(e.conn, error);
+    GObjectPtr<GSocket> socket(g_socket_new(g_socket_address_get_family(address.get()), G_SOCKET_TYPE_STREAM,
+                                            G_SOCKET_PROTOCOL_TCP, &error));
+    if (socket == nullptr) return report_connect_failure(e.conn, error);
     g_socket_set_blocking(socket.get(), FALSE);
     g_socket_set_option(socket.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-    const bool done = g_socket_connect(socket.get(), address.get(), nullptr, &error);
-    if (!done && !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) return no_connection(e.conn, error);
+    const bool connected = g_socket_connect(socket.get(), address.get(), nullptr, &error);
+    if (!connected && !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING))
+      return report_connect_failure(e.conn, error);
     g_clear_error(&error);
     auto c = std::make_unique<Connection>(*this, e.conn, std::move(socket), limits_);
-    c->connect_due = clock_now() + e.timeout;
+    c->connect_deadline = clock_now() + e.timeout;
     c->writing = true;
     update_watch(*c);
-    arm(Timer{c->connect_due, ++timer_order_, connect_key(e.conn)});
+    arm(Timer{c->connect_deadline, ++timer_order_, connect_key(e.conn)});
     connections_.insert_or_assign(e.conn, std::move(c));
   }
 
-  // Why there is none: the other side's refusal, or a want of descriptors or ports here. Taken for a refusal,
-  // that once told that a setup server had died, and its standing calls were given up.
-  void no_connection(ConnId id, GError* error) {
+  // Reports whether the peer refused the connection or descriptors or ports ran out locally. A local shortage
+  // that was reported as a refusal once made a setup server count as dead, and its established calls were
+  // released.
+  void report_connect_failure(ConnId id, GError* error) {
     const bool refused = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
-    const bool reached = refused || g_error_matches(error, G_IO_ERROR, G_IO_ERROR_HOST_UNREACHABLE) ||
-                         g_error_matches(error, G_IO_ERROR, G_IO_ERROR_NETWORK_UNREACHABLE) ||
-                         g_error_matches(error, G_IO_ERROR, G_IO_ERROR_TIMED_OUT);
-    if (!reached) {
+    const bool remote_failure = refused || g_error_matches(error, G_IO_ERROR, G_IO_ERROR_HOST_UNREACHABLE) ||
+                                g_error_matches(error, G_IO_ERROR, G_IO_ERROR_NETWORK_UNREACHABLE) ||
+                                g_error_matches(error, G_IO_ERROR, G_IO_ERROR_TIMED_OUT);
+    if (!remote_failure) {
       ++counters.no_descriptor;
-      logger_.line(Level::warning,
-                   "no connection can be made: " + std::string(error != nullptr ? error->message : ""));
+      logger_.line(Level::warning, "cannot connect: " + std::string(error != nullptr ? error->message : ""));
     }
     g_clear_error(&error);
-    defer_event(ConnectFailed{id, refused, !reached});
+    defer_event(ConnectFailed{id, refused, !remote_failure});
   }
 
-  // The runtime's own timers stand under a concern's number with the top bit set.
+  // The runtime's own timers: timer numbers with the top bit set; the low 32 bits are the connection's
+  // number.
   static constexpr std::uint64_t kConnectTimer = std::uint64_t{1} << 63;
   static constexpr std::uint64_t kCloseTimer = kConnectTimer | std::uint64_t{1} << 62;
   static constexpr std::uint64_t kAcceptTimer = kConnectTimer | std::uint64_t{1} << 61;
   static constexpr std::uint64_t kUnreadTimer = kConnectTimer | std::uint64_t{1} << 60;
-  // So long a listener is not looked at where there was no room for who came.
+  // How long accepting pauses after a connection or descriptor limit was reached.
   static constexpr Duration kAcceptPause = std::chrono::milliseconds(10);
-  // So long a connection that is being closed may take to write what was sent and to hear the other side's
-  // end; closed at once with unread input, it would be reset, and the refusal just sent be lost.
+  // How long a closing connection may take to write its output and receive the peer's close. Closing the
+  // socket immediately with unread input would reset the connection, and a rejection just sent could be lost.
   static constexpr Duration kCloseTimeout = std::chrono::milliseconds(700);
   static constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
   static TimerKey connect_key(ConnId id) { return {id.concern, kConnectTimer | id.number}; }
@@ -557,7 +565,7 @@
   void carry_out(const Send& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end() || it->second->closing) return;
-    if (!it->second->out.put(e.bytes)) return overflowed(e.conn);
+    if (!it->second->out.put(e.bytes)) return close_overflowed(e.conn);
     const std::uint64_t begin = it->second->sent;
     it->second->sent += e.bytes.size();
     if (e.ticket != 0) it->second->ticketed.push_back({e.ticket, begin, it->second->sent});
@@ -566,7 +574,7 @@
       const auto fullest = std::max_element(
           connections_.begin(), connections_.end(),
           [](const auto& a, const auto& b) { return a.second->out.size() < b.second->out.size(); });
-      overflowed(fullest->first);
+      close_overflowed(fullest->first);
     }
     dirty_.push_back(e.conn);
   }
@@ -577,12 +585,13 @@
     Connection& connection = *it->second;
     const auto message = std::find_if(connection.ticketed.begin(), connection.ticketed.end(),
                                       [&](const auto& m) { return m.ticket == e.ticket; });
-    if (message == connection.ticketed.end() || message->begin < connection.written()) {  // written, or begun
+    if (message == connection.ticketed.end() ||
+        message->begin < connection.written()) {  // at least partly written
       if (!e.fallback.empty()) carry_out(Send{e.conn, e.fallback});
       return;
     }
     const std::uint64_t length = message->end - message->begin;
-    connection.out.cut(message->begin - connection.written(), length);
+    connection.out.erase(message->begin - connection.written(), length);
     connection.sent -= length;
     outbound_ -= length;
     for (auto after = connection.ticketed.erase(message); after != connection.ticketed.end(); ++after) {
@@ -593,18 +602,19 @@
     defer_event(WriteWithdrawn{e.conn, e.ticket});
   }
 
-  void overflowed(ConnId id) {
+  void close_overflowed(ConnId id) {
     ++counters.overflowed;
-    logger_.line(Level::warning, "a connection is closed: its other side does not read");
+    logger_.line(Level::warning, "closing a connection: the peer does not read");
     broken_.push_back(id);
   }
 
   void carry_out(const SendDatagram& e) {
-    const auto address = address_of(e.peer);
+    const auto address = parse_address(e.peer);
     for (const auto& listener : listeners_) {
       if (listener->concern != e.concern || address == nullptr) continue;
       if (g_socket_get_socket_type(listener->socket.get()) != G_SOCKET_TYPE_DATAGRAM) continue;
-      // An earlier datagram's refusal is told by the next call, which then has sent nothing.
+      // The kernel reports the refusal of an earlier datagram by failing the next send, which then sent
+      // nothing.
       gssize sent = -1;
       for (int tries = 0; tries < 3 && sent < 0; ++tries) {
         GError* error = nullptr;
@@ -626,7 +636,7 @@
   void carry_out(const Close& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end()) return;
-    // A connect that is not awaited any more ends here: it once came up later, under an id given up.
+    // Ends a pending connect: it once succeeded later, under an id that was no longer in use.
     if (!it->second->connected) {
       connections_.erase(it);
       return;
@@ -641,7 +651,7 @@
   void carry_out(const Drop& e) {
     const auto it = connections_.find(e.conn);
     if (it == connections_.end()) return;
-    // What this step has sent, as far as it can be written now.
+    // Writes what this step has sent, as far as possible without waiting.
     const std::string_view bytes = it->second->out.contents();
     if (it->second->connected && !bytes.empty())
       g_socket_send(it->second->socket.get(), bytes.data(), bytes.size(), nullptr, nullptr);
@@ -670,7 +680,7 @@
         static_cast<GFileSetContentsFlags>(G_FILE_SET_CONTENTS_CONSISTENT | G_FILE_SET_CONTENTS_DURABLE);
     if (!g_file_set_contents_full(e.path.c_str(), e.text.data(), static_cast<gssize>(e.text.size()), kFlags,
                                   0600, &error)) {
-      logger_.line(Level::error, "cannot write " + e.path + ": " + text_of(error));
+      logger_.line(Level::error, "cannot write " + e.path + ": " + take_error_text(error));
       if (e.required) carry_out(Exit{1});
     }
   }
@@ -684,7 +694,7 @@
       read.text.emplace(text, size);
       g_free(text);
     } else {
-      logger_.line(Level::warning, text_of(error));
+      logger_.line(Level::warning, take_error_text(error));
     }
     defer_event(std::move(read));
   }
@@ -694,11 +704,11 @@
     status_ = e.status;
     g_main_loop_quit(loop_);
   }
-  // Answers that were handed over in the last step are written by then, or this is not the last step.
+  // Writes the output of this step first, and exits only if all of it could be written.
   void carry_out(const ExitIfIdle& e) {
     for (const ConnId id : dirty_) write_some(id);
     for (const auto& [id, c] : connections_) {
-      if (c->from == nullptr) continue;
+      if (c->listener == nullptr) continue;
       if (!c->out.empty() || (!c->closing && has_unread(*c))) return;
     }
     for (const auto& listener : listeners_) {
@@ -709,9 +719,10 @@
     carry_out(Exit{e.status});
   }
 
-  // An event that an effect brings at once is told at the loop's next turn: reducers are not entered twice.
+  // Delivers an event that results from an effect in the next main loop iteration: reducers are not
+  // reentered.
   void defer_event(Event event) {
-    soon_.push_back(std::move(event));
+    deferred_events_.push_back(std::move(event));
     set_ready();
   }
 
@@ -722,19 +733,20 @@
   }
   void set_ready() {
     if (tick_ == nullptr) return;
-    // Each change wakes the loop by a write to itself, which cost a call more than its own messages did: only
-    // where the next time is another.
-    const Time next = !soon_.empty() ? Time{} : timers_.empty() ? Time::max() : timers_.top().at;
+    // Sets the ready time only if it changed: each change wakes the loop by a write to its own descriptor,
+    // which cost more per call than the call's messages did.
+    const Time next = !deferred_events_.empty() ? Time{} : timers_.empty() ? Time::max() : timers_.top().at;
     if (next == ready_for_) return;
     ready_for_ = next;
-    if (!soon_.empty()) return g_source_set_ready_time(tick_, 0);
+    if (!deferred_events_.empty()) return g_source_set_ready_time(tick_, 0);
     if (timers_.empty()) return g_source_set_ready_time(tick_, -1);
-    const auto wait = std::chrono::duration_cast<std::chrono::microseconds>(timers_.top().at - clock_now());
-    g_source_set_ready_time(tick_, g_get_monotonic_time() + std::max<std::int64_t>(0, wait.count()));
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::microseconds>(timers_.top().at - clock_now());
+    g_source_set_ready_time(tick_, g_get_monotonic_time() + std::max<std::int64_t>(0, remaining.count()));
   }
-  void fire() {
+  void run_due_timers() {
     ready_for_.reset();
-    for (const Event& event : std::exchange(soon_, {})) step(event);
+    for (const Event& event : std::exchange(deferred_events_, {})) step(event);
     while (!timers_.empty()) {
       const Timer timer = timers_.top();
       const Time now = clock_now();
@@ -755,7 +767,7 @@
         continue;
       }
       if ((timer.key.number & kConnectTimer) != 0) {
-        connect_overdue({timer.key.concern, static_cast<std::uint32_t>(timer.key.number)}, timer.at);
+        check_connect_timeout({timer.key.concern, static_cast<std::uint32_t>(timer.key.number)}, timer.at);
         continue;
       }
       const Duration late = now - timer.at;
@@ -768,18 +780,19 @@
     set_ready();
   }
 
-  void connect_overdue(ConnId id, Time due) {
+  void check_connect_timeout(ConnId id, Time due) {
     const auto it = connections_.find(id);
-    if (it == connections_.end() || it->second->connected || it->second->connect_due != due) return;
+    if (it == connections_.end() || it->second->connected || it->second->connect_deadline != due) return;
     connections_.erase(it);
     step(ConnectFailed{id, false});
   }
 
-  // Whether a caller to whom something is left to write reads at all. The kernel's own queue counts: of two
-  // megabytes and more there a slow reader may take some without anything being written for long.
-  void watch_writing(Connection& connection) {
-    if (connection.from == nullptr || std::exchange(connection.unread_check_armed, true)) return;
-    connection.taken = taken_from(connection);
+  // Arms the check whether a caller with unwritten output reads at all. Bytes that leave the kernel's send
+  // queue count as progress: the queue holds 2 MB and more, and may drain slowly for long before the socket
+  // is writable again.
+  void arm_unread_check(Connection& connection) {
+    if (connection.listener == nullptr || std::exchange(connection.unread_check_armed, true)) return;
+    connection.acknowledged = count_acknowledged_bytes(connection);
     schedule_unread_check(connection.id);
   }
   void schedule_unread_check(ConnId id) {
@@ -791,15 +804,16 @@
     Connection& connection = *it->second;
     connection.unread_check_armed = !connection.out.empty();
     if (!connection.unread_check_armed) return;
-    if (const std::uint64_t taken = taken_from(connection); taken != connection.taken) {
-      connection.taken = taken;
+    if (const std::uint64_t acknowledged = count_acknowledged_bytes(connection);
+        acknowledged != connection.acknowledged) {
+      connection.acknowledged = acknowledged;
       return schedule_unread_check(id);
     }
-    overflowed(id);
-    for (const ConnId broken : std::exchange(broken_, {})) lose(broken, true);
+    close_overflowed(id);
+    for (const ConnId broken : std::exchange(broken_, {})) close_lost(broken, true);
   }
-  // Bytes that the other side's kernel has taken since the start.
-  static std::uint64_t taken_from(const Connection& connection) {
+  // Bytes acknowledged by the peer's kernel since the start of the connection.
+  static std::uint64_t count_acknowledged_bytes(const Connection& connection) {
     int queued = 0;
     ioctl(g_socket_get_fd(connection.socket.get()), SIOCOUTQ, &queued);
     return connection.written() - static_cast<std::uint64_t>(queued);
@@ -828,7 +842,7 @@
     flush(id);
   }
 
-  // Writes what can be written now. False: the connection is of no more use.
+  // Writes what can be written without waiting. Returns false if the connection failed.
   bool write_some(ConnId id) {
     const auto it = connections_.find(id);
     if (it == connections_.end() || !it->second->connected) return true;
@@ -838,9 +852,9 @@
       GError* error = nullptr;
       const gssize sent = g_socket_send(connection.socket.get(), bytes.data(), bytes.size(), nullptr, &error);
       if (sent <= 0) {
-        const bool wait = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
+        const bool would_block = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
         g_clear_error(&error);
-        return wait;
+        return would_block;
       }
       counters.bytes_out += static_cast<std::uint64_t>(sent);
       connection.out.drop(static_cast<std::size_t>(sent));
@@ -857,11 +871,11 @@
     const auto it = connections_.find(id);
     if (it == connections_.end() || !it->second->connected) return;
     Connection& connection = *it->second;
-    if (!write_some(id)) return lose(id, true);
+    if (!write_some(id)) return close_lost(id, true);
     if (!connection.out.empty()) {
       if (connection.out.size() > limits_.outbound_pause)
-        pause_reading(connection);  // takes no more requests than it reads answers
-      watch_writing(connection);
+        pause_reading(connection);  // the peer must read its answers to send more requests
+      arm_unread_check(connection);
       connection.writing = true;
       update_watch(connection);
       return;
@@ -881,92 +895,95 @@
     Connection& connection = *it->second;
     if (connection.closing) {
       char buffer[16384];
-      const gssize got = g_socket_receive(connection.socket.get(), buffer, sizeof buffer, nullptr, nullptr);
-      if (got > 0) connection.discarded_bytes += static_cast<std::size_t>(got);
-      if (got <= 0 || connection.discarded_bytes > kMaxDiscardedBytes) connections_.erase(it);
+      const gssize received =
+          g_socket_receive(connection.socket.get(), buffer, sizeof buffer, nullptr, nullptr);
+      if (received > 0) connection.discarded_bytes += static_cast<std::size_t>(received);
+      if (received <= 0 || connection.discarded_bytes > kMaxDiscardedBytes) connections_.erase(it);
       return;
     }
-    if (connection.in.room() == 0)
-      return lose(id, true);  // the reducer leaves a whole ring unread: it is stuck
+    if (connection.in.free_space() == 0)
+      return close_lost(id, true);  // the reducer consumed nothing of a full buffer: it is stuck
     connection.in.reserve(std::min(connection.in.size() + 4096, limits_.inbound));
-    const std::span<char> gap = connection.in.gap();
+    const std::span<char> target = connection.in.free_span();
     GError* error = nullptr;
-    const gssize got = g_socket_receive(connection.socket.get(), gap.data(), gap.size(), nullptr, &error);
-    if (got > 0) {
-      counters.bytes_in += static_cast<std::uint64_t>(got);
-      connection.in.filled(static_cast<std::size_t>(got));
+    const gssize received =
+        g_socket_receive(connection.socket.get(), target.data(), target.size(), nullptr, &error);
+    if (received > 0) {
+      counters.bytes_in += static_cast<std::uint64_t>(received);
+      connection.in.commit(static_cast<std::size_t>(received));
       step(Received{id, connection.in.contents()});
       return;
     }
-    const bool wait = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
-    const bool reset = got < 0;
+    const bool would_block = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK);
+    const bool reset = received < 0;
     g_clear_error(&error);
-    if (!wait) lose(id, reset);
+    if (!would_block) close_lost(id, reset);
   }
 
-  void lose(ConnId id, bool reset) {
+  void close_lost(ConnId id, bool reset) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) return;
-    const bool known = !it->second->closing;  // else the reducer has closed it itself
+    const bool report = !it->second->closing;  // else the reducer closed it
     connections_.erase(it);
-    if (known) step(Closed{id, reset});
+    if (report) step(Closed{id, reset});
   }
 
-  // What the network says of datagrams that went out: to whom one was refused.
+  // Reads the socket's error queue: ICMP port unreachable for sent datagrams.
   void read_refusals(Listener& listener) {
-    for (std::size_t i = 0; i < limits_.accepted_from_each; ++i) {
+    for (std::size_t i = 0; i < limits_.max_listener_batch; ++i) {
       sockaddr_in to{};
       char bytes[2048];
-      iovec part{bytes, sizeof bytes};
+      iovec buffer{bytes, sizeof bytes};
       alignas(cmsghdr) char control[512];
       msghdr message{};
       message.msg_name = &to;
       message.msg_namelen = sizeof to;
-      message.msg_iov = &part;
+      message.msg_iov = &buffer;
       message.msg_iovlen = 1;
       message.msg_control = control;
       message.msg_controllen = sizeof control;
       const int fd = g_socket_get_fd(listener.socket.get());
-      const ssize_t got = recvmsg(fd, &message, MSG_ERRQUEUE | MSG_DONTWAIT);
-      if (got < 0) return;
+      const ssize_t received = recvmsg(fd, &message, MSG_ERRQUEUE | MSG_DONTWAIT);
+      if (received < 0) return;
       for (cmsghdr* c = CMSG_FIRSTHDR(&message); c != nullptr; c = CMSG_NXTHDR(&message, c)) {
         if (c->cmsg_level != IPPROTO_IP || c->cmsg_type != IP_RECVERR) continue;
         sock_extended_err error{};
         std::copy_n(CMSG_DATA(c), sizeof error, reinterpret_cast<unsigned char*>(&error));
         if (error.ee_errno != ECONNREFUSED || to.sin_family != AF_INET) continue;
-        const Owned<GSocketAddress> address(g_socket_address_new_from_native(&to, sizeof to));
-        step(Unreachable{listener.concern, text_of(address.get()),
-                         std::string(bytes, static_cast<std::size_t>(got))});
+        const GObjectPtr<GSocketAddress> address(g_socket_address_new_from_native(&to, sizeof to));
+        step(Unreachable{listener.concern, format_address(address.get()),
+                         std::string(bytes, static_cast<std::size_t>(received))});
       }
     }
   }
 
   void receive_datagrams(Listener& listener) {
     char buffer[65536];
-    // A step may close the listener that it came by.
+    // A step may close this listener.
     const Concern concern = listener.concern;
-    const auto open = [&] {
+    const auto is_open = [&] {
       return std::any_of(listeners_.begin(), listeners_.end(),
                          [&](const auto& l) { return l.get() == &listener; });
     };
     if (listener.exclusive) {
       read_refusals(listener);
-      if (!open()) return;
+      if (!is_open()) return;
     }
-    for (std::size_t i = 0; i < limits_.accepted_from_each; ++i) {
+    for (std::size_t i = 0; i < limits_.max_listener_batch; ++i) {
       GSocketAddress* from = nullptr;
       GError* error = nullptr;
-      const gssize got =
+      const gssize received =
           g_socket_receive_from(listener.socket.get(), &from, buffer, sizeof buffer, nullptr, &error);
       const bool refused = g_error_matches(error, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
       g_clear_error(&error);
-      if (got < 0 && refused) continue;  // of one that went out: it is in the queue of refusals
-      if (got < 0 || from == nullptr) return;
-      const std::string peer = text_of(from);
+      if (received < 0 && refused)
+        continue;  // refusal of a sent datagram: read_refusals gets it from the error queue
+      if (received < 0 || from == nullptr) return;
+      const std::string peer = format_address(from);
       g_object_unref(from);
-      counters.bytes_in += static_cast<std::uint64_t>(got);
-      step(Datagram{concern, peer, std::string_view(buffer, static_cast<std::size_t>(got))});
-      if (!open()) return;
+      counters.bytes_in += static_cast<std::uint64_t>(received);
+      step(Datagram{concern, peer, std::string_view(buffer, static_cast<std::size_t>(received))});
+      if (!is_open()) return;
     }
   }
 
@@ -978,9 +995,9 @@
   Logger logger_;
   Reducer reducer_;
   GMainLoop* loop_ = nullptr;
-  std::optional<Time> ready_for_{};  // when the loop is to call again; absent: not said since it did
+  std::optional<Time> ready_for_{};  // ready time set on tick_; absent: none since it fired
   GSource* tick_ = nullptr;
-  int poll_ = -1;  // the descriptor that all connections stand behind
+  int poll_ = -1;  // epoll descriptor of all connections
   std::unordered_map<std::uint64_t, Connection*> by_token_;
   std::uint64_t last_token_ = 0;
   std::optional<int> status_;
@@ -988,11 +1005,11 @@
   std::vector<std::unique_ptr<Listener>> listeners_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::uint64_t timer_order_ = 0;
-  std::size_t outbound_ = 0;  // bytes not written yet, on all connections
+  std::size_t outbound_ = 0;  // unwritten bytes of all connections
   std::uint32_t last_accepted_ = 0;
   std::vector<ConnId> dirty_;
   std::vector<ConnId> broken_;
-  std::vector<Event> soon_;
+  std::vector<Event> deferred_events_;
 };
 
 Runtime::Runtime(RuntimeLimits limits, Logger logger) : impl_(std::make_unique<Impl>(limits, logger)) {}
--- a/src/net/runtime.h
+++ b/src/net/runtime.h
@@ -1,5 +1,5 @@
-// The runtime: GLib's main loop and GIO sockets. It does all reading and writing and decides nothing: it
-// hands events to a reducer and carries out the effects that come back.
+// Runtime of the programs on GLib's main loop and GIO sockets. It does all I/O and makes no decisions: it
+// passes events to a reducer and carries out the effects that the reducer returns.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,19 @@
 namespace graniterun::net {
 
 struct RuntimeLimits {
-  std::size_t connections = 900;               // accepted ones; who comes beyond waits to be let in
-  std::size_t inbound = 64 * 1024;             // bytes of a connection not consumed yet
-  std::size_t outbound = 512 * 1024;           // bytes of a connection not written yet; beyond: it is closed
-  std::size_t outbound_all = 4 * 1024 * 1024;  // of all connections together; beyond: the fullest is closed
-  // An accepted connection that has something left to be written, and whose other side has taken no byte for
-  // so long, is closed at the next look, within twice as long: nothing more is read from it by then, so it
-  // would be kept for good.
+  std::size_t connections = 900;      // accepted connections; more wait in the listen queue
+  std::size_t inbound = 64 * 1024;    // bytes received on a connection and not consumed yet
+  std::size_t outbound = 512 * 1024;  // unwritten bytes of a connection; above it the connection is closed
+  std::size_t outbound_all =
+      4 * 1024 * 1024;  // unwritten bytes of all connections; above: the one with most is closed
+  // Interval of the check for accepted connections with unwritten output whose peer acknowledged no byte
+  // since the last check: those are closed, so within twice this time. Reading from such a connection is
+  // paused by then, and without this check it would stay open forever.
   Duration unread_timeout = std::chrono::seconds(10);
-  std::size_t outbound_pause = 128 * 1024;  // reading from the connection waits while so many are not written
-  std::size_t accepted_from_each = 64;      // at one turn of the loop
-  // SIGTERM, SIGHUP and SIGUSR1 are told; false: another place of the process handles them.
+  std::size_t outbound_pause = 128 * 1024;  // unwritten bytes above which reading from the connection pauses
+  std::size_t max_listener_batch = 64;      // maximum per listener and main loop iteration, of datagrams too
+  // Whether SIGTERM, SIGHUP and SIGUSR1 are delivered as events; false: other code of the process handles
+  // them.
   bool signals = true;
 };
 
@@ -29,12 +31,12 @@
   std::uint64_t bytes_in = 0;
   std::uint64_t bytes_out = 0;
   std::uint64_t accepted = 0;
-  std::uint64_t accept_paused = 0;    // times that a new connection had to wait to be let in
-  std::uint64_t rejected = 0;         // at a listener that stands apart
-  std::uint64_t no_descriptor = 0;    // connections that could not be made or taken for want of one
-  std::uint64_t withdrawn = 0;        // messages taken back before they were written
-  std::uint64_t overflowed = 0;       // closed for not reading what was sent
-  std::uint64_t counted_written = 0;  // messages that were to be counted and are written whole
+  std::uint64_t accept_paused = 0;    // times that accepting paused for lack of connections or descriptors
+  std::uint64_t rejected = 0;         // connections closed because a listener's reserved ones were in use
+  std::uint64_t no_descriptor = 0;    // connects and accepts that failed for lack of a descriptor or port
+  std::uint64_t withdrawn = 0;        // messages withdrawn before they were written
+  std::uint64_t overflowed = 0;       // connections closed because the peer does not read
+  std::uint64_t counted_written = 0;  // messages with a ticket that are completely written
   std::uint64_t timers = 0;
   std::uint64_t timers_late_5ms = 0;
   std::uint64_t timers_late_20ms = 0;
@@ -43,17 +45,17 @@
 
 using Reducer = std::function<void(Time now, const Event& event, Effects& effects)>;
 
-// The Unix clock's time at the start, carried on by the steady clock, so that it never runs backwards.
+// Unix time of the first call, advanced by the steady clock, so that it never runs backwards.
 Time clock_now();
 
-// Called first of all by a program that is asked to stop or to read its settings again by signals: one that
-// comes before the loop runs waits for it, and is neither lost nor the end.
+// Blocks SIGTERM, SIGHUP and SIGUSR1 until Runtime::run handles them. To be called first in main: a signal
+// that arrives before the loop runs then stays pending, instead of being lost or ending the process.
 void block_signals();
 
-// Whether the descriptor is a TCP socket that listens.
+// Whether the descriptor is a listening TCP socket.
 bool is_listening_tcp(int descriptor);
 
-// It has a loop of its own: several may run in one process, each in a thread of its own.
+// Each runtime has its own main loop: several can run in one process, each in its own thread.
 class Runtime {
  public:
   Runtime(RuntimeLimits limits, Logger logger);
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -1,4 +1,4 @@
-// The runtime itself, on loopback sockets: what its callers can't see.
+// The runtime on loopback sockets: behaviour that the tests of whole programs can't observe.
 #include "net/runtime.h"
 
 #include <glib.h>
@@ -17,14 +17,15 @@
 
 namespace {
 
-// Each connection had a bound for what is not written yet, all together had none: over 32 MB with 64 of them.
-void one_bound_holds_for_all_that_is_not_written() {
+// Unwritten bytes of all connections together are bounded. Without this bound, 64 connections within their
+// own bounds held over 32 MB.
+void unwritten_bytes_of_all_connections_are_bounded() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.outbound = 64 * 1024 * 1024;
   limits.outbound_all = 2 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
-  std::vector<Socket> readers;  // that do not read
+  std::vector<Socket> readers;  // which do not read
   std::vector<net::ConnId> open;
   std::size_t sent = 0;
   std::size_t closed = 0;
@@ -34,8 +35,8 @@
       effects.push_back(net::ArmTimer{{net::Concern::platform, 0}, now + std::chrono::milliseconds(1)});
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
       open.push_back(accepted->conn);
-    } else if (const auto* gone = std::get_if<net::Closed>(&event)) {
-      std::erase(open, gone->conn);
+    } else if (const auto* closed_event = std::get_if<net::Closed>(&event)) {
+      std::erase(open, closed_event->conn);
       ++closed;
     } else if (std::holds_alternative<net::TimerFired>(event)) {
       if (readers.size() < 4) readers.push_back(Socket::connected(port));
@@ -49,16 +50,16 @@
   CHECK(runtime.counters().overflowed > 0);
 }
 
-void an_emptied_ring_keeps_little() {  // connections kept for good kept the most they had ever held
+void emptied_ring_buffer_releases_memory() {  // long-lived connections kept their peak memory
   net::Ring ring(1024 * 1024);
   CHECK(ring.put(std::string(500'000, 'x')));
   ring.drop(500'000);
-  CHECK(ring.held() <= 4096);
+  CHECK(ring.capacity() <= 4096);
   CHECK(ring.put("again") && ring.contents() == "again");
 }
 
-// What the platform hands over is used as it is; anything else is found out before it is used.
-void a_listening_socket_is_told_from_others() {
+// The descriptor that the platform passes is checked before it is used.
+void only_listening_tcp_sockets_are_recognized() {
   CHECK(net::is_listening_tcp(Socket::bound(SOCK_STREAM).descriptor()));
   CHECK(!net::is_listening_tcp(Socket::bound(SOCK_DGRAM).descriptor()));
   const Socket listening = Socket::bound(SOCK_STREAM);
@@ -66,18 +67,19 @@
   CHECK(!net::is_listening_tcp(0) && !net::is_listening_tcp(-1) && !net::is_listening_tcp(9999));
 }
 
-// Another process has the same socket: once this one stops listening, who knocks is left to the other. A
-// quiet connection is closed, one with something unread is not; a message counts when it is written whole.
-void an_inherited_socket_is_shared() {
+// With a listening socket shared with another process: after StopListening, new connections are left to the
+// other process. CloseIfIdle closes an idle connection but not one with unread input, and a message counts
+// once it is completely written.
+void inherited_listening_socket_is_shared() {
   const Socket listening = Socket::bound(SOCK_STREAM);
   const int port = listening.port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   std::vector<Socket> callers;
   std::vector<net::ConnId> open;
-  bool quiet_asked = false;
-  bool busy_told = false;
+  bool close_requested = false;
+  bool unread_delivered = false;
   const net::ConnId none{};
-  net::ConnId quiet = none;
+  net::ConnId closed_idle = none;
   const int status = runtime.run([&](Time, const net::Event& event, net::Effects& effects) {
     if (std::holds_alternative<net::Started>(event)) {
       effects.push_back(net::Listen{net::Concern::platform, "", ::dup(listening.descriptor())});
@@ -85,22 +87,22 @@
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
       open.push_back(accepted->conn);
       if (open.size() < 2) return;
-      callers[1].send("unread");  // it is there when the loop looks, since nobody has read yet
+      callers[1].send("unread");  // still unread when CloseIfIdle is carried out
       effects.push_back(net::StopListening{net::Concern::platform});
       effects.push_back(net::Send{open[0], "whole", 1});
       for (const net::ConnId conn : open) effects.push_back(net::CloseIfIdle{conn});
-      quiet_asked = true;
-    } else if (const auto* gone = std::get_if<net::Closed>(&event)) {
-      CHECK(quiet_asked);
-      quiet = gone->conn;
+      close_requested = true;
+    } else if (const auto* closed_event = std::get_if<net::Closed>(&event)) {
+      CHECK(close_requested);
+      closed_idle = closed_event->conn;
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
-      busy_told = received->bytes == "unread";
+      unread_delivered = received->bytes == "unread";
       effects.push_back(net::Consume{received->conn, received->bytes.size()});
     }
-    if (quiet != none && busy_told) effects.push_back(net::Exit{0});
+    if (closed_idle != none && unread_delivered) effects.push_back(net::Exit{0});
   });
   CHECK_EQ(status, 0);
-  CHECK(quiet == open[0]);
+  CHECK(closed_idle == open[0]);
   CHECK_EQ(callers[0].until("whole"), "whole");
   CHECK(callers[0].ends());
   CHECK_EQ(runtime.counters().counted_written, 1U);
@@ -108,100 +110,101 @@
   CHECK(listening.accept().descriptor() >= 0);
 }
 
-// A flood of connections to a listener that stands apart takes nothing from the common limit.
-void connections_that_stand_apart_have_a_bound_of_their_own() {
+// A flood of connections to a listener with reserved connections does not use up the common limit.
+void reserved_connections_have_their_own_limit() {
   const int port = Socket::bound(SOCK_STREAM).port();
-  const int own_port = Socket::bound(SOCK_STREAM).port();
+  const int reserved_port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.connections = 2;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> all;
   std::size_t common = 0;
-  std::size_t apart = 0;
+  std::size_t reserved = 0;
   const int status = runtime.run([&](Time, const net::Event& event, net::Effects& effects) {
     if (std::holds_alternative<net::Started>(event)) {
       effects.push_back(
-          net::Listen{net::Concern::management, "127.0.0.1:" + std::to_string(own_port), {}, 3});
+          net::Listen{net::Concern::management, "127.0.0.1:" + std::to_string(reserved_port), {}, 3});
       effects.push_back(net::Listen{net::Concern::platform, "127.0.0.1:" + std::to_string(port)});
       effects.push_back(net::ArmTimer{{net::Concern::process, 0}, Time{}});
     } else if (std::holds_alternative<net::TimerFired>(event)) {
-      for (int i = 0; i < 8; ++i) all.push_back(Socket::connected(own_port));
+      for (int i = 0; i < 8; ++i) all.push_back(Socket::connected(reserved_port));
       for (int i = 0; i < 4; ++i) all.push_back(Socket::connected(port));
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
-      ++(accepted->conn.concern == net::Concern::management ? apart : common);
+      ++(accepted->conn.concern == net::Concern::management ? reserved : common);
     }
     if (common + runtime.counters().rejected >= 9) effects.push_back(net::Exit{0});
-    if (common == 2 && apart == 3) effects.push_back(net::Exit{0});
+    if (common == 2 && reserved == 3) effects.push_back(net::Exit{0});
   });
   CHECK_EQ(status, 0);
-  CHECK_EQ(apart, 3U);
+  CHECK_EQ(reserved, 3U);
   CHECK_EQ(common, 2U);
 }
 
-// What the reducer is told in a test that is not over by itself ends here: a hang is a failure, not a wait.
-constexpr net::TimerKey kTooLong{net::Concern::process, 77};
-void end_at_last(Time now, net::Effects& effects) {
-  effects.push_back(net::ArmTimer{kTooLong, now + std::chrono::seconds(20)});
+// Time limit of a test's runtime: a hang becomes a failure.
+constexpr net::TimerKey kTestTimeout{net::Concern::process, 77};
+void arm_test_timeout(Time now, net::Effects& effects) {
+  effects.push_back(net::ArmTimer{kTestTimeout, now + std::chrono::seconds(20)});
 }
-bool is_too_long(const net::Event& event) {
+bool is_test_timeout(const net::Event& event) {
   const auto* e = std::get_if<net::TimerFired>(&event);
-  return e != nullptr && e->key.concern == kTooLong.concern && e->key.number == kTooLong.number;
+  return e != nullptr && e->key.concern == kTestTimeout.concern && e->key.number == kTestTimeout.number;
 }
 
-// The frame of a test with callers: it listens at the start, a timer 0 follows, and a hang ends it.
-bool begins_or_ends(Time now, const net::Event& event, int port, net::Effects& effects) {
+// Common part of tests with callers: listens and arms timer 0 at the start, and exits with 1 on a hang.
+bool handle_start_or_timeout(Time now, const net::Event& event, int port, net::Effects& effects) {
   if (std::holds_alternative<net::Started>(event)) {
-    end_at_last(now, effects);
+    arm_test_timeout(now, effects);
     effects.push_back(net::Listen{net::Concern::platform, "127.0.0.1:" + std::to_string(port)});
     effects.push_back(net::ArmTimer{{net::Concern::platform, 0}, now});
     return true;
   }
-  if (!is_too_long(event)) return false;
+  if (!is_test_timeout(event)) return false;
   effects.push_back(net::Exit{1});
   return true;
 }
 
-// GLib goes through all descriptors of its loop at each turn, and so does poll: with 1,000 connections that
-// was two thirds of what the program did for a call.
-void a_turn_of_the_loop_goes_through_few_descriptors() {
+// GLib and poll go through all descriptors of the loop in each iteration: with a source per connection and
+// 1,000 connections, that was two thirds of the work for a call.
+void loop_iteration_polls_few_descriptors() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   std::vector<Socket> callers;
   std::size_t accepted = 0;
-  int gone_through = 0;
+  int polled_descriptors = 0;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event); e != nullptr && e->key.number == 0) {
       for (int i = 0; i < 50; ++i) callers.push_back(Socket::connected(port));
     } else if (std::holds_alternative<net::Accepted>(event) && ++accepted == callers.size()) {
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now});
     } else if (e != nullptr) {
       int wait = 0;
-      gone_through = g_main_context_query(g_main_context_default(), G_MAXINT, &wait, nullptr, 0);
+      polled_descriptors = g_main_context_query(g_main_context_default(), G_MAXINT, &wait, nullptr, 0);
       effects.push_back(net::Exit{0});
     }
   });
   CHECK_EQ(status, 0);
   CHECK_EQ(accepted, 50U);
-  CHECK(gone_through > 0 && gone_through < 10);
+  CHECK(polled_descriptors > 0 && polled_descriptors < 10);
 }
 
-std::size_t turns = 0;
-gint count_turns(GPollFD* all, guint count, gint wait) {
-  ++turns;
+std::size_t iterations = 0;
+gint count_iterations(GPollFD* all, guint count, gint wait) {
+  ++iterations;
   return g_poll(all, count, wait);
 }
 
-// One turn for a message and one for the timer behind it; a third one was for nothing.
-void a_message_costs_one_turn_of_the_loop() {
+// One iteration for a message and one for the timer that follows. A descriptor source that can't recurse
+// added a third, useless one.
+void message_costs_one_loop_iteration() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   Socket caller;
   std::size_t read = 0;
   constexpr std::size_t kMessages = 100;
-  g_main_context_set_poll_func(g_main_context_default(), &count_turns);
+  g_main_context_set_poll_func(g_main_context_default(), &count_iterations);
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event); e != nullptr && e->key.number == 0) {
       caller = Socket::connected(port);
     } else if (e != nullptr) {
@@ -209,7 +212,7 @@
       if (read >= kMessages) effects.push_back(net::Exit{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(2)});
     } else if (std::holds_alternative<net::Accepted>(event)) {
-      turns = 0;
+      iterations = 0;
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(2)});
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
       ++read;
@@ -219,18 +222,18 @@
   g_main_context_set_poll_func(g_main_context_default(), nullptr);
   CHECK_EQ(status, 0);
   CHECK_EQ(read, kMessages);
-  CHECK(turns <= 2 * kMessages + 20);
+  CHECK(iterations <= 2 * kMessages + 20);
 }
 
-// Both have something to be read at the same turn of the loop; the one read first ends the other.
-void a_connection_that_ended_in_the_same_turn_is_told_nothing_more() {
+// Two connections are readable in the same iteration, and handling the first one drops the other.
+void dropped_connection_gets_no_event_in_the_same_iteration() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   std::vector<Socket> callers;
   std::vector<net::ConnId> open;
   std::vector<net::ConnId> read;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event); e != nullptr && e->key.number == 0) {
       for (int i = 0; i < 2; ++i) callers.push_back(Socket::connected(port));
     } else if (e != nullptr) {
@@ -252,18 +255,18 @@
   CHECK_EQ(read.size(), 1U);
 }
 
-// A caller sends much and closes before any of it is read: its end is told first, or set-ups would be begun
-// for it one read after the other. Every byte is told all the same, and Closed comes last.
-void a_callers_end_is_told_ahead_of_what_is_unread() {
+// A caller sends much and closes before any of it is read: PeerClosed comes first, or setups would be
+// started for it with each read. All bytes are still delivered, and Closed comes last.
+void peer_close_is_delivered_before_unread_input() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   constexpr std::size_t kSent = 60'000;
   std::size_t read = 0;
   std::optional<std::size_t> read_before;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (std::holds_alternative<net::TimerFired>(event)) {
-      Socket::connected(port).send(std::string(kSent, 'x'));  // and closed before it is accepted
+      Socket::connected(port).send(std::string(kSent, 'x'));  // and closes before it is accepted
     } else if (std::holds_alternative<net::PeerClosed>(event)) {
       read_before = read;
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
@@ -278,17 +281,17 @@
   CHECK(read_before && *read_before < kSent / 2);
 }
 
-// Nothing is read from a caller that does not read its answers; that it has closed its half is told even so.
-void a_callers_end_is_told_while_reading_is_held_back() {
+// Reading from a caller that does not read its answers is paused; PeerClosed is delivered nevertheless.
+void peer_close_is_delivered_while_reading_is_paused() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   Socket caller;
   net::ConnId conn{};
-  bool told = false;
+  bool close_delivered = false;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event); e != nullptr && e->key.number == 0) {
       caller = Socket::connected(port);
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
@@ -299,17 +302,18 @@
       caller.send("unread");
       ::shutdown(caller.descriptor(), SHUT_WR);
     } else if (std::holds_alternative<net::PeerClosed>(event)) {
-      told = true;
+      close_delivered = true;
       effects.push_back(net::Exit{0});
     }
   });
   CHECK_EQ(status, 0);
-  CHECK(told);
+  CHECK(close_delivered);
 }
 
-// Who reads nothing of what is left to write to it is given up, though it has sent what is not read; a slow
-// reader is not. Guards against keeping the first for good: idle ones are closed only with nothing unread.
-void who_reads_nothing_is_given_up() {
+// A caller that reads nothing of its pending output is closed, even with unread input of its own; a slow
+// reader is not. Without this, the first stayed open forever, since idle callers are closed only without
+// unread input.
+void caller_that_reads_nothing_is_closed() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.outbound = limits.outbound_all = 256 * 1024 * 1024;
@@ -319,12 +323,12 @@
   std::vector<net::ConnId> open;
   std::optional<net::ConnId> closed;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event)) {
       if (e->key.number == 0) {
         for (int i = 0; i < 2; ++i) callers.push_back(Socket::connected(port));
       } else if (e->key.number == 1) {
-        callers[1].some(16 * 1024);  // slowly
+        callers[1].some(16 * 1024);  // a slow reader
         effects.push_back(net::ArmTimer{e->key, now + std::chrono::milliseconds(5)});
       } else {
         effects.push_back(net::Exit{0});
@@ -335,10 +339,10 @@
       if (open.size() < 2) return;
       callers[0].send("unread");
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now});
-    } else if (const auto* gone = std::get_if<net::Closed>(&event)) {
+    } else if (const auto* closed_event = std::get_if<net::Closed>(&event)) {
       CHECK(!closed);
-      closed = gone->conn;
-      // The other one would follow within this if it were taken for the same.
+      closed = closed_event->conn;
+      // Within this time the slow reader would be closed too if it counted as not reading.
       effects.push_back(net::ArmTimer{{net::Concern::platform, 2}, now + std::chrono::seconds(2)});
     }
   });
@@ -347,24 +351,24 @@
   CHECK_EQ(runtime.counters().overflowed, 1U);
 }
 
-// A message that waits behind others for its peer to read can be taken back whole; one of which anything is
-// written can't, and what is to follow it then is sent.
-void a_message_is_taken_back_before_it_is_written() {
+// A message queued behind unwritten output can be withdrawn; if any byte of it is written it can't, and the
+// fallback is sent.
+void unwritten_message_can_be_withdrawn() {
   const Socket listening = Socket::bound(SOCK_STREAM);
   net::RuntimeLimits limits;
   limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   const net::ConnId conn{net::Concern::server, 1};
   Socket server;
-  std::string heard;
-  bool recalled = false;
-  const std::size_t much = 16 * 1024 * 1024;
+  std::string received_text;
+  bool withdrawn_second = false;
+  const std::size_t padding = 16 * 1024 * 1024;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
     if (std::holds_alternative<net::Started>(event)) {
-      end_at_last(now, effects);
+      arm_test_timeout(now, effects);
       effects.push_back(
           net::Connect{conn, "127.0.0.1:" + std::to_string(listening.port()), std::chrono::seconds(9)});
-    } else if (is_too_long(event)) {
+    } else if (is_test_timeout(event)) {
       effects.push_back(net::Exit{1});
     } else if (std::holds_alternative<net::Connected>(event)) {
       server = listening.accept();
@@ -373,7 +377,7 @@
     } else if (const auto* e = std::get_if<net::TimerFired>(&event)) {
       if (e->key.number == 0) {
         effects.push_back(net::WithdrawSend{conn, 1, "<cancel first>"});
-        effects.push_back(net::Send{conn, std::string(much, 'x')});
+        effects.push_back(net::Send{conn, std::string(padding, 'x')});
         effects.push_back(net::Send{conn, "<second>", 2});
         effects.push_back(net::Send{conn, "<third>", 3});
         effects.push_back(net::ArmTimer{{net::Concern::server, 1}, now});
@@ -382,76 +386,77 @@
         effects.push_back(net::Send{conn, "<end>"});
         effects.push_back(net::ArmTimer{{net::Concern::server, 2}, now});
       } else {
-        heard += server.some(1 << 20);
-        if (!heard.ends_with("<end>"))
+        received_text += server.some(1 << 20);
+        if (!received_text.ends_with("<end>"))
           return effects.push_back(
               net::ArmTimer{{net::Concern::server, 2}, now + std::chrono::milliseconds(1)});
         effects.push_back(net::Exit{0});
       }
     } else if (const auto* back = std::get_if<net::WriteWithdrawn>(&event)) {
-      recalled = back->ticket == 2;
+      withdrawn_second = back->ticket == 2;
     }
   });
   CHECK_EQ(status, 0);
-  CHECK(recalled);
-  CHECK(heard == "<first><cancel first>" + std::string(much, 'x') + "<third><end>");
+  CHECK(withdrawn_second);
+  CHECK(received_text == "<first><cancel first>" + std::string(padding, 'x') + "<third><end>");
   CHECK_EQ(runtime.counters().counted_written, 2U);
   CHECK_EQ(runtime.counters().withdrawn, 1U);
 }
 
-// Who comes while all places are taken is let in when one is free; it was closed at once, with its request.
-void who_finds_no_place_waits_at_the_door() {
+// A connection above the limit waits and is accepted once another closes. Closing it at once lost its
+// request.
+void connection_above_limit_waits_and_is_accepted() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.connections = 2;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
   std::vector<Socket> callers;
-  std::size_t heard = 0;
-  std::size_t most = 0;
+  std::size_t answered = 0;
+  std::size_t max_open = 0;
   std::size_t open = 0;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (std::holds_alternative<net::TimerFired>(event)) {
       for (int i = 0; i < 6; ++i) {
         callers.push_back(Socket::connected(port));
         callers.back().send("request");
       }
     } else if (std::holds_alternative<net::Accepted>(event)) {
-      most = std::max(most, ++open);
+      max_open = std::max(max_open, ++open);
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
       CHECK_EQ(received->bytes, "request");
       effects.push_back(net::Consume{received->conn, received->bytes.size()});
       effects.push_back(net::Send{received->conn, "answer"});
       effects.push_back(net::Drop{received->conn});
       --open;
-      if (++heard == callers.size()) effects.push_back(net::Exit{0});
+      if (++answered == callers.size()) effects.push_back(net::Exit{0});
     }
   });
   CHECK_EQ(status, 0);
-  CHECK_EQ(most, 2U);
+  CHECK_EQ(max_open, 2U);
   for (Socket& caller : callers) CHECK_EQ(caller.until("answer"), "answer");
   CHECK(runtime.counters().accept_paused > 0);
 }
 
-// With every descriptor taken a connect says that it is for want of one, a caller waits at the door without
-// the loop spinning on it, and is let in afterwards.
-void a_want_of_descriptors_is_told_and_passes() {
+// Without a free descriptor a connect fails with `local` set, and a new caller waits without the loop
+// spinning and is accepted once descriptors are free.
+void descriptor_shortage_is_reported_and_recovered_from() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
-  std::vector<Socket> taken;
+  std::vector<Socket> held_descriptors;
   std::vector<Socket> callers;
   bool local = false;
   bool freed = false;
-  bool let_in = false;
+  bool accepted_after = false;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event); e != nullptr && e->key.number == 0) {
       callers.push_back(Socket::connected(port));
       rlimit most{};
       ::getrlimit(RLIMIT_NOFILE, &most);
       const rlimit few{256, most.rlim_max};
       ::setrlimit(RLIMIT_NOFILE, &few);
-      for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) taken.emplace_back(fd);
+      for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) held_descriptors.emplace_back(fd);
       ::setrlimit(RLIMIT_NOFILE, &most);
       const rlimit now_taken{static_cast<rlim_t>(256), most.rlim_max};
       ::setrlimit(RLIMIT_NOFILE, &now_taken);
@@ -460,59 +465,59 @@
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(100)});
     } else if (e != nullptr) {
       freed = true;
-      taken.clear();
+      held_descriptors.clear();
     } else if (const auto* failed = std::get_if<net::ConnectFailed>(&event)) {
       local = failed->local && !failed->refused;
     } else if (std::holds_alternative<net::Accepted>(event)) {
-      let_in = freed;
+      accepted_after = freed;
       effects.push_back(net::Exit{0});
     }
   });
   CHECK_EQ(status, 0);
-  CHECK(local && let_in);
+  CHECK(local && accepted_after);
   CHECK(runtime.counters().no_descriptor >= 2 && runtime.counters().no_descriptor < 100);
 }
 
-// The end is put off while answers are not written: its caller gets every byte.
-void the_end_waits_for_what_is_not_written() {
+// ExitIfIdle does nothing while answers are unwritten: the caller gets every byte.
+void exit_waits_for_unwritten_output() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::RuntimeLimits limits;
   limits.outbound = limits.outbound_all = 64 * 1024 * 1024;
   net::Runtime runtime(limits, net::Logger(net::Level::error));
-  constexpr std::size_t kMuch = 16 * 1024 * 1024;
+  constexpr std::size_t kAnswerBytes = 16 * 1024 * 1024;
   Socket caller;
   std::size_t got = 0;
-  bool put_off = false;
+  bool exit_deferred = false;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (const auto* e = std::get_if<net::TimerFired>(&event)) {
       if (e->key.number == 0) {
         caller = Socket::connected(port);
         return;
       }
-      put_off = got > 0;
+      exit_deferred = got > 0;
       got += caller.some(1 << 20).size();
       effects.push_back(net::ExitIfIdle{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(1)});
     } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
-      effects.push_back(net::Send{accepted->conn, std::string(kMuch, 'x')});
+      effects.push_back(net::Send{accepted->conn, std::string(kAnswerBytes, 'x')});
       effects.push_back(net::ExitIfIdle{0});
       effects.push_back(net::ArmTimer{{net::Concern::platform, 1}, now + std::chrono::milliseconds(1)});
     }
   });
   CHECK_EQ(status, 0);
-  CHECK(put_off);
-  CHECK_EQ(caller.bytes(kMuch - got).size(), kMuch - got);
+  CHECK(exit_deferred);
+  CHECK_EQ(caller.bytes(kAnswerBytes - got).size(), kAnswerBytes - got);
 }
 
-// And for what has come in the instant of the end, on an open connection or as a new one.
-void the_end_waits_for_what_has_just_come() {
+// ExitIfIdle does nothing with unread input on an open connection or a new connection not accepted yet.
+void exit_waits_for_unread_input() {
   const int port = Socket::bound(SOCK_STREAM).port();
   net::Runtime runtime({}, net::Logger(net::Level::error));
   std::vector<Socket> callers;
-  std::string asked;
+  std::string received_all;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (begins_or_ends(now, event, port, effects)) return;
+    if (handle_start_or_timeout(now, event, port, effects)) return;
     if (std::holds_alternative<net::TimerFired>(event)) {
       callers.push_back(Socket::connected(port));
     } else if (std::holds_alternative<net::Accepted>(event)) {
@@ -522,18 +527,18 @@
       callers[1].send("last");
       effects.push_back(net::ExitIfIdle{0});
     } else if (const auto* received = std::get_if<net::Received>(&event)) {
-      asked += received->bytes;
+      received_all += received->bytes;
       effects.push_back(net::Consume{received->conn, received->bytes.size()});
-      effects.push_back(net::ExitIfIdle{0});  // the other is still to be read
+      effects.push_back(net::ExitIfIdle{0});  // does nothing until the other connection's input is read
     }
   });
   CHECK_EQ(status, 0);
-  CHECK(asked == "latelast" || asked == "lastlate");
+  CHECK(received_all == "latelast" || received_all == "lastlate");
 }
 
-// SIGTERM and SIGHUP that come before the loop runs: the one ended the program as a signal does, the other
-// was lost and the program went on by settings that had been replaced.
-void signals_before_the_loop_are_not_lost() {
+// SIGTERM and SIGHUP that arrive before the loop runs. Unblocked, SIGTERM killed the program, and a SIGHUP
+// was lost, so that the program kept outdated settings.
+void signals_before_the_loop_runs_are_not_lost() {
   net::block_signals();
   ::raise(SIGHUP);
   ::raise(SIGTERM);
@@ -541,38 +546,39 @@
   bool reload = false;
   bool stop = false;
   const int status = runtime.run([&](Time now, const net::Event& event, net::Effects& effects) {
-    if (std::holds_alternative<net::Started>(event)) end_at_last(now, effects);
+    if (std::holds_alternative<net::Started>(event)) arm_test_timeout(now, effects);
     reload = reload || std::holds_alternative<net::ReloadRequested>(event);
     stop = stop || std::holds_alternative<net::StopRequested>(event);
-    if (is_too_long(event)) effects.push_back(net::Exit{1});
+    if (is_test_timeout(event)) effects.push_back(net::Exit{1});
     if (reload && stop) effects.push_back(net::Exit{0});
   });
   CHECK_EQ(status, 0);
 }
 
-// A distributor's vote went out though the file that was to keep it could not be written.
-void nothing_rests_on_a_file_that_is_not_written() {
-  for (const bool needed : {true, false}) {
+// After a required file can't be written, no later effect of the step is carried out: a distributor's vote
+// was sent although the file that records it could not be written.
+void no_effect_follows_a_failed_required_write() {
+  for (const bool required : {true, false}) {
     const Socket other = Socket::bound(SOCK_DGRAM);
     net::Runtime runtime({}, net::Logger(net::Level::error));
     const int status = runtime.run([&](Time, const net::Event& event, net::Effects& effects) {
       if (!std::holds_alternative<net::Started>(event)) return;
       effects.push_back(net::Bind{net::Concern::fleet, "127.0.0.1:0"});
-      effects.push_back(net::WriteFile{"/nowhere/at/all", "a vote", needed});
+      effects.push_back(net::WriteFile{"/nowhere/at/all", "a vote", required});
       effects.push_back(
           net::SendDatagram{net::Concern::fleet, "127.0.0.1:" + std::to_string(other.port()), "voted"});
       effects.push_back(net::Exit{0});
     });
-    CHECK_EQ(status, needed ? 1 : 0);
-    CHECK_EQ(other.some(64), needed ? "" : "voted");
+    CHECK_EQ(status, required ? 1 : 0);
+    CHECK_EQ(other.some(64), required ? "" : "voted");
   }
 }
 
-// Each in a thread of its own, with a loop of its own.
-void several_run_side_by_side() {
+// Several runtimes run in one process, each in its own thread with its own loop.
+void several_runtimes_run_in_one_process() {
   constexpr std::size_t kRuntimes = 8;
   const int port = Socket::bound(SOCK_STREAM).port();
-  std::atomic<int> told{0};
+  std::atomic<int> accepted_count{0};
   std::vector<std::thread> threads;
   for (std::size_t i = 0; i < kRuntimes; ++i) {
     threads.emplace_back([&, i] {
@@ -592,41 +598,41 @@
               {net::Concern::server, 1}, "127.0.0.1:" + std::to_string(port), std::chrono::seconds(2)});
         } else if (const auto* accepted = std::get_if<net::Accepted>(&event)) {
           effects.push_back(net::Send{accepted->conn, "x"});
-          ++told;
+          ++accepted_count;
         } else if (const auto* failed = std::get_if<net::ConnectFailed>(&event)) {
           CHECK(failed == nullptr);
         } else if (std::holds_alternative<net::Received>(event)) {
-          effects.push_back(net::Exit{0});  // of one that connected
+          effects.push_back(net::Exit{0});  // a runtime that connected
         } else if (std::holds_alternative<net::Closed>(event)) {
-          if (told == kRuntimes - 1) effects.push_back(net::Exit{0});  // of the one that listened
+          if (accepted_count == kRuntimes - 1) effects.push_back(net::Exit{0});  // the runtime that listens
         }
       });
     });
   }
   for (std::thread& t : threads) t.join();
-  CHECK_EQ(told.load(), static_cast<int>(kRuntimes) - 1);
+  CHECK_EQ(accepted_count.load(), static_cast<int>(kRuntimes) - 1);
 }
 
 }  // namespace
 
 int main() {
-  nothing_rests_on_a_file_that_is_not_written();
-  several_run_side_by_side();
-  signals_before_the_loop_are_not_lost();
-  a_turn_of_the_loop_goes_through_few_descriptors();
-  a_message_costs_one_turn_of_the_loop();
-  a_connection_that_ended_in_the_same_turn_is_told_nothing_more();
-  a_callers_end_is_told_ahead_of_what_is_unread();
-  a_callers_end_is_told_while_reading_is_held_back();
-  who_reads_nothing_is_given_up();
-  a_message_is_taken_back_before_it_is_written();
-  who_finds_no_place_waits_at_the_door();
-  a_want_of_descriptors_is_told_and_passes();
-  the_end_waits_for_what_is_not_written();
-  the_end_waits_for_what_has_just_come();
-  a_listening_socket_is_told_from_others();
-  an_inherited_socket_is_shared();
-  connections_that_stand_apart_have_a_bound_of_their_own();
-  one_bound_holds_for_all_that_is_not_written();
-  an_emptied_ring_keeps_little();
+  no_effect_follows_a_failed_required_write();
+  several_runtimes_run_in_one_process();
+  signals_before_the_loop_runs_are_not_lost();
+  loop_iteration_polls_few_descriptors();
+  message_costs_one_loop_iteration();
+  dropped_connection_gets_no_event_in_the_same_iteration();
+  peer_close_is_delivered_before_unread_input();
+  peer_close_is_delivered_while_reading_is_paused();
+  caller_that_reads_nothing_is_closed();
+  unwritten_message_can_be_withdrawn();
+  connection_above_limit_waits_and_is_accepted();
+  descriptor_shortage_is_reported_and_recovered_from();
+  exit_waits_for_unwritten_output();
+  exit_waits_for_unread_input();
+  only_listening_tcp_sockets_are_recognized();
+  inherited_listening_socket_is_shared();
+  reserved_connections_have_their_own_limit();
+  unwritten_bytes_of_all_connections_are_bounded();
+  emptied_ring_buffer_releases_memory();
 }
