--- a/src/config/descriptors.h
+++ b/src/config/descriptors.h
@@ -1,5 +1,5 @@
-// How the process's descriptors are shared out, whoever wants them all: setup servers, the journal service
-// and the operators get theirs while idle callers hold what they can.
+// Shares of the process's descriptors by purpose, so that connections to setup servers, the discovery service
+// and operators stay possible while idle callers use up theirs.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,20 @@
 namespace graniterun {
 
 struct DescriptorShares {
-  std::size_t callers{};   // connections of callers that are kept; beyond, the one idle longest goes
-  std::size_t accepted{};  // with those that are just being closed; who comes then waits at the door
+  std::size_t callers{};   // maximum caller connections; above it, the one idle longest is closed
+  std::size_t accepted{};  // including closing ones; above it, new connections wait in the listen queue
 };
 
-// The program's own (standard streams, the loop, listeners, the journal service's, a file that is read) and
-// the operators' are taken off, and a quarter is for connections to setup servers: those in use, those opened
-// in doubt and those for news. The protocol lets callers hold a third, so that much is always theirs.
+// Subtracts the program's own descriptors (standard streams, main loop, listeners, discovery service, an open
+// file), the operators', and a quarter for connections to setup servers: those in use, those opened on
+// suspicion and those for notifications. Callers always get a third, which the platform's protocol allows
+// them.
 constexpr DescriptorShares descriptor_shares(std::size_t sockets) {
-  constexpr std::size_t kOwn = 32;
-  constexpr std::size_t kOperators = 32;
+  constexpr std::size_t kOwnDescriptors = 32;
+  constexpr std::size_t kOperatorDescriptors = 32;
   const std::size_t closing = std::max<std::size_t>(2, sockets / 8);
-  const std::size_t others = kOwn + kOperators + sockets / 4 + closing;
-  const std::size_t callers = std::max(sockets / 3 + 1, sockets > others ? sockets - others : 0);
+  const std::size_t not_callers = kOwnDescriptors + kOperatorDescriptors + sockets / 4 + closing;
+  const std::size_t callers = std::max(sockets / 3 + 1, sockets > not_callers ? sockets - not_callers : 0);
   return {callers, callers + closing};
 }
 
--- a/src/config/overlay.h
+++ b/src/config/overlay.h
@@ -1,4 +1,5 @@
-// Documents of configuration laid over the start configuration's text. Pure.
+// Applies service configurations, as JSON merge patches, to the text of the start configuration. Pure
+// functions.
 #pragma once
 
 #include <string>
@@ -10,14 +11,14 @@
 
 namespace graniterun {
 
-// How deep a document's objects and lists may stand in each other, as where it is published: what reads and
-// writes them goes one call deeper with each.
-constexpr int kDeepestDocument = 64;
+// Maximum nesting of objects and lists in a service configuration, the same as where it is published: the
+// JSON code recurses once per level.
+constexpr int kMaxNestingDepth = 64;
 
-// The text that read_platform_config is to read: `base`, with each document's JSON merge patch (RFC 7396)
-// laid over what came before it, in their order. Throws ConfigError where the base or a document is no JSON
-// object, a document sets anything but `settings` and `journal`, is longer than kLargestDocument or deeper
-// than kDeepestDocument, or there are more than kMaxSubscribedServices. Cost: linear in the texts.
-std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& documents);
+// Returns the text for read_platform_config: `base` with each service configuration's JSON merge patch (RFC
+// 7396) applied in order. Throws ConfigError if the base or a configuration is no JSON object, if a
+// configuration sets anything but `settings` and `journal`, is longer than kMaxConfigBytes or nested deeper
+// than kMaxNestingDepth, or if there are more than kMaxSubscribedServices. Cost: linear in the texts.
+std::string with_overlay(std::string_view base, const std::vector<distribution::ServiceConfig>& configs);
 
 }  // namespace graniterun
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -12,17 +12,17 @@
 
 using namespace std::chrono_literals;
 
-// The protocol's words on a planned restart: after SIGTERM new connections keep coming for 0.4 s at most and
-// requests on open ones for 0.2 s more; SIGKILL comes no sooner than the longest deadline, counted as 3 s
-// where it is longer, and 0.7 s more.
+// The platform's protocol for a planned restart: after SIGTERM, new connections arrive for at most 0.4 s and
+// requests on open ones for another 0.2 s. SIGKILL follows no sooner than the longest caller timeout, counted
+// as at most 3 s, plus 0.7 s.
 constexpr Duration kLateArrivalWindow = 900ms;
 constexpr Duration kShutdownCheckInterval = 50ms;
-constexpr Duration kMaxCountedDeadline = 3s;
+constexpr Duration kMaxCountedTimeout = 3s;
 constexpr Duration kKillDelay = 700ms;
-// So long before that, what is still open is given up and answered, and half as long before it ends.
+// Margin before the earliest SIGKILL: open requests are rejected at its begin, the exit is due at its half.
 constexpr Duration kFinalAnswerMargin = 300ms;
-// With a successor: the longest deadline counts as 5 s at most; so long after it what stands is left to it.
-constexpr Duration kMaxUpgradeDeadline = 5s;
+// Limits with a successor process, to which the remaining established calls are left after both have passed.
+constexpr Duration kMaxUpgradeTimeout = 5s;
 constexpr Duration kUpgradeGracePeriod = 2s;
 
 template <class... Fs>
@@ -34,27 +34,27 @@
 
 downstream::PlatformFrontSettings platform_settings(const PlatformConfig& config, const DeployConfig& deploy,
                                                     const core::ClassTable& classes) {
-  downstream::PlatformFrontSettings s;
-  s.classes = classes.classes;
-  const std::size_t most = descriptor_shares(config.sockets).callers;
-  s.max_connections = deploy.sip_tcp ? most - most / 2 : most;
-  return s;
+  downstream::PlatformFrontSettings settings;
+  settings.classes = classes.classes;
+  const std::size_t max_callers = descriptor_shares(config.sockets).callers;
+  settings.max_connections = deploy.sip_tcp ? max_callers - max_callers / 2 : max_callers;
+  return settings;
 }
 
 downstream::SipFrontSettings sip_settings(const PlatformConfig& config, const DeployConfig& deploy,
                                           const core::ClassTable& classes) {
-  downstream::SipFrontSettings s;
-  s.udp = deploy.sip_udp;
-  s.tcp = deploy.sip_tcp;
-  s.classes = classes.classes;
-  s.seed = config.seed;
-  s.max_connections = descriptor_shares(config.sockets).callers / 2;
-  s.load_control_from = deploy.load_control_from;
-  return s;
-}
-
-// At the start, with nothing open, every class has its place in the order of the settings.
-core::ClassTable first_classes(const PlatformConfig& config) {
+  downstream::SipFrontSettings settings;
+  settings.udp = deploy.sip_udp;
+  settings.tcp = deploy.sip_tcp;
+  settings.classes = classes.classes;
+  settings.seed = config.seed;
+  settings.max_connections = descriptor_shares(config.sockets).callers / 2;
+  settings.load_control_from = deploy.load_control_from;
+  return settings;
+}
+
+// Class table at the start: without open calls, each class has its index in the settings.
+core::ClassTable initial_class_table(const PlatformConfig& config) {
   auto table = core::assign_places({}, config.class_names, config.settings.classes, {});
   if (!table)
     throw ConfigError("the settings name more than " + std::to_string(core::ClassTable::kMaxClasses) +
@@ -63,11 +63,11 @@
 }
 
 control::ControlSettings control_settings(const PlatformConfig& config, const DeployConfig& deploy) {
-  control::ControlSettings s = deploy.control.value_or(control::ControlSettings{});
-  s.name = config.name;
-  s.seed = config.seed;
-  s.max_retry_after = config.settings.max_retry_after;
-  return s;
+  control::ControlSettings settings = deploy.control.value_or(control::ControlSettings{});
+  settings.name = config.name;
+  settings.seed = config.seed;
+  settings.max_retry_after = config.settings.max_retry_after;
+  return settings;
 }
 
 otlp::ExporterSettings exporter_settings(const PlatformConfig& config, const DeployConfig& deploy) {
@@ -79,7 +79,7 @@
 Gatekeeper::Gatekeeper(const PlatformConfig& config, const DeployConfig& deploy,
                        std::function<void(Counters&)> more_counters)
     : config_(config),
-      classes_(first_classes(config)),
+      classes_(initial_class_table(config)),
       deploy_(deploy),
       more_counters_(std::move(more_counters)),
       control_(control_settings(config, deploy), counters_),
@@ -98,7 +98,7 @@
                             return apply_overlay(now, all, out);
                           });
   } else {
-    config_.text = {};  // nothing is laid over it
+    config_.text = {};  // without distributed configuration no overlay is applied to it
   }
   if (deploy.sip_server_transport != "platform") {
     trunk_.emplace(upstream::SipTrunkSettings{deploy.sip_server_transport == "tcp", deploy.sip_servers_from,
@@ -108,14 +108,15 @@
   connect_parts();
 }
 
-// Where no gaps can be announced and nothing is watched, new calls are not looked at.
+// Without a control listener there are no call gaps, and no admission check.
 core::Broker::AdmissionCheck Gatekeeper::admission_check() {
   if (!deploy_.control) return {};
-  return
-      [this](Time now, const core::Request& r) { return control_.check(now, r.number_text, r.class_name); };
+  return [this](Time now, const core::Request& request) {
+    return control_.check(now, request.number_text, request.class_name);
+  };
 }
 
-// A part's step: what it has no handler for is none of its business.
+// Passes an event to the sub-reducer's `on` overload for its type; ignores events without an overload.
 template <class Part>
 Gatekeeper::Handler Gatekeeper::handler_of(Part& part) {
   return [&part](Time now, const net::Event& event, Outbox& out) {
@@ -151,8 +152,8 @@
     for (const EndpointList& list : journal_.take_updates())
       handle_endpoints(now, list, list.complete ? ListKind::all : ListKind::changes, out);
   };
-  management_.answers("readyz", [this](Time now) { return readiness(now); });
-  management_.answers("telemetry", [this](Time now) { return telemetry(now); });
+  management_.add_request("readyz", [this](Time now) { return readiness(now); });
+  management_.add_request("telemetry", [this](Time now) { return telemetry(now); });
   connect_configuration();
   connect_fleet();
   connect_gaps();
@@ -199,7 +200,7 @@
                    }});
 }
 
-// The exporter's timer needs the figures of all parts.
+// The exporter's timer handler gets the counters and gauges of all parts.
 void Gatekeeper::connect_exporter() {
   handler(net::Concern::collector) = [this, step = handler_of(exporter_)](Time now, const net::Event& event,
                                                                           Outbox& out) {
@@ -234,7 +235,7 @@
   effects = std::move(out.net);
 }
 
-// With a successor at work the gatekeeper goes on being ready, though this process is about to end.
+// With a successor (inherited socket) the gatekeeper stays ready while this process shuts down.
 bool Gatekeeper::ready(Time now) const {
   return (!stop_requested_at_ || config_.inherited) && control_.ready(now) &&
          (trunk_ ? trunk_->ready() : servers_.ready()) && (!subscription_ || subscription_->ready());
@@ -254,36 +255,36 @@
 }
 
 std::string Gatekeeper::telemetry(Time now) const {
-  management::Figures f{broker_.metrics()};
-  f.attempts = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
-                      : all_counters().of("net.counted_written");
-  f.active = broker_.unanswered() + broker_.established();
-  f.pool_size = trunk_ ? trunk_->listed() : servers_.listed();
-  f.pool_ejected = broker_.ejected(now);
-  f.config_applied = counters_.of("config.reloads");
-  f.config_rejected = counters_.of("config.reloads_bad");
-  for (const Gauge& g : fleet_.gauges(now)) {
-    std::string name = g.name.substr(g.name.find('.') + 1);
-    for (const auto& [key, value] : g.attributes) name += "." + value;
-    f.more.push_back({"fleet_" + name, static_cast<std::uint64_t>(g.value), 'g'});
+  management::Figures snapshot{broker_.metrics()};
+  snapshot.attempts = trunk_ ? counters_.of("trunk.invites") - counters_.of("trunk.invites_recalled")
+                             : all_counters().of("net.counted_written");
+  snapshot.active = broker_.unanswered() + broker_.established();
+  snapshot.pool_size = trunk_ ? trunk_->listed() : servers_.listed();
+  snapshot.pool_ejected = broker_.ejected(now);
+  snapshot.config_applied = counters_.of("config.reloads");
+  snapshot.config_rejected = counters_.of("config.reloads_bad");
+  for (const Gauge& gauge : fleet_.gauges(now)) {
+    std::string name = gauge.name.substr(gauge.name.find('.') + 1);
+    for (const auto& [key, value] : gauge.attributes) name += "." + value;
+    snapshot.additional.push_back({"fleet_" + name, static_cast<std::uint64_t>(gauge.value), 'g'});
   }
   Counters fleet;
   fleet_.count(fleet);
   for (const auto& [name, value] : fleet.all())
-    f.more.push_back({"fleet_" + name.substr(name.find('.') + 1), value, 'c'});
+    snapshot.additional.push_back({"fleet_" + name.substr(name.find('.') + 1), value, 'c'});
   if (subscription_) {
-    for (const Gauge& g : subscription_->gauges()) {
-      std::string name = "config_" + g.name.substr(g.name.find('.') + 1);
-      for (const auto& [key, value] : g.attributes) name += "." + value;
-      f.more.push_back({name, static_cast<std::uint64_t>(g.value), 'g'});
+    for (const Gauge& gauge : subscription_->gauges()) {
+      std::string name = "config_" + gauge.name.substr(gauge.name.find('.') + 1);
+      for (const auto& [key, value] : gauge.attributes) name += "." + value;
+      snapshot.additional.push_back({name, static_cast<std::uint64_t>(gauge.value), 'g'});
     }
-    constexpr std::string_view kOf = "config.distribution.";
+    constexpr std::string_view kPrefix = "config.distribution.";
     for (const auto& [name, value] : counters_.all()) {
-      if (name.starts_with(kOf))
-        f.more.push_back({"config_distribution_" + name.substr(kOf.size()), value, 'c'});
+      if (name.starts_with(kPrefix))
+        snapshot.additional.push_back({"config_distribution_" + name.substr(kPrefix.size()), value, 'c'});
     }
   }
-  return "OK\n" + management::statsd_text(f) + "END\n";
+  return "OK\n" + management::statsd_text(snapshot) + "END\n";
 }
 
 void Gatekeeper::drain_broker_events(Time now, Outbox& out) {
@@ -311,7 +312,7 @@
                  [&](const core::RequestAnswered& e) {
                    exporter_.record_request(now, e, [this](ServerId id) { return name_of(id); });
                  },
-                 [&](const auto& e) {  // to the caller, by the front that it came by
+                 [&](const auto& e) {  // to the caller, through the front end that received the request
                    if (core::front_of(e.call) == core::Front::sip) {
                      sip_.apply(now, e, out);
                    } else if constexpr (std::is_same_v<std::decay_t<decltype(e)>, core::ReleaseCaller>) {
@@ -335,7 +336,8 @@
 // ---- events
 
 void Gatekeeper::on(Time now, const net::Started&, Outbox& out) {
-  // Whoever takes a connection from a socket that another process serves has to serve it at once.
+  // With an inherited socket, another process still accepts callers: this one must not do so before it is
+  // ready.
   if (!config_.inherited) listen(out);
   if (trunk_) {
     trunk_->start(now, out);
@@ -379,33 +381,33 @@
   out.net.push_back(net::ReadFile{config_.path});
 }
 
-// The settings and the journal service's address may change while the program runs; calls and connections go
-// on as they are, and a file that is no use changes nothing. What is in force by documents stays so over the
-// new file, which has to be of use without them as well: the next start has it alone.
+// Reload: applies new settings and a new discovery address; calls and connections continue, and an invalid
+// file changes nothing. Active service configurations stay applied over the new file, which must also be
+// valid alone, because the next start reads it without them.
 void Gatekeeper::on(Time now, const net::FileRead& e, Outbox& out) {
   try {
     if (!e.text) throw ConfigError("cannot read " + e.path);
     PlatformConfig file = read_platform_config(*e.text);
     check_keys(config_, file);
-    if (documents_.empty()) {
+    if (service_configs_.empty()) {
       replace_settings(now, file, out);
     } else {
       try {
-        const PlatformConfig whole = read_platform_config(with_overlay(file.text, documents_));
-        check_keys(file, whole);
-        replace_settings(now, whole, out);
-      } catch (const ConfigError& trouble) {
-        throw ConfigError(std::string("with the documents in force over it: ") + trouble.what());
+        const PlatformConfig merged = read_platform_config(with_overlay(file.text, service_configs_));
+        check_keys(file, merged);
+        replace_settings(now, merged, out);
+      } catch (const ConfigError& error) {
+        throw ConfigError(std::string("with the documents in force over it: ") + error.what());
       }
     }
     counters_.add("config.reloads");
     out.log(net::Level::info, "the configuration was read again");
-    for (const auto& [what, before, after] :
+    for (const auto& [key, before, after] :
          {std::tuple("listen", config_.file_listen, file.file_listen),
           std::tuple("management", config_.file_management, file.file_management)}) {
       if (before != after)
         out.log(net::Level::warning,
-                std::string("'") + what + "' is now '" + after + "': used from the next start on");
+                std::string("'") + key + "' is now '" + after + "': used from the next start on");
     }
     config_.keys = std::move(file.keys);
     config_.file_listen = file.file_listen;
@@ -413,27 +415,28 @@
     if (!subscription_) return;
     config_.text = std::move(file.text);
     subscription_->base_changed(now, out);
-  } catch (const ConfigError& trouble) {
+  } catch (const ConfigError& error) {
     counters_.add("config.reloads_bad");
-    out.log(net::Level::error, std::string("the old configuration is kept: ") + trouble.what());
+    out.log(net::Level::error, std::string("the old configuration is kept: ") + error.what());
   }
 }
 
-// Documents over the file that was last taken, whole or not at all; what is wrong with them.
-std::optional<std::string> Gatekeeper::apply_overlay(
-    Time now, const std::vector<distribution::ServiceConfig>& documents, Outbox& out) {
+// Applies all service configurations over the last accepted file, or none of them; returns the error, if any.
+std::optional<std::string> Gatekeeper::apply_overlay(Time now,
+                                                     const std::vector<distribution::ServiceConfig>& configs,
+                                                     Outbox& out) {
   try {
-    const PlatformConfig whole = read_platform_config(with_overlay(config_.text, documents));
-    check_keys(config_, whole);
-    replace_settings(now, whole, out);
-  } catch (const ConfigError& trouble) {
-    return trouble.what();
+    const PlatformConfig merged = read_platform_config(with_overlay(config_.text, configs));
+    check_keys(config_, merged);
+    replace_settings(now, merged, out);
+  } catch (const ConfigError& error) {
+    return error.what();
   }
-  documents_ = documents;
+  service_configs_ = configs;
   return std::nullopt;
 }
 
-// Throws ConfigError before anything has changed.
+// Throws ConfigError, before any change, if open calls and new classes need too many class indexes.
 void Gatekeeper::replace_settings(Time now, const PlatformConfig& fresh, Outbox& out) {
   auto table =
       core::assign_places(classes_, fresh.class_names, fresh.settings.classes, broker_.places_in_use());
@@ -451,26 +454,28 @@
 
 void Gatekeeper::exit_if_drained(Time now, Outbox& out) {
   if (!stop_requested_at_) return;
-  const Duration asked_for = now - *stop_requested_at_;
-  Duration longest{};
-  for (const CallClass& c : classes_.places) longest = std::max(longest, c.caller_timeout);
-  const Duration counted = std::min(longest, config_.inherited ? kMaxUpgradeDeadline : kMaxCountedDeadline);
-  const Duration answers_due = counted + kKillDelay - kFinalAnswerMargin;
-  // With a successor what stands is served to its end for a while; without one SIGKILL is near.
-  const Duration latest =
-      config_.inherited ? kMaxUpgradeDeadline + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
-  // Nobody is left without an answer, however long the call might still have waited.
-  if (broker_.unanswered() > 0 && asked_for >= answers_due) {
-    out.log(net::Level::warning, std::to_string(broker_.unanswered()) + " requests are given up at the end");
+  const Duration elapsed = now - *stop_requested_at_;
+  Duration max_timeout{};
+  for (const CallClass& c : classes_.places) max_timeout = std::max(max_timeout, c.caller_timeout);
+  const Duration counted_timeout =
+      std::min(max_timeout, config_.inherited ? kMaxUpgradeTimeout : kMaxCountedTimeout);
+  const Duration answers_due = counted_timeout + kKillDelay - kFinalAnswerMargin;
+  // With a successor, established calls may end normally for a while; without one, SIGKILL is imminent.
+  const Duration exit_due =
+      config_.inherited ? kMaxUpgradeTimeout + kUpgradeGracePeriod : answers_due + kFinalAnswerMargin / 2;
+  // Every open request gets an answer before the exit, even if its deadline is later.
+  if (broker_.unanswered() > 0 && elapsed >= answers_due) {
+    out.log(net::Level::warning,
+            std::to_string(broker_.unanswered()) + " open requests rejected before exit");
     out.notify_broker(core::ShutdownStarted{});
     drain_broker_events(now, out);
   }
-  if (asked_for >= latest) return request_exit(net::Exit{0}, out);
-  if (asked_for < std::min(kLateArrivalWindow, answers_due)) return;
-  const bool over = broker_.unanswered() == 0 &&
-                    (!config_.inherited || (broker_.established() == 0 && platform_.connected() == 0));
-  // Where something is left to write, or has come in this instant, it is looked again.
-  if (over) request_exit(net::ExitIfIdle{0}, out);
+  if (elapsed >= exit_due) return request_exit(net::Exit{0}, out);
+  if (elapsed < std::min(kLateArrivalWindow, answers_due)) return;
+  const bool drained = broker_.unanswered() == 0 &&
+                       (!config_.inherited || (broker_.established() == 0 && platform_.connected() == 0));
+  // ExitIfIdle does nothing while output is unwritten or input unread; the next check tries again.
+  if (drained) request_exit(net::ExitIfIdle{0}, out);
 }
 
 void Gatekeeper::request_exit(const net::Effect& end, Outbox& out) {
--- a/src/gatekeeper/gatekeeper.h
+++ b/src/gatekeeper/gatekeeper.h
@@ -1,6 +1,6 @@
-// The one reducer: every event of the runtime goes to the sub-reducer of its concern, what those tell the
-// broker goes to the broker, and what the broker asks for goes back to them, until nothing is left but
-// effects.
+// Reducer of the gatekeeper program. Each runtime event goes to the sub-reducer of its concern; events that a
+// sub-reducer produces for the broker go to the broker, and the broker's effects go back to the sub-reducers,
+// until only effects for the runtime are left.
 #pragma once
 
 #include <array>
@@ -25,7 +25,7 @@
 
 class Gatekeeper {
  public:
-  // `more_counters` writes those that are kept elsewhere.
+  // `more_counters` adds the counters that are kept outside of this class.
   Gatekeeper(const PlatformConfig& config, const DeployConfig& deploy,
              std::function<void(Counters&)> more_counters);
 
@@ -53,8 +53,7 @@
   std::string telemetry(Time now) const;
   core::Broker::AdmissionCheck admission_check();
   void replace_settings(Time now, const PlatformConfig& fresh, Outbox& out);
-  std::optional<std::string> apply_overlay(Time now,
-                                           const std::vector<distribution::ServiceConfig>& documents,
+  std::optional<std::string> apply_overlay(Time now, const std::vector<distribution::ServiceConfig>& configs,
                                            Outbox& out);
   void handle_endpoints(Time now, const EndpointList& list, ListKind kind, Outbox& out);
   const std::string& name_of(ServerId server) const;
@@ -65,26 +64,27 @@
   Counters all_counters() const;
   std::string counters_text() const;
 
-  PlatformConfig config_;  // its text and keys: the file's, as last taken, without documents
-  std::vector<distribution::ServiceConfig> documents_;  // in force over the file
-  core::ClassTable classes_;                            // those of the settings in force, and of open calls
+  PlatformConfig config_;  // its text and keys: of the last accepted file, without overlay
+  std::vector<distribution::ServiceConfig>
+      service_configs_;       // active service configurations, applied over the file
+  core::ClassTable classes_;  // classes of the active settings and of open calls
   DeployConfig deploy_;
   std::function<void(Counters&)> more_counters_;
   Counters counters_;
   control::Control control_;
   fleet::Fleet fleet_;
-  std::optional<control::Subscription> subscription_{};  // where configuration is distributed
+  std::optional<control::Subscription> subscription_{};  // absent: no distributed configuration
   core::Broker broker_;
   downstream::Platform platform_;
   downstream::Sip sip_;
-  // One of them speaks to the setup servers.
+  // If trunk_ is set, it connects to the setup servers; else servers_ does.
   upstream::SetupServers servers_;
   std::optional<upstream::SipTrunk> trunk_{};
   upstream::DiscoveryClient journal_;
   otlp::Exporter exporter_;
-  std::array<Handler, net::kConcerns> handlers_{};  // who is told of a concern's events
+  std::array<Handler, net::kConcerns> handlers_{};  // by concern; empty: events are ignored
   management::Management management_;
-  bool listening_ = false;  // for callers
+  bool listening_ = false;  // for platform callers
   bool counters_printed_ = false;
   std::optional<Time> stop_requested_at_{};
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// graniterun: one gatekeeper on real sockets.
+// graniterun: the gatekeeper program. Reads the environment and configuration files, and runs a gatekeeper.
 #include <algorithm>
 #include <csignal>
 #include <cstdlib>
@@ -25,22 +25,22 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value != nullptr ? value : "";
 }
 
-net::Level level_from(const std::string& word) {
-  if (word == "debug") return net::Level::debug;
-  if (word.empty() || word == "info") return net::Level::info;
-  if (word == "warning") return net::Level::warning;
-  if (word == "error") return net::Level::error;
+net::Level parse_log_level(const std::string& name) {
+  if (name == "debug") return net::Level::debug;
+  if (name.empty() || name == "info") return net::Level::info;
+  if (name == "warning") return net::Level::warning;
+  if (name == "error") return net::Level::error;
   throw ConfigError("GRANITERUN_LOG is not one of debug, info, warning, error");
 }
 
-// The platform may hold the callers' listening socket and hand it to each process that it starts.
+// Descriptor of the callers' listening socket, if the platform passes one to the processes that it starts.
 std::optional<int> inherited_socket() {
-  const std::string text = variable("RELAY_INHERITED_FD");
+  const std::string text = environment_variable("RELAY_INHERITED_FD");
   if (text.empty()) return std::nullopt;
   const auto fd = number_in<int>(text);
   if (!fd || !net::is_listening_tcp(*fd))
@@ -48,21 +48,21 @@
   return fd;
 }
 
-// What the deploy file does not hold: the key, and what is another one at every start.
-void prepare(DeployConfig& deploy) {
+// Adds what the deploy file does not contain: the keys, and values that differ at every start.
+void add_keys_and_seeds(DeployConfig& deploy) {
   std::random_device random;
   const auto draw = [&random] { return (static_cast<std::uint64_t>(random()) << 32) | random(); };
-  const auto key_of = [](const char* whose, const std::string& path) {
+  const auto read_key = [](const char* owner, const std::string& path) {
     const auto key = fleet::key_in(read_file(path));
-    if (!key) throw ConfigError(std::string(whose) + " key file " + path + " does not hold 64 hex digits");
+    if (!key) throw ConfigError(std::string(owner) + " key file " + path + " does not hold 64 hex digits");
     return *key;
   };
   if (deploy.configuration) {
-    deploy.configuration->key = key_of("the configuration's", deploy.configuration_key_file);
+    deploy.configuration->key = read_key("the configuration's", deploy.configuration_key_file);
     deploy.configuration->seed = draw();
   }
   if (!deploy.fleet) return;
-  deploy.fleet->key = key_of("the fleet's", deploy.fleet_key_file);
+  deploy.fleet->key = read_key("the fleet's", deploy.fleet_key_file);
   membership::Settings& settings = deploy.fleet->membership;
   settings.start_nonce = draw();
   settings.seed = draw();
@@ -72,7 +72,7 @@
       std::max<std::int64_t>(1, unix_ms.count() + deploy.fleet_clock_offset_ms));
 }
 
-call_gapping::Fleet fleet_of(const PlatformConfig& config) {
+call_gapping::Fleet fleet_position(const PlatformConfig& config) {
   const std::uint32_t size = std::max<std::uint32_t>(1, config.settings.senders);
   return {size, std::min(config.index, size - 1)};
 }
@@ -84,22 +84,24 @@
       throw ConfigError("usage: graniterun [--deploy FILE]");
     deploy_path = argv[++i];
   }
-  const std::string config_path = variable("RELAY_CONFIG");
+  const std::string config_path = environment_variable("RELAY_CONFIG");
   if (config_path.empty()) throw ConfigError("RELAY_CONFIG is not set");
   PlatformConfig config = read_platform_config(read_file(config_path));
   config.path = config_path;
-  if (const std::string listen = variable("RELAY_LISTEN"); !listen.empty()) config.listen = listen;
-  if (const std::string name = variable("RELAY_NAME"); !name.empty()) config.name = name;
-  if (const std::string second = variable("RELAY_MANAGEMENT"); !second.empty()) config.management = second;
+  if (const std::string listen = environment_variable("RELAY_LISTEN"); !listen.empty())
+    config.listen = listen;
+  if (const std::string name = environment_variable("RELAY_NAME"); !name.empty()) config.name = name;
+  if (const std::string management = environment_variable("RELAY_MANAGEMENT"); !management.empty())
+    config.management = management;
   config.inherited = inherited_socket();
   DeployConfig deploy = deploy_path.empty() ? DeployConfig{}
                                             : read_deploy_config(read_file(deploy_path), config.class_names,
-                                                                 fleet_of(config), config.name);
-  prepare(deploy);
+                                                                 fleet_position(config), config.name);
+  add_keys_and_seeds(deploy);
 
   net::RuntimeLimits limits;
   limits.connections = descriptor_shares(config.sockets).accepted;
-  net::Runtime runtime(limits, net::Logger(level_from(variable("GRANITERUN_LOG"))));
+  net::Runtime runtime(limits, net::Logger(parse_log_level(environment_variable("GRANITERUN_LOG"))));
   Gatekeeper gatekeeper(config, deploy, [&runtime](Counters& all) { net::add_to(all, runtime.counters()); });
   return runtime.run([&gatekeeper](Time now, const net::Event& event, net::Effects& effects) {
     gatekeeper.step(now, event, effects);
@@ -113,8 +115,8 @@
   net::block_signals();
   try {
     return run(argc, argv);
-  } catch (const std::exception& trouble) {
-    std::cerr << "graniterun: " << trouble.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "graniterun: " << error.what() << '\n';
     return 1;
   }
 }
--- a/src/management/management.cpp
+++ b/src/management/management.cpp
@@ -8,12 +8,12 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kReapInterval = 100ms;
-// Who has said nothing whole for so long is told so and closed.
+// Time limit for a complete line; then the connection gets an error and is closed.
 constexpr Duration kLineTimeout = 2s;
-// Of those that wait for a line no more are kept: the rest of the bound is for answers on their way out.
-constexpr std::size_t kMaxWaiting = kMaxConnections / 2;
+// Maximum connections without a complete line; the rest of the limit is for responses being written.
+constexpr std::size_t kMaxWaitingConnections = kMaxConnections / 2;
 
-bool is_plain(std::string_view text) {
+bool is_printable_ascii(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
@@ -21,7 +21,7 @@
 
 void Management::start(Time now, Outbox& out) const {
   if (listen_.empty()) return;
-  // The calls of the service go before those of its operators: it runs on without them.
+  // Listening is not required: the gatekeeper serves calls even if operators can't connect.
   out.net.push_back(net::Listen{net::Concern::management, listen_, {}, kMaxConnections, false});
   out.arm(net::Concern::management, 0, now + kReapInterval);
 }
@@ -29,7 +29,7 @@
 void Management::on(Time now, const net::Accepted& event, Outbox& out) {
   counters_.add("management.connections");
   waiting_.push_back({event.conn, now});
-  if (waiting_.size() <= kMaxWaiting) return;
+  if (waiting_.size() <= kMaxWaitingConnections) return;
   counters_.add("management.dropped_for_room");
   out.drop(waiting_.front().conn);
   waiting_.pop_front();
@@ -39,9 +39,9 @@
   const auto it = std::find_if(waiting_.begin(), waiting_.end(),
                                [&](const Waiting& waiting) { return waiting.conn == event.conn; });
   if (it == waiting_.end()) return;
-  const std::size_t end = event.bytes.substr(0, kLineBound).find('\n');
+  const std::size_t end = event.bytes.substr(0, kMaxLineLength).find('\n');
   if (end == std::string_view::npos) {
-    if (event.bytes.size() >= kLineBound)
+    if (event.bytes.size() >= kMaxLineLength)
       reply(event.conn, "ERR the line has no end within 256 bytes\n", out);
     return;
   }
@@ -49,21 +49,21 @@
   std::string_view line = event.bytes.substr(0, end);
   if (line.ends_with('\r')) line.remove_suffix(1);
   counters_.add("management.calls");
-  if (!is_plain(line)) return reply(event.conn, "ERR the line is not plain text\n", out);
-  const auto call = calls_.find(line);
-  if (call == calls_.end()) {
+  if (!is_printable_ascii(line)) return reply(event.conn, "ERR the line is not plain text\n", out);
+  const auto request = requests_.find(line);
+  if (request == requests_.end()) {
     std::string known;
-    for (const auto& [name, answer] : calls_) known += (known.empty() ? "" : ", ") + name;
+    for (const auto& [name, respond] : requests_) known += (known.empty() ? "" : ", ") + name;
     return reply(event.conn, "ERR unknown call; there are: " + known + "\n", out);
   }
-  reply(event.conn, call->second(now), out);
+  reply(event.conn, request->second(now), out);
 }
 
 void Management::on(Time, const net::Closed& event, Outbox&) { forget(event.conn); }
 
 void Management::on(Time now, const net::TimerFired&, Outbox& out) {
   out.arm(net::Concern::management, 0, now + kReapInterval);
-  while (!waiting_.empty() && now - waiting_.front().since > kLineTimeout) {
+  while (!waiting_.empty() && now - waiting_.front().accepted_at > kLineTimeout) {
     counters_.add("management.closed_silent");
     reply(waiting_.front().conn, "ERR no whole line came within 2 s\n", out);
   }
--- a/src/management/management.h
+++ b/src/management/management.h
@@ -1,5 +1,6 @@
-// The second address, where operators call: one line in, one answer that begins with OK or ERR, then the end.
-// A sub-reducer. Callers who say nothing are bounded in number and time and keep nobody else out.
+// Sub-reducer of the management listener for operators: one request line, one response that begins with OK or
+// ERR, then the connection is closed. Connections that send no complete line are bounded in number and time,
+// so that they can't keep others out.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +15,21 @@
 
 namespace graniterun::management {
 
-// Connections that may be open at once, and stand beside those of callers and setup servers.
+// Maximum open connections, outside the limit for callers and setup servers.
 constexpr std::size_t kMaxConnections = 32;
-// A call's line is no longer than this, its end included.
-constexpr std::size_t kLineBound = 256;
+// Maximum bytes of a request line, including the line feed.
+constexpr std::size_t kMaxLineLength = 256;
 
 class Management {
  public:
-  // What a call is answered with: whole lines, the first beginning with OK or ERR.
-  using Answer = std::function<std::string(Time now)>;
+  // Returns the response to a request: complete lines, the first beginning with OK or ERR.
+  using ResponseFunction = std::function<std::string(Time now)>;
 
-  // `listen`: address:port; empty: nowhere.
+  // `listen`: address:port; empty: no listener.
   Management(std::string listen, Counters& counters) : listen_(std::move(listen)), counters_(counters) {}
 
-  void answers(std::string call, Answer answer) {
-    calls_.insert_or_assign(std::move(call), std::move(answer));
+  void add_request(std::string name, ResponseFunction respond) {
+    requests_.insert_or_assign(std::move(name), std::move(respond));
   }
 
   void start(Time now, Outbox& out) const;
@@ -38,9 +39,9 @@
   void on(Time now, const net::TimerFired& event, Outbox& out);
 
  private:
-  struct Waiting {  // for a whole line
+  struct Waiting {  // a connection without a complete line
     net::ConnId conn;
-    Time since{};
+    Time accepted_at{};
   };
 
   void reply(net::ConnId conn, std::string text, Outbox& out);
@@ -48,7 +49,7 @@
 
   std::string listen_;
   Counters& counters_;
-  std::map<std::string, Answer, std::less<>> calls_;
+  std::map<std::string, ResponseFunction, std::less<>> requests_;
   std::deque<Waiting> waiting_;  // oldest first
 };
 
--- a/src/otlp/exporter.h
+++ b/src/otlp/exporter.h
@@ -1,6 +1,6 @@
-// Export to an OpenTelemetry collector: OTLP over HTTP with JSON bodies. A span for each request with its
-// attempts, and the counters as sums. Batched and bounded: what a slow collector does not take is dropped and
-// counted, and no call waits for it.
+// Export to an OpenTelemetry collector: OTLP over HTTP with JSON bodies. Exports a span for each request with
+// child spans for its attempts, counters as sums, and gauges. Batched and bounded: data that a slow collector
+// does not accept is dropped and counted, and no call waits for it.
 #pragma once
 
 #include <deque>
@@ -17,10 +17,10 @@
 
 namespace graniterun::otlp {
 
-constexpr std::size_t kMaxGauges = 64;  // told in an export
+constexpr std::size_t kMaxGauges = 64;  // per export
 
 struct ExporterSettings {
-  std::optional<std::string> collector{};  // address:port; none: it is off
+  std::optional<std::string> collector{};  // address:port; absent: nothing is exported
   std::string host{};                      // for the Host header
   std::string service_instance{};
   Duration interval{};
@@ -46,28 +46,28 @@
     std::string path{};
     std::string body{};
     std::size_t spans = 0;
-    int tries = 0;
+    int attempts = 0;
   };
 
-  std::string traces(std::size_t& count);
-  std::string metrics(Time now, const Counters& all, const std::vector<Gauge>& gauges) const;
+  std::string encode_traces(std::size_t& count);
+  std::string encode_metrics(Time now, const Counters& all, const std::vector<Gauge>& gauges) const;
   void send_next(Time now, Outbox& out);
-  void failed(Outbox& out, bool again);
+  void fail_post(Outbox& out, bool retry);
 
   ExporterSettings settings_;
   Counters& counters_;
   RandomIdGenerator ids_;
   Time started_{};
-  std::deque<std::string> spans_;  // JSON, one request with its attempts each
+  std::deque<std::string> spans_;  // JSON, each of one request with its attempts
   std::deque<Post> posts_;
   std::uint32_t conn_ = 0;
   bool connecting_ = false;
-  bool up_ = false;
+  bool connected_ = false;
   bool in_flight_ = false;
   Time sent_at_{};
   std::optional<http::Head> head_{};
   std::optional<http::Body> body_{};
-  std::string answer_{};
+  std::string response_body_{};
 };
 
 }  // namespace graniterun::otlp
--- a/tests/check.h
+++ b/tests/check.h
@@ -1,4 +1,4 @@
-// Plain asserts that hold in every build, for the tests of the network code.
+// Assertions that are active in every build type, for tests without GoogleTest.
 #pragma once
 
 #include <cstdlib>
@@ -12,7 +12,7 @@
     }                                                                                       \
   } while (false)
 
-// One call, so that what is compared may be part of something that ends with the statement.
+// A single call, so that the operands may refer to temporaries of the full expression.
 #define CHECK_EQ(left, right) graniterun::test::check_eq((left), (right), #left, __FILE__, __LINE__)
 
 namespace graniterun::test {
--- a/tests/crossings_process_test.cpp
+++ b/tests/crossings_process_test.cpp
@@ -1,6 +1,6 @@
-// The real program over loopback in the instants that go wrong: stops, signals, lists and descriptors. The
-// order of things is the peers' steps; the rest of docs/design/crossings.md is forced in crossings_test and
-// runtime_test.
+// Race conditions of the real program over loopback: stops, signals, endpoint lists and descriptor limits.
+// The test's peers force the order of events; the other cases of docs/design/crossings.md are in
+// crossings_test and runtime_test.
 #include <sys/resource.h>
 
 #include <memory>
@@ -13,35 +13,36 @@
 
 namespace {
 
-// Bound, and nobody listens yet: a connect is refused.
-Socket refusing() {
+// A bound socket that does not listen: connects are refused.
+Socket refusing_socket() {
   Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const sockaddr_in address = loopback(0);
   CHECK(::bind(s.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
   return s;
 }
 
-// Its queue is full: who connects hears nothing, neither yes nor no.
-struct Unreachable {
-  Unreachable() : listener(refusing()) {
+// A listener with a full queue: connects get no response.
+struct UnresponsiveListener {
+  UnresponsiveListener() : listener(refusing_socket()) {
     CHECK(::listen(listener.descriptor(), 0) == 0);
     for (int i = 0; i < 4; ++i) {
       Socket s(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
       const sockaddr_in address = loopback(listener.port());
       ::connect(s.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-      knocking.push_back(std::move(s));
+      pending_connects.push_back(std::move(s));
     }
   }
   Socket listener;
-  std::vector<Socket> knocking;
+  std::vector<Socket> pending_connects;
 };
 
-// Discovery is down and no server answers or refuses: restarted processes pass their test by the saved list.
-void twenty_restarts_are_ready_though_nothing_can_be_reached() {
-  const Unreachable server;
-  const Socket discovery = refusing();
-  std::vector<Socket> held;  // until all are chosen: no two are the same
-  for (int i = 0; i < 20; ++i) held.push_back(refusing());
+// With discovery down and an unresponsive server, restarted processes become ready from the cached endpoint
+// list.
+void twenty_restarts_become_ready_without_reachable_peers() {
+  const UnresponsiveListener server;
+  const Socket discovery = refusing_socket();
+  std::vector<Socket> held;  // keeps each port taken until all are chosen
+  for (int i = 0; i < 20; ++i) held.push_back(refusing_socket());
   std::vector<int> ports;
   for (const Socket& s : held) ports.push_back(s.port());
   held.clear();
@@ -53,7 +54,7 @@
   }
   for (const int port : ports) {
     Socket caller = Socket::connected(port);
-    do {  // not ready at first: asked again until the test's patience ends
+    do {  // not ready at first: asked again until Socket::line times out
       caller.send(kPingLine);
     } while (json::parse(caller.line())["cause"] != 1);
   }
@@ -65,16 +66,16 @@
   }
 }
 
-// A set-up that nobody answers is answered by the program before it ends, though its caller would wait for
-// longer; a second SIGTERM hurries nothing.
-void a_request_open_at_the_stop_is_answered_before_the_end() {
+// The program rejects an unanswered request before it exits, although the caller would wait longer; a second
+// SIGTERM changes nothing.
+void request_open_at_sigterm_is_answered_before_exit() {
   World world;
   world.caller.send(set_up("00000000000000aa", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
   world.program->signal(SIGTERM);
   world.program->wait_for_log("was asked to stop");
   world.program->signal(SIGTERM);
-  Socket late = Socket::connected(world.port);  // connections still come
+  Socket late = Socket::connected(world.port);  // new connections are still accepted
   late.send(set_up("00000000000000bb", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
   for (Socket* caller : {&world.caller, &late}) {
@@ -86,11 +87,11 @@
   CHECK_EQ(world.program->exit_status(), 0);
 }
 
-// Idle callers take all that callers may have, and more stand at the door. A caller with a request, the
-// journal service once it is back, the server and the operators get theirs all the same.
+// Idle callers use up the callers' share of descriptors, and more wait to be accepted. A caller with a
+// request, the discovery service once it is back, the server and the operators still get descriptors.
 void idle_callers_leave_descriptors_for_all_others() {
   const Socket server_listener = Socket::bound(SOCK_STREAM);
-  const Socket discovery = refusing();
+  const Socket discovery = refusing_socket();
   const int port = free_port();
   const int management = free_port();
   constexpr int kSockets = 128;
@@ -113,20 +114,20 @@
   Socket operators = Socket::connected(management);
   operators.send("readyz\n");
   CHECK(operators.line().starts_with("OK"));
-  CHECK(::listen(discovery.descriptor(), 16) == 0);  // it is back
-  Socket feed = discovery.accept();
-  CHECK(feed.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
+  CHECK(::listen(discovery.descriptor(), 16) == 0);  // discovery is back
+  Socket watch = discovery.accept();
+  CHECK(watch.until("\r\n\r\n").find("Last-Event-ID: 3\r\n") != std::string::npos);
   program.signal(SIGUSR1);
   program.wait_for_log("net.timers ");
   CHECK(program.log().find("net.held_at_the_door 0\n") == std::string::npos);
   CHECK(program.log().find("net.no_descriptor 0\n") != std::string::npos);
 }
 
-// The signals are pending as the program begins: nothing is lost, and it ends as asked instead of being
-// killed.
-void signals_while_it_starts_are_kept() {
-  const Socket discovery = refusing();
-  const Socket server = refusing();
+// Signals that are pending when the program starts are handled: SIGHUP is not lost, and SIGTERM ends the
+// program with status 0 instead of killing it.
+void signals_during_startup_are_handled() {
+  const Socket discovery = refusing_socket();
+  const Socket server = refusing_socket();
   const json config = config_for(free_port(), server.port(), discovery.port());
   for (const int number : {SIGHUP, SIGTERM}) {
     Program program(binary, config.dump(), {}, -1, [number] {
@@ -144,16 +145,17 @@
   }
 }
 
-// Its end is seen though it has left much to read, in whole lines and half a one, and though others talk.
-void a_caller_that_closes_is_called_off() {
+// A caller's close is noticed despite unread input, complete lines and a partial one, and input of other
+// callers.
+void requests_of_a_closed_caller_are_cancelled() {
   World world;
   std::vector<Socket> others;
   for (int i = 0; i < 20; ++i) others.push_back(Socket::connected(world.port));
   world.caller.send(set_up("00000000000000aa", 9000));
   CHECK_EQ(world.from_server().method, "INVITE");
-  std::string much;
-  while (much.size() < 40'000) much += kPingLine;
-  for (const Socket& other : others) other.send(much);
+  std::string pings;
+  while (pings.size() < 40'000) pings += kPingLine;
+  for (const Socket& other : others) other.send(pings);
   world.caller.send(set_up("00000000000000bb", 9000) + "{\"type\":");
   const sip::Message second = world.from_server();
   CHECK_EQ(second.header("Call-ID"), "00000000000000bb");
@@ -162,45 +164,46 @@
   CHECK_EQ(world.from_server().method, "CANCEL");
 }
 
-// The program's counter, as told last.
+// The program's counter in its last output.
 std::uint64_t counter(const Program& program, const std::string& name) {
   const std::string log = program.log();
   const std::size_t at = log.rfind("\n" + name + " ");
   CHECK(at != std::string::npos);
   return std::strtoull(log.c_str() + at + name.size() + 2, nullptr, 10);
 }
-// Has the counters told once more.
-void tell_counters(const Program& program) {
+// Has the program print its counters, and waits for them.
+void print_counters(const Program& program) {
   const std::string last = "net.timers_over_5ms_late ";
-  const auto told = [&] {
+  const auto count_prints = [&] {
     std::size_t count = 0;
     const std::string log = program.log();
     for (std::size_t at = log.find(last); at != std::string::npos; at = log.find(last, at + 1)) ++count;
     return count;
   };
-  const std::size_t before = told();
+  const std::size_t before = count_prints();
   program.signal(SIGUSR1);
   const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
-  while (told() == before) {
+  while (count_prints() == before) {
     CHECK(std::chrono::steady_clock::now() < end);
     ::poll(nullptr, 0, 5);
   }
 }
 
-// A caller that sends set-ups and never reads its answers. Guards: what is held for it is bounded, others are
-// served all the while, and it is closed though whole lines of it are still unread. Such a caller was held
-// back for ever: idle callers are closed only where nothing of theirs is unread. A test that sent to it and
-// waited hung with it, so nothing is waited for in sending here.
-void a_caller_that_never_reads_is_closed() {
+// A caller that sends setups and never reads its answers: output kept for it is bounded, other callers are
+// served meanwhile, and it is closed although complete lines of it are unread. Without the check of unread
+// output its connection stayed open forever, since idle callers are closed only without unread input. Sends
+// to this caller do not block, because the test would hang.
+void caller_that_never_reads_is_closed() {
   World world;
-  Socket deaf(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  const int little = 4096;
-  ::setsockopt(deaf.descriptor(), SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
+  Socket non_reader(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+  const int receive_buffer_bytes = 4096;
+  ::setsockopt(non_reader.descriptor(), SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes,
+               sizeof receive_buffer_bytes);
   const sockaddr_in address = loopback(world.port);
-  ::connect(deaf.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  pollfd up{deaf.descriptor(), POLLOUT, 0};
+  ::connect(non_reader.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  pollfd up{non_reader.descriptor(), POLLOUT, 0};
   CHECK_EQ(::poll(&up, 1, kPatienceMs), 1);
-  // Each is answered at once: its class is unknown.
+  // Each is rejected at once: its class is unknown.
   const auto refused_line = [](int number) {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", number);
@@ -210,13 +213,13 @@
     return line + "\n";
   };
   int calls = 0;
-  const auto others_are_served = [&] {
+  const auto check_others_are_served = [&] {
     char id[17];
     std::snprintf(id, sizeof id, "%016x", 0xaa0000 + ++calls);
     world.caller.send(set_up(id, 9000));
     const sip::Message invite = world.from_server();
     CHECK_EQ(invite.method, "INVITE");
-    world.answer(invite, "486 Busy Here");  // nothing stands: the server's silence means nothing
+    world.answer(invite, "486 Busy Here");  // no call is established: the server's silence has no effect
     const json end = json::parse(world.caller.line());
     CHECK_EQ(end["id"], id);
     CHECK_EQ(end["type"], "release");
@@ -224,31 +227,31 @@
   };
   world.caller.send(refused_line(1));
   const std::size_t answer = world.caller.line().size();
-  // What is sent between two answers to the other caller is one read: no line is cut by it.
+  // The lines sent between two answers to the other caller are one read: no line is split.
   bool full = false;
   int sent = 1;
   while (!full) {
     for (int i = 0; i < 32 && !full; ++i) {
       const std::string line = refused_line(++sent);
-      full = ::send(deaf.descriptor(), line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT) !=
+      full = ::send(non_reader.descriptor(), line.data(), line.size(), MSG_NOSIGNAL | MSG_DONTWAIT) !=
              static_cast<ssize_t>(line.size());
     }
     CHECK(sent < 1'000'000);
     world.caller.send(kPingLine);
     CHECK_EQ(json::parse(world.caller.line())["type"], "pong");
   }
-  others_are_served();
-  tell_counters(*world.program);
+  check_others_are_served();
+  print_counters(*world.program);
   const std::uint64_t answered = counter(*world.program, "platform.malformed");
-  const std::uint64_t made = answered * answer;
+  const std::uint64_t answer_bytes = answered * answer;
   const std::uint64_t written = counter(*world.program, "net.bytes_out");
-  CHECK(answered < static_cast<std::uint64_t>(sent));  // not all was read
-  CHECK(made < written + 512 * 1024);
-  others_are_served();
-  tell_counters(*world.program);
-  CHECK_EQ(counter(*world.program, "platform.malformed"), answered);  // held back
-  pollfd gone{deaf.descriptor(), 0, 0};
-  // The other caller speaks all the while: one that is idle for 15 s is closed, and the wait may be longer.
+  CHECK(answered < static_cast<std::uint64_t>(sent));  // not all lines were read
+  CHECK(answer_bytes < written + 512 * 1024);
+  check_others_are_served();
+  print_counters(*world.program);
+  CHECK_EQ(counter(*world.program, "platform.malformed"), answered);  // reading is paused
+  pollfd gone{non_reader.descriptor(), 0, 0};
+  // The other caller keeps sending: it would be closed after 15 s idle, and the wait may be longer.
   const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(3 * kPatienceMs);
   while (::poll(&gone, 1, 1000) == 0) {
     CHECK(std::chrono::steady_clock::now() < end);
@@ -256,8 +259,8 @@
     CHECK_EQ(json::parse(world.caller.line())["type"], "pong");
   }
   CHECK((gone.revents & (POLLERR | POLLHUP)) != 0);
-  others_are_served();
-  tell_counters(*world.program);
+  check_others_are_served();
+  print_counters(*world.program);
   CHECK_EQ(counter(*world.program, "net.overflowed"), 1U);
 }
 
@@ -265,10 +268,10 @@
 
 int main(int, char** argv) {
   binary = argv[1];
-  twenty_restarts_are_ready_though_nothing_can_be_reached();
-  a_request_open_at_the_stop_is_answered_before_the_end();
+  twenty_restarts_become_ready_without_reachable_peers();
+  request_open_at_sigterm_is_answered_before_exit();
   idle_callers_leave_descriptors_for_all_others();
-  signals_while_it_starts_are_kept();
-  a_caller_that_closes_is_called_off();
-  a_caller_that_never_reads_is_closed();
+  signals_during_startup_are_handled();
+  requests_of_a_closed_caller_are_cancelled();
+  caller_that_never_reads_is_closed();
 }
--- a/tests/golden.h
+++ b/tests/golden.h
@@ -1,5 +1,5 @@
-// Recorded output, byte for byte: whatever leaves the process or outlives it is compared with a file under
-// tests/golden, which is written anew only by hand, with GRANITERUN_WRITE_GOLDEN=1 in the environment.
+// Golden tests: sent and stored data is compared byte for byte with files under tests/golden. The files are
+// rewritten only on purpose, with GRANITERUN_WRITE_GOLDEN=1 in the environment.
 #pragma once
 
 #include <cstdlib>
@@ -24,7 +24,7 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// Compares `actual` with tests/golden/`name`, and names the first line that differs.
+// Compares `actual` with tests/golden/`name`; prints the first line that differs and aborts.
 inline void check_golden(const std::string& name, const std::string& actual) {
   const std::string path = std::string(SOURCE_DIR) + "/tests/golden/" + name;
   if (std::getenv("GRANITERUN_WRITE_GOLDEN") != nullptr) {
@@ -48,13 +48,13 @@
   std::abort();
 }
 
-// All that leaves a reducer, as text: what it sends, prints, writes, listens on and connects to. Log lines
-// and timers are free to change and left out.
+// Text form of a reducer's effects: what it sends, prints, writes, listens on and connects to. Log lines and
+// timers may change and are left out.
 class Transcript {
  public:
   void title(const std::string& text) { text_ += "# " + text + "\n"; }
   void add(const net::Effects& effects) {
-    for (const net::Effect& effect : effects) std::visit([this](const auto& e) { note_effect(e); }, effect);
+    for (const net::Effect& effect : effects) std::visit([this](const auto& e) { record(e); }, effect);
   }
   const std::string& text() const { return text_; }
 
@@ -62,8 +62,8 @@
   static std::string name_of(net::ConnId conn) {
     return std::to_string(static_cast<int>(conn.concern)) + "/" + std::to_string(conn.number);
   }
-  // Printable bytes as they are, the rest as \xNN; a line feed also ends the line.
-  static std::string shown(const std::string& bytes) {
+  // Printable bytes unchanged, others as \xNN; a line feed also starts a new line.
+  static std::string escape(const std::string& bytes) {
     std::string text;
     for (const char c : bytes) {
       const auto byte = static_cast<unsigned char>(c);
@@ -81,29 +81,27 @@
     return text;
   }
   template <class Other>
-  void note_effect(const Other&) {}
-  void note_effect(const net::Send& e) { text_ += "send " + name_of(e.conn) + " " + shown(e.bytes) + "\n"; }
-  void note_effect(const net::WithdrawSend& e) {
-    text_ += "withdraw or send " + name_of(e.conn) + " " + shown(e.fallback) + "\n";
+  void record(const Other&) {}
+  void record(const net::Send& e) { text_ += "send " + name_of(e.conn) + " " + escape(e.bytes) + "\n"; }
+  void record(const net::WithdrawSend& e) {
+    text_ += "withdraw or send " + name_of(e.conn) + " " + escape(e.fallback) + "\n";
   }
-  void note_effect(const net::SendDatagram& e) {
-    text_ += "datagram " + e.peer + " " + shown(e.bytes) + "\n";
+  void record(const net::SendDatagram& e) { text_ += "datagram " + e.peer + " " + escape(e.bytes) + "\n"; }
+  void record(const net::Print& e) {
+    text_ += std::string("print ") + (e.answer ? "to stdout " : "") + escape(e.text) + "\n";
   }
-  void note_effect(const net::Print& e) {
-    text_ += std::string("print ") + (e.answer ? "to stdout " : "") + shown(e.text) + "\n";
-  }
-  void note_effect(const net::WriteFile& e) { text_ += "write " + e.path + " " + shown(e.text) + "\n"; }
-  void note_effect(const net::ReadFile& e) { text_ += "read " + e.path + "\n"; }
-  void note_effect(const net::Listen& e) { text_ += "listen " + e.address + "\n"; }
-  void note_effect(const net::Bind& e) { text_ += "bind " + e.address + "\n"; }
-  void note_effect(const net::Connect& e) { text_ += "connect " + name_of(e.conn) + " " + e.address + "\n"; }
-  void note_effect(const net::Close& e) { text_ += "close " + name_of(e.conn) + "\n"; }
-  void note_effect(const net::Exit& e) { text_ += "exit " + std::to_string(e.status) + "\n"; }
+  void record(const net::WriteFile& e) { text_ += "write " + e.path + " " + escape(e.text) + "\n"; }
+  void record(const net::ReadFile& e) { text_ += "read " + e.path + "\n"; }
+  void record(const net::Listen& e) { text_ += "listen " + e.address + "\n"; }
+  void record(const net::Bind& e) { text_ += "bind " + e.address + "\n"; }
+  void record(const net::Connect& e) { text_ += "connect " + name_of(e.conn) + " " + e.address + "\n"; }
+  void record(const net::Close& e) { text_ += "close " + name_of(e.conn) + "\n"; }
+  void record(const net::Exit& e) { text_ += "exit " + std::to_string(e.status) + "\n"; }
 
   std::string text_;
 };
 
-// A reducer under a clock of the test's own, with a transcript of what leaves it.
+// Drives a reducer with a simulated clock and records its effects in a transcript.
 template <class Reducer>
 class Recorded {
  public:
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,6 +1,6 @@
-// Every form that leaves the process or outlives it, byte for byte, against recorded files: control lines,
-// configuration lines, datagrams among gatekeepers, files of the distributor and of the gaps' publisher, what
-// the command line prints and exits with, operators' figures, platform and SIP messages, the trunk, OTLP.
+// Byte-for-byte comparison of all sent and stored data with recorded files: control lines, configuration
+// lines, datagrams between gatekeepers, files of the distributor and the gap publisher, output and exit
+// status of the command line, operators' metrics, platform and SIP messages, the SIP trunk, OTLP.
 #include "golden.h"
 
 #include <nlohmann/json.hpp>
@@ -27,7 +27,7 @@
 const std::string kCallId = "9b1f03aa5c7e2d41";
 const std::string kOtherCallId = "9b1f03aa5c7e2d42";
 
-// ---- lines of the distribution of configuration
+// ---- lines of configuration distribution
 
 distribution::Key configuration_key() {
   distribution::Key key{};
@@ -84,7 +84,7 @@
   check_golden("configuration_lines.txt", text);
 }
 
-// ---- datagrams among gatekeepers
+// ---- datagrams between gatekeepers
 
 const fleet::Key kFleetKey = *fleet::key_in(std::string(64, 'a') + "\n");
 
@@ -238,7 +238,7 @@
   check_golden("control_lines.txt", run.transcript.text());
 }
 
-// Calls against a gap, hot numbers, and the figures that operators are given of all this.
+// Calls that a gap limits, hot numbers, and the operators' metrics of both.
 void figures_and_counters() {
   Gatekeeper gatekeeper(gatekeeper_config(), deploy_with_everything(), {});
   Recorded<Gatekeeper> run(gatekeeper);
@@ -422,7 +422,7 @@
   check_golden("otlp_export.txt", run.transcript.text());
 }
 
-// ---- the publisher of gaps
+// ---- the gap publisher
 
 const std::string kStoredGaps = std::string(SOURCE_DIR) + "/tests/data/stored_by_342e4bc/gaps";
 
@@ -473,7 +473,7 @@
   check_golden("../data/stored_by_342e4bc/gaps_written_again", run.files.at("gaps"));
 }
 
-// ---- the command line's two halves, fed with recorded answers
+// ---- the clients of the command line, fed with recorded answers
 
 template <class Client>
 std::string session(Client client, const std::vector<std::vector<json>>& answers, Duration span = 4s) {
@@ -492,7 +492,7 @@
   return run.transcript.text();
 }
 
-// Each session in both forms: for people and for programs.
+// Output of one session in both formats: text and JSON.
 template <class Settings, class MakeClient>
 std::string both_forms(const std::string& title, Settings settings, MakeClient make_client,
                        const std::vector<std::vector<json>>& answers) {
@@ -740,7 +740,7 @@
   check_golden("distributor_lines.txt", run.transcript.text());
 }
 
-// What 342e4bc wrote is read, and what is published beside it is written in the same form.
+// Files that revision 342e4bc wrote are read, and new versions are written in the same format.
 void distributor_files_of_an_earlier_version() {
   ConfigDistributor distributor(distributor_settings({"127.0.0.1:7801"}));
   Recorded<ConfigDistributor> run(distributor, Time(1'700'000'100'000ms));
--- a/tests/lab.h
+++ b/tests/lab.h
@@ -1,4 +1,5 @@
-// The whole reducer under a clock of the test's own: events in, effects kept, no sockets and no waiting.
+// The gatekeeper's reducer driven by a test: simulated clock and timers, recorded effects, no sockets, no
+// waiting.
 #pragma once
 
 #include <map>
@@ -59,7 +60,7 @@
   return c;
 }
 
-// A caller's set-up, as a line.
+// The line of a caller's setup.
 inline std::string set_up_line(const std::string& id, const std::string& call_class = "voice",
                                int left = 3000, int dest = 0, const std::string& sdp = "x") {
   return R"({"type":"setup","id":")" + id + R"(","fields":{"class":")" + call_class + R"(","left":")" +
@@ -80,7 +81,7 @@
     for (const net::Effect& effect : effects) {
       if (const auto* e = std::get_if<net::Connect>(&effect)) connects.push_back(*e);
       if (const auto* e = std::get_if<net::Send>(&effect)) sent[e->conn] += e->bytes;
-      if (const auto* e = std::get_if<net::WithdrawSend>(&effect)) {  // as the runtime does it
+      if (const auto* e = std::get_if<net::WithdrawSend>(&effect)) {  // like the runtime
         if (unwritten.contains(e->conn)) {
           recalled.push_back({e->conn, e->ticket});
         } else if (!e->fallback.empty()) {
@@ -110,7 +111,7 @@
     }
     if (watch) watch();
     for (const net::WriteWithdrawn& e : std::exchange(recalled, {})) tell(e);
-    for (const ConnId conn : std::exchange(quiet, {})) {  // as the runtime does it
+    for (const ConnId conn : std::exchange(quiet, {})) {  // like the runtime
       closed.push_back(conn);
       tell(net::Closed{conn, false});
     }
@@ -120,7 +121,7 @@
     const std::string all = unread[conn];
     tell(net::Received{conn, all});
   }
-  // Lets time pass, timers on the way.
+  // Advances the clock by `span` and fires the timers that are due.
   void pass(Duration span) {
     const Time end = now + span;
     while (!timers.empty() && timers.top().at <= end) {
@@ -131,7 +132,7 @@
     }
     now = end;
   }
-  // All connections asked for come up; returns those to `address`.
+  // Completes all requested connects; returns the connections to `address`.
   std::vector<ConnId> bring_up(const std::string& address = {}) {
     std::vector<ConnId> up;
     for (const net::Connect& c : std::exchange(connects, {})) {
@@ -140,13 +141,13 @@
     }
     return up;
   }
-  // An operator's connection of its own.
+  // Opens a new management connection.
   ConnId open_management() {
     const ConnId conn{Concern::management, ++last_management};
     tell(net::Accepted{conn});
     return conn;
   }
-  // A figure of `telemetry`, as in 812|c.
+  // The value and type of a metric of `telemetry`, for instance 812|c; "none" if it is absent.
   std::string figure(const std::string& name) {
     const ConnId conn = open_management();
     receive(conn, "telemetry\n");
@@ -157,7 +158,7 @@
     return text.substr(at + start.size(), text.find('\n', at + 1) - at - start.size());
   }
   std::string take(ConnId conn) { return std::exchange(sent[conn], {}); }
-  // The SIP messages sent on a connection since the last look.
+  // The SIP messages sent on a connection since the last call.
   std::vector<sip::Message> messages(ConnId conn) {
     std::vector<sip::Message> all;
     const std::string bytes = take(conn);
@@ -190,16 +191,16 @@
   std::vector<net::Bind> binds;
   int unbinds = 0;
   std::vector<ConnId> closed;
-  std::size_t closed_unread = 0;              // of those, callers', without a look whether something has come
-  std::vector<ConnId> dropped;                // of those, at once
-  std::vector<ConnId> quiet;                  // to be closed if nothing unread has come
-  std::vector<net::WriteWithdrawn> recalled;  // to be told
-  std::set<ConnId> unwritten;  // nothing that was sent there is written yet: recalls are in time
-  bool quiet_at_exit = true;   // nothing is left to write or to read
+  std::size_t closed_unread = 0;              // of `closed`: callers closed without a check for unread input
+  std::vector<ConnId> dropped;                // of `closed`: dropped without writing pending output
+  std::vector<ConnId> quiet;                  // CloseIfIdle effects of the current step
+  std::vector<net::WriteWithdrawn> recalled;  // withdrawals to confirm after the step
+  std::set<ConnId> unwritten;                 // output there counts as unwritten: withdrawals succeed
+  bool quiet_at_exit = true;                  // ExitIfIdle finds no unwritten output and no unread input
   std::vector<net::Listen> listens;
   std::vector<Concern> stopped_listening;
   std::optional<int> exit_status;
-  std::string log;              // its lines
+  std::string log;              // all log lines
   std::function<void()> watch;  // called after each event
 
  private:
@@ -216,7 +217,7 @@
   std::uint64_t order = 0;
 };
 
-// A server's answer to the last request of that method.
+// A server's response to a request, with additional headers in `more`.
 inline std::string server_answer(const sip::Message& request, int status, const std::string& body = {},
                                  const std::string& more = {}) {
   return "SIP/2.0 " + std::to_string(status) + " x\r\nCall-ID: " + std::string(request.header("Call-ID")) +
--- a/tests/otlp_test.cpp
+++ b/tests/otlp_test.cpp
@@ -1,4 +1,4 @@
-// The exporter with a collector that fails: bounded, and no call waits for it.
+// The OTLP exporter with a failing collector: retries, and bounded queues.
 #include <nlohmann/json.hpp>
 
 #include "lab.h"
@@ -51,7 +51,7 @@
   otlp::Exporter exporter;
 };
 
-void what_can_be_tried_again_is() {
+void retryable_posts_are_sent_again() {
   ExporterLab lab;
   lab.request();
   lab.export_now();
@@ -67,11 +67,11 @@
   lab.answer(conn, "200 OK");
   CHECK_EQ(lab.counters.of("otlp.spans"), 1U);
   CHECK(lab.sent().starts_with("POST /v1/metrics "));
-  lab.answer(conn, "400 Bad Request");  // not to be tried again
+  lab.answer(conn, "400 Bad Request");  // not retryable
   CHECK_EQ(lab.counters.of("otlp.posts_dropped"), 1U);
 }
 
-void gauges_are_told_with_their_attributes() {
+void gauges_are_exported_with_their_attributes() {
   ExporterLab lab;
   lab.gauges = {{"gaps.hot_number", "{call}/s", 41.5, {{"number", "4711"}}},
                 {"gaps.hot_number", "{call}/s", 22.0, {{"number", "4712"}}}};
@@ -88,7 +88,7 @@
   CHECK_EQ(metrics[1]["gauge"]["dataPoints"].size(), otlp::kMaxGauges - 2);  // bounded
 }
 
-void a_silent_collector_costs_bounded_memory() {
+void unresponsive_collector_uses_bounded_memory() {
   ExporterLab lab;
   for (int i = 0; i < 5000; ++i) lab.request();
   CHECK_EQ(lab.counters.of("otlp.spans_dropped"), 5000U - 2048U);
@@ -105,7 +105,7 @@
 }  // namespace
 
 int main() {
-  what_can_be_tried_again_is();
-  gauges_are_told_with_their_attributes();
-  a_silent_collector_costs_bounded_memory();
+  retryable_posts_are_sent_again();
+  gauges_are_exported_with_their_attributes();
+  unresponsive_collector_uses_bounded_memory();
 }
--- a/tests/ready.h
+++ b/tests/ready.h
@@ -1,4 +1,4 @@
-// A lab with one caller whose servers are all up.
+// Fixture with one caller and connected setup servers.
 #pragma once
 
 #include "lab.h"
@@ -12,7 +12,7 @@
   return set_up_line(id, "voice", left, dest, "offer");
 }
 
-// A lab with one caller and both servers up.
+// A lab with one caller and all servers connected.
 struct Ready : Lab {
   explicit Ready(int servers = 2) : Lab(config_for_tests(servers)) {
     CHECK_EQ(connects.size(), static_cast<std::size_t>(servers));
@@ -32,14 +32,14 @@
     CHECK_EQ(all.size(), 1U);
     return all[0];
   }
-  // The caller's call kId stands on that connection, and nothing of it is left to be read.
+  // Establishes the caller's call kId on that server connection and discards the messages that were sent.
   void stand(ConnId conn) {
     receive(kCaller, set_up());
     receive(conn, server_answer(invite(conn), 200, "a"));
     messages(conn);
     lines(kCaller);
   }
-  // A release of kId that comes there is told to its caller.
+  // Checks that a BYE for kId on that connection is forwarded to its caller.
   void release_is_told_on(ConnId conn) {
     lines(kCaller);
     receive(conn, server_bye(kId, 16));
--- a/tests/retune_test.cpp
+++ b/tests/retune_test.cpp
@@ -1,4 +1,5 @@
-// Reloads: what is turned down, that nothing of it is taken, and what becomes of calls whose class changes.
+// Reloads of the configuration file: invalid files are rejected without any effect, and open calls survive
+// changes of their class.
 #include <random>
 
 #include "core/classes.h"
@@ -22,8 +23,8 @@
   return f;
 }
 
-struct Reload : Lab {
-  Reload() : Lab(read_platform_config(file_with_two_servers().dump())) {
+struct ReloadLab : Lab {
+  ReloadLab() : Lab(read_platform_config(file_with_two_servers().dump())) {
     bring_up();
     tell(net::Accepted{kCaller});
   }
@@ -36,12 +37,12 @@
     CHECK(text != "none");
     return std::stoull(text);
   }
-  // What a set-up of the class is answered with at once; empty: it was sent on.
+  // Sends a setup of the class; returns the immediate answer, or nothing if it was forwarded.
   std::vector<jsonl::Message> call(const std::string& id, const std::string& call_class) {
     receive(kCaller, set_up_line(id, call_class));
     return lines(kCaller);
   }
-  sip::Message sent_on() {  // the last INVITE, wherever it went
+  sip::Message last_invite() {  // the last INVITE sent to either server
     std::optional<sip::Message> found;
     for (std::uint32_t n = 1; n <= 2; ++n) {
       const ConnId conn{Concern::server, n};
@@ -58,58 +59,58 @@
   ConnId server{};
 };
 
-void what_is_broken_is_turned_down_whole() {
-  Reload lab;
+void invalid_files_are_rejected_completely() {
+  ReloadLab lab;
   json other = with_class(file_with_two_servers(), "extra");
   other["journal"] = "127.0.0.1:8600";
   const std::string good = other.dump();
-  std::vector<std::string> broken = {"", "  \n", "{}", "[]", "null", "\xff\xfe"};
-  std::mt19937 draw(3);  // cut anywhere: a sample of places, and both ends
-  for (std::size_t at : {std::size_t{1}, good.size() - 1}) broken.push_back(good.substr(0, at));
-  for (int i = 0; i < 60; ++i) broken.push_back(good.substr(0, 1 + draw() % (good.size() - 1)));
+  std::vector<std::string> invalid = {"", "  \n", "{}", "[]", "null", "\xff\xfe"};
+  std::mt19937 draw(3);  // truncated at both ends and at random places
+  for (std::size_t at : {std::size_t{1}, good.size() - 1}) invalid.push_back(good.substr(0, at));
+  for (int i = 0; i < 60; ++i) invalid.push_back(good.substr(0, 1 + draw() % (good.size() - 1)));
   for (const char* key : {"name", "listen", "seed", "limits", "journal", "management", "known", "settings"}) {
     json f = other;
     f.erase(key);
-    broken.push_back(f.dump());
+    invalid.push_back(f.dump());
   }
   for (const auto& [key, value] : other["settings"].items()) {
     json f = other;
     f["settings"].erase(key);
-    broken.push_back(f.dump());
+    invalid.push_back(f.dump());
   }
   for (const auto& [key, value] : other["settings"]["classes"][2].items()) {
     json f = other;
     f["settings"]["classes"][2].erase(key);
-    broken.push_back(f.dump());
+    invalid.push_back(f.dump());
   }
   for (const json& bad : {json(0), json(-5), json("3000000000"), json(nullptr), json(1e300), json(true),
                           json::array(), json("NaN")}) {
     json f = other;
     f["settings"]["classes"][0]["hardLimitNs"] = bad;
-    broken.push_back(f.dump());
+    invalid.push_back(f.dump());
     f = other;
     f["settings"]["limits"]["maxAttempts"] = bad;
-    broken.push_back(f.dump());
+    invalid.push_back(f.dump());
   }
   json f = other;
   f["settings"]["classes"][1]["name"] = "voice";  // twice
-  broken.push_back(f.dump());
+  invalid.push_back(f.dump());
   f = other;
   f["settings"]["familyInfo"]["poolsByClass"].erase(0);
-  broken.push_back(f.dump());
+  invalid.push_back(f.dump());
   f = other;
   f["journal"] = "127.0.0.1:0";
-  broken.push_back(f.dump());
+  invalid.push_back(f.dump());
 
-  std::uint64_t turned_down = 0;
-  for (const std::string& text : broken) {
+  std::uint64_t rejected = 0;
+  for (const std::string& text : invalid) {
     lab.connects.clear();
     lab.load(text);
-    CHECK_EQ(lab.count("config_rejected"), ++turned_down);
-    CHECK(lab.connects.empty());  // the journal service is where it was
+    CHECK_EQ(lab.count("config_rejected"), ++rejected);
+    CHECK(lab.connects.empty());  // the discovery address is unchanged
   }
   CHECK_EQ(lab.count("config_applied"), 0U);
-  CHECK_EQ(lab.call("00000000000000aa", "extra").size(), 1U);  // refused: there is no such class
+  CHECK_EQ(lab.call("00000000000000aa", "extra").size(), 1U);  // rejected: unknown class
   CHECK(lab.call("00000000000000ab", "voice").empty());
 
   lab.load(good);
@@ -118,7 +119,7 @@
   CHECK(lab.call("00000000000000ac", "extra").empty());
 }
 
-void a_number_may_be_written_as_one_likes() {
+void integers_may_be_written_as_floating_point() {
   json f = file_with_two_servers();
   f["settings"]["classes"][0]["hardLimitNs"] = 3e9;
   f["settings"]["limits"]["maxAttempts"] = 2.0;
@@ -127,29 +128,28 @@
   CHECK_EQ(c.settings.max_attempts, 2);
 }
 
-// The trouble is told with its place.
-void the_reason_is_one_plain_line() {
-  const auto trouble = [](const std::string& text) -> std::string {
+void error_text_is_one_line_with_position() {
+  const auto error_of = [](const std::string& text) -> std::string {
     try {
       read_platform_config(text);
-    } catch (const ConfigError& e) {
-      return e.what();
+    } catch (const ConfigError& error) {
+      return error.what();
     }
     return {};
   };
-  CHECK_EQ(trouble(""), "the configuration is empty");
-  CHECK(trouble("{\n\"name\": \"t0\",\n\"listen\"").find("line 3") != std::string::npos);
+  CHECK_EQ(error_of(""), "the configuration is empty");
+  CHECK(error_of("{\n\"name\": \"t0\",\n\"listen\"").find("line 3") != std::string::npos);
   json f = file_with_two_servers();
   f["settings"]["classes"][1]["hardLimitNs"] = "soon";
-  CHECK_EQ(trouble(f.dump()), "'class safety: hardLimitNs' is \"soon\", not a number above 0");
+  CHECK_EQ(error_of(f.dump()), "'class safety: hardLimitNs' is \"soon\", not a number above 0");
 }
 
-void open_calls_keep_class_and_attempts() {
-  Reload lab;
+void open_calls_keep_class_and_attempt_limit() {
+  ReloadLab lab;
   CHECK(lab.call("00000000000000aa", "voice").empty());
-  const sip::Message invite = lab.sent_on();
+  const sip::Message invite = lab.last_invite();
   const ConnId first_server = lab.server;
-  // 'voice' goes, 'safety' moves to its place with other terms, and a call may be tried once only.
+  // Removes 'voice', moves 'safety' to the first position with a changed objective, and allows one attempt.
   json f = file_with_two_servers();
   json& s = f["settings"];
   s["classes"].erase(0);
@@ -159,13 +159,13 @@
   s["limits"]["maxAttempts"] = 1;
   lab.load(f.dump());
   CHECK_EQ(lab.count("config_applied"), 1U);
-  CHECK_EQ(lab.call("00000000000000ab", "voice").size(), 1U);  // gone for new calls
+  CHECK_EQ(lab.call("00000000000000ab", "voice").size(), 1U);  // unknown for new calls
   CHECK(lab.call("00000000000000ac", "safety").empty());
-  const sip::Message safety = lab.sent_on();
+  const sip::Message safety = lab.last_invite();
 
-  // The call under way is tried again under its old class, the new one is not.
+  // The open call is retried under its old class and limit, the new one is not.
   lab.receive(first_server, server_answer(invite, 503, {}, "Warning-Word: cpu_full\r\n"));
-  const sip::Message again = lab.sent_on();
+  const sip::Message again = lab.last_invite();
   CHECK_EQ(std::string(again.header("Call-ID")), "00000000000000aa");
   CHECK_EQ(std::string(again.header("Priority-Class")), "voice");
   lab.receive(lab.server, server_answer(again, 200, "answer"));
@@ -174,11 +174,11 @@
     lab.receive(ConnId{Concern::server, n}, server_answer(safety, 503, {}, "Warning-Word: cpu_full\r\n"));
   lab.pass(2s);
   CHECK(lab.count("shed.safety") + lab.count("errors.safety") == 1U);
-  CHECK_EQ(lab.count("tries"), 0U);  // the runtime's, which has no part in this test
+  CHECK_EQ(lab.count("tries"), 0U);  // counted by the runtime, which this test does not use
 }
 
-void ten_reloads_in_a_second_the_last_one_broken() {
-  Reload lab;
+void ten_reloads_in_a_second_with_the_last_one_invalid() {
+  ReloadLab lab;
   for (int i = 0; i < 9; ++i) {
     lab.load(with_class(file_with_two_servers(), "c" + std::to_string(i)).dump());
     CHECK(lab.call("000000000000000" + std::to_string(i), "c" + std::to_string(i)).empty());
@@ -191,17 +191,17 @@
   CHECK_EQ(lab.call("00000000000000ab", "c7").size(), 1U);
 }
 
-// The table against a plain model: a class in force is at its place, one with open calls is left alone, and
-// places do not grow beyond what is held at once.
-void places_hold_for_random_steps() {
+// Random steps against a model: each active class is at its index, classes with open calls keep theirs, and
+// the table does not grow beyond the classes in use at once.
+void class_indexes_stay_valid_in_random_steps() {
   std::mt19937 draw(11);
   core::ClassTable table;
-  struct Open {
-    ClassIndex place;
+  struct OpenCall {
+    ClassIndex index;
     CallClass terms;
   };
-  std::vector<Open> open;
-  std::size_t widest = 0;
+  std::vector<OpenCall> open;
+  std::size_t max_indexes = 0;
   for (int step = 0; step < 3000; ++step) {
     std::vector<std::string> names;
     std::vector<CallClass> terms;
@@ -215,9 +215,9 @@
     if (names.empty()) continue;
     std::shuffle(terms.begin(), terms.end(), draw);
     std::vector<bool> in_use;
-    for (const Open& o : open) {
-      if (in_use.size() <= o.place) in_use.resize(o.place + 1);
-      in_use[o.place] = true;
+    for (const OpenCall& open_call : open) {
+      if (in_use.size() <= open_call.index) in_use.resize(open_call.index + 1);
+      in_use[open_call.index] = true;
     }
     const core::ClassTable before = table;
     const auto after = core::assign_places(table, names, terms, in_use);
@@ -232,18 +232,18 @@
       const core::NamedClass* old = before.classes->find(names[i]);
       if (old != nullptr && old->terms == terms[i]) CHECK_EQ(old->place, c->place);
     }
-    for (const Open& o : open) CHECK(table.places.at(o.place) == o.terms);
+    for (const OpenCall& open_call : open) CHECK(table.places.at(open_call.index) == open_call.terms);
     if (!open.empty() && draw() % 2 == 0) open.erase(open.begin());
     if (open.size() < 4) {
       const core::NamedClass& c = table.classes->named[draw() % table.classes->named.size()];
       open.push_back({c.place, c.terms});
     }
-    widest = std::max(widest, table.places.size());
+    max_indexes = std::max(max_indexes, table.places.size());
   }
-  CHECK(widest <= 6 + 4 + 1);
+  CHECK(max_indexes <= 6 + 4 + 1);
 }
 
-void open_calls_of_too_many_classes_turn_a_file_down() {
+void file_is_rejected_if_open_calls_use_too_many_classes() {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < core::ClassTable::kMaxClasses; ++i) names.push_back(std::to_string(i));
   const std::vector<CallClass> terms(names.size());
@@ -256,11 +256,11 @@
 }  // namespace
 
 int main() {
-  what_is_broken_is_turned_down_whole();
-  a_number_may_be_written_as_one_likes();
-  the_reason_is_one_plain_line();
-  open_calls_keep_class_and_attempts();
-  ten_reloads_in_a_second_the_last_one_broken();
-  places_hold_for_random_steps();
-  open_calls_of_too_many_classes_turn_a_file_down();
+  invalid_files_are_rejected_completely();
+  integers_may_be_written_as_floating_point();
+  error_text_is_one_line_with_position();
+  open_calls_keep_class_and_attempt_limit();
+  ten_reloads_in_a_second_with_the_last_one_invalid();
+  class_indexes_stay_valid_in_random_steps();
+  file_is_rejected_if_open_calls_use_too_many_classes();
 }
--- a/tests/settings.h
+++ b/tests/settings.h
@@ -1,4 +1,4 @@
-// The settings of a configuration, as the platform tells them.
+// The settings of a configuration file, in the platform's format.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -52,7 +52,7 @@
           {"roundNs", 5000000}};
 }
 
-// A gatekeeper's whole configuration file: two setup servers in its list, a journal service, management.
+// A complete configuration file: two setup servers, a discovery service and a management listener.
 inline nlohmann::json file_with_two_servers() {
   const auto target = [](int i) {
     return nlohmann::json{{"uid", "s" + std::to_string(i)},
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -1,5 +1,5 @@
-// Stand-ins for the other sides of the program, over loopback: the real program is started and spoken to.
-// Every wait ends with what is waited for, or with the test.
+// Test peers over loopback, and the real program as a child process. Every wait ends with the awaited event
+// or fails the test after kPatienceMs.
 #pragma once
 
 #include <arpa/inet.h>
@@ -32,7 +32,7 @@
   return address;
 }
 
-// A socket that belongs to the test, and what has been read from it.
+// A socket of the test, with a buffer of what was read from it.
 class Socket {
  public:
   explicit Socket(int fd = -1) : fd_(fd) {}
@@ -45,14 +45,14 @@
   ~Socket() {
     if (fd_ >= 0) ::close(fd_);
   }
-  static Socket bound(int type) {  // to a port that nobody has
+  static Socket bound(int type) {  // to a free port; a stream socket listens
     Socket s(::socket(AF_INET, type | SOCK_CLOEXEC, 0));
     sockaddr_in address = loopback(0);
     CHECK(::bind(s.fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0);
     if (type == SOCK_STREAM) CHECK(::listen(s.fd_, 16) == 0);
     return s;
   }
-  // Tried until the other side listens.
+  // Connects, retrying until the peer listens.
   static Socket connected(int port) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
     while (true) {
@@ -82,7 +82,7 @@
     CHECK(::sendto(fd_, text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&address),
                    sizeof address) > 0);
   }
-  // Reads up to and with `mark`, and `more` bytes after it.
+  // Reads up to and including `mark`, and `more` bytes after it.
   std::string until(const std::string& mark, std::size_t more = 0) {
     while (true) {
       const std::size_t at = buffer_.find(mark);
@@ -102,7 +102,7 @@
     CHECK(got > 0);
     return std::string(buffer, static_cast<std::size_t>(got));
   }
-  // A head of SIP or HTTP and the body that its Content-Length names.
+  // Reads a SIP or HTTP message: its head, and the body of its Content-Length.
   std::string message() {
     std::string head = until("\r\n\r\n");
     const std::size_t at = head.find("Content-Length: ");
@@ -112,21 +112,21 @@
     buffer_.erase(0, static_cast<std::size_t>(length));
     return head;
   }
-  // So many bytes, waited for.
+  // Waits for and returns `count` bytes.
   std::string bytes(std::size_t count) {
     while (buffer_.size() < count) CHECK(read_some());
     std::string text = buffer_.substr(0, count);
     buffer_.erase(0, count);
     return text;
   }
-  // What is there now, up to so many bytes; nothing is waited for.
+  // Returns up to `most` available bytes without waiting; ignores the buffer.
   std::string some(std::size_t most) const {
     std::string text(most, '\0');
     const ssize_t got = ::recv(fd_, text.data(), text.size(), MSG_DONTWAIT);
     text.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
     return text;
   }
-  bool ends() {  // the other side has closed, and sent no more
+  bool ends() {  // waits for the peer's close; true if it sent nothing more
     while (read_some()) {
     }
     return buffer_.empty();
@@ -148,11 +148,11 @@
   std::string buffer_;
 };
 
-// The program, started with a configuration of the test's own. Its output is kept.
+// The program as a child process with the test's configuration. Its output goes to a log file.
 class Program {
  public:
-  // `inherited`: a listening socket that it gets as descriptor 7, as the platform does; none: -1. `in_child`
-  // is done in the new process before the program begins.
+  // `inherited`: a listening socket that it gets as descriptor 7, as from the platform; -1: none. `in_child`
+  // runs in the new process before exec.
   Program(const std::string& binary, const std::string& config, const std::string& deploy = {},
           int inherited = -1, const std::function<void()>& in_child = {}) {
     const std::string dir = std::string(::getenv("TMPDIR") ? ::getenv("TMPDIR") : "/tmp");
@@ -164,9 +164,9 @@
     pid_ = ::fork();
     CHECK(pid_ >= 0);
     if (pid_ != 0) return;
-    // A test that fails is ended by abort(), and one that is too long by a signal: no destructor runs then.
-    // The program went on for good, and whoever read the test's output to its end waited for as long.
-    if (main_thread) {  // the signal comes with the end of the thread that started it
+    // A failing test ends by abort(), and one over its time limit by a signal, without running destructors.
+    // The program then ran on, and a reader of the test's output waited for its end forever.
+    if (main_thread) {  // the signal is sent when the thread that forked ends
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       if (::getppid() != test) ::_exit(127);
     }
@@ -198,7 +198,7 @@
     for (const char* end : {".json", ".deploy", ".log"}) ::unlink((base_ + end).c_str());
   }
   void configure(const std::string& config) const { std::ofstream(base_ + ".json") << config; }
-  // Looked for until it is there: there is no event for it.
+  // Polls the log until it contains `text`.
   void wait_for_log(const std::string& text) const {
     const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
     while (log().find(text) == std::string::npos) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,5 @@
-// Two processes behind one listening socket: what the new one waits for, and how the old one ends.
+// Upgrade with two processes that share one listening socket: when the new one accepts callers, and how the
+// old one finishes its calls and exits.
 #include <nlohmann/json.hpp>
 
 #include "lab.h"
@@ -12,7 +13,7 @@
 constexpr ConnId kCaller{Concern::platform, 1};
 constexpr ConnId kOther{Concern::platform, 2};
 
-PlatformConfig inherited() {
+PlatformConfig config_with_inherited_socket() {
   PlatformConfig c = config_for_tests();
   c.inherited = 7;
   return c;
@@ -26,21 +27,21 @@
 const std::string kPing = R"({"type":"ping","id":"00000000000000ee","fields":{},"cause":0})"
                           "\n";
 
-// Callers taken before any server was reached would be told that the gatekeeper is not ready, though the old
-// process serves.
-void the_new_one_takes_callers_once_it_is_ready() {
-  Lab lab(inherited());
+// Callers accepted before any setup server is connected would get the answer that the gatekeeper is not
+// ready, although the old process still serves.
+void new_process_accepts_callers_once_it_is_ready() {
+  Lab lab(config_with_inherited_socket());
   CHECK(!listens_for_callers(lab));
   lab.bring_up();
   CHECK(listens_for_callers(lab));
   CHECK(lab.listens.back().inherited == 7);
-  Lab own;  // without the platform's socket it listens at once, as ever
+  Lab own;  // without an inherited socket it listens at once
   CHECK(listens_for_callers(own));
   CHECK(!own.listens.back().inherited);
 }
 
-void the_old_one_leaves_new_callers_and_closes_what_is_quiet() {
-  Lab lab(inherited());
+void old_process_accepts_no_callers_and_closes_idle_ones() {
+  Lab lab(config_with_inherited_socket());
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
@@ -51,7 +52,7 @@
   CHECK_EQ(lab.closed.size(), 1U);
   CHECK(lab.closed.front() == kOther);
 
-  // What comes on an open connection is served, and a test there is passed: the gatekeeper is ready.
+  // Requests on open connections are served, and a ping there is answered with ready.
   lab.receive(kCaller, kPing);
   CHECK_EQ(lab.lines(kCaller).back().cause.value_or(-1), 1);
   lab.receive(kCaller, set_up_line("00000000000000ab"));
@@ -62,7 +63,7 @@
   lab.pass(300ms);
   CHECK(lab.closed.back() == kCaller);
 
-  // Calls stand: it stays for their releases. With the last of them it ends.
+  // It runs until its established calls are released, and exits after the last one.
   lab.pass(2s);
   CHECK(!lab.exit_status);
   lab.receive(s0, server_bye("00000000000000aa", 16));
@@ -71,9 +72,9 @@
   CHECK(lab.exit_status == 0);
 }
 
-// Stopped before it was ready, it took callers from the socket later, in its last second.
-void one_that_is_stopped_before_it_is_ready_takes_nobody() {
-  Lab lab(inherited());
+// Guards against a process that is stopped before it is ready and accepts callers in its last second.
+void process_stopped_before_ready_accepts_nobody() {
+  Lab lab(config_with_inherited_socket());
   lab.tell(net::StopRequested{});
   lab.bring_up();
   CHECK(!listens_for_callers(lab));
@@ -81,8 +82,8 @@
   CHECK(lab.exit_status == 0);
 }
 
-void half_a_line_is_waited_for() {
-  Lab lab(inherited());
+void stopped_process_waits_for_the_rest_of_a_line() {
+  Lab lab(config_with_inherited_socket());
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
   const std::string line = set_up_line("00000000000000aa");
@@ -94,10 +95,10 @@
   CHECK_EQ(lab.messages(ConnId{Concern::server, 1}).size(), 1U);
 }
 
-// Calls that nobody ends keep it no longer than the longest deadline and a little: then they are left to
-// the successor.
-void it_ends_all_the_same() {
-  Lab lab(inherited());
+// Established calls without a release do not delay the exit beyond the longest caller timeout and a grace
+// period: then they are left to the successor.
+void established_calls_delay_the_exit_for_bounded_time() {
+  Lab lab(config_with_inherited_socket());
   const ConnId s0 = lab.connects.at(0).conn;
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
@@ -110,8 +111,8 @@
   CHECK(lab.exit_status == 0);
 }
 
-// The planned restart, with nobody beside it: it goes on listening.
-void without_a_successor_it_stops_as_before() {
+// Planned restart without a successor: it keeps listening until it exits.
+void process_without_successor_listens_until_exit() {
   Lab lab;
   lab.bring_up();
   lab.tell(net::Accepted{kCaller});
@@ -123,19 +124,19 @@
   CHECK(lab.exit_status == 0);
 }
 
-// The set-ups that this process has sent on, answered by the server with a call that stands.
-void server_answers_all(Lab& lab, ConnId server) {
+// Answers all INVITEs that this process sent to the server with 200.
+void answer_all_invites(Lab& lab, ConnId server) {
   for (const sip::Message& m : lab.messages(server)) {
     if (m.method == "INVITE") lab.receive(server, server_answer(m, 200, "answer"));
   }
 }
 
-// Three processes of one gatekeeper at once: each keeps what it took to its end, and only the last takes
-// more.
-void two_upgrades_close_together_keep_every_call() {
-  Lab first(inherited());
-  Lab second(inherited());
-  Lab third(inherited());
+// Three processes of one gatekeeper at once: each serves its accepted calls to their end, and only the last
+// one accepts more.
+void two_upgrades_in_quick_succession_keep_every_call() {
+  Lab first(config_with_inherited_socket());
+  Lab second(config_with_inherited_socket());
+  Lab third(config_with_inherited_socket());
   std::vector<Lab*> all{&first, &second, &third};
   const char* const ids[] = {"00000000000000a1", "00000000000000a2", "00000000000000a3"};
   std::vector<ConnId> servers;
@@ -146,16 +147,16 @@
     CHECK(listens_for_callers(lab));
     lab.tell(net::Accepted{kCaller});
     lab.receive(kCaller, set_up_line(ids[i]));
-    // The next one is ready: this one is asked to stop, with its call still unanswered.
+    // The first two get SIGTERM, as when their successor is ready, with their call still unanswered.
     if (i < 2) lab.tell(net::StopRequested{});
   }
   for (std::size_t i = 0; i < all.size(); ++i) {
-    server_answers_all(*all[i], servers[i]);
+    answer_all_invites(*all[i], servers[i]);
     const auto lines = all[i]->lines(kCaller);
     CHECK_EQ(lines.size(), 1U);
     CHECK(lines[0].type == "answer" && lines[0].id == ids[i]);
     all[i]->pass(2s);
-    CHECK(!all[i]->exit_status);  // its call stands
+    CHECK(!all[i]->exit_status);  // its call is established
     all[i]->receive(servers[i], server_bye(ids[i], 16));
     all[i]->pass(200ms);
     CHECK(i == 2 ? !all[i]->exit_status : all[i]->exit_status == 0);
@@ -164,10 +165,10 @@
   CHECK(third.stopped_listening.empty());
 }
 
-// The journal's news reaches each process by itself. The one that has it sends nothing more there; the other
-// goes by what it has been told, and no longer than that.
-void a_drain_told_to_one_process_binds_that_one() {
-  PlatformConfig config = inherited();
+// Discovery events reach each process independently. A process sends nothing to a draining server once it got
+// the event, and until then acts on its previous list.
+void draining_event_applies_to_the_process_that_got_it() {
+  PlatformConfig config = config_with_inherited_socket();
   config.journal = "127.0.0.1:8500";
   const auto drain = [](Lab& lab, ConnId journal) {
     lab.receive(journal,
@@ -176,7 +177,7 @@
                 R"("az":"","pod_group":0,"state":"draining","boot_ms":0}]}})"
                 "\n\n");
   };
-  for (const bool old_one_hears : {true, false}) {
+  for (const bool old_process_is_notified : {true, false}) {
     Lab old(config);
     Lab fresh(config);
     std::map<Lab*, std::map<std::string, ConnId>> to;
@@ -186,13 +187,13 @@
       lab->tell(net::Accepted{kCaller});
     }
     old.tell(net::Accepted{kOther});
-    old.receive(kCaller,
-                R"({"type":"progress","id":"00000000000000cc","fields":{)");  // half a line: kept open
+    // An incomplete line keeps the connection open.
+    old.receive(kCaller, R"({"type":"progress","id":"00000000000000cc","fields":{)");
     old.tell(net::StopRequested{});
-    Lab& told = old_one_hears ? old : fresh;
-    Lab& other = old_one_hears ? fresh : old;
-    drain(told, to[&told]["127.0.0.1:8500"]);
-    if (old_one_hears) {
+    Lab& notified = old_process_is_notified ? old : fresh;
+    Lab& other = old_process_is_notified ? fresh : old;
+    drain(notified, to[&notified]["127.0.0.1:8500"]);
+    if (old_process_is_notified) {
       old.receive(kCaller, "}}\n" + set_up_line("00000000000000d1"));
       fresh.receive(kCaller, set_up_line("00000000000000d2"));
     } else {
@@ -203,8 +204,8 @@
       const auto all = lab.messages(conn);
       return std::count_if(all.begin(), all.end(), [](const auto& m) { return m.method == "INVITE"; });
     };
-    CHECK_EQ(invites(told, to[&told]["127.0.0.1:9000"]), 0);
-    CHECK_EQ(invites(told, to[&told]["127.0.0.1:9001"]), 1);
+    CHECK_EQ(invites(notified, to[&notified]["127.0.0.1:9000"]), 0);
+    CHECK_EQ(invites(notified, to[&notified]["127.0.0.1:9001"]), 1);
     CHECK_EQ(invites(other, to[&other]["127.0.0.1:9000"]), 1);
     drain(other, to[&other]["127.0.0.1:8500"]);
     other.receive(kCaller, set_up_line("00000000000000d3"));
@@ -212,16 +213,16 @@
   }
 }
 
-// SIGHUP goes to both processes. The old one changes nothing of what is under way and takes nobody again; the
-// new one has what the file says before its first call.
-void a_reload_during_an_upgrade_is_taken_by_both() {
+// SIGHUP reaches both processes. The old one keeps its open calls and accepts no callers again; the new one
+// has the new settings before its first call.
+void reload_during_upgrade_is_applied_by_both_processes() {
   const std::string text = nlohmann::json{
       {"name", "t0"},
       {"listen", "127.0.0.1:1"},
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
       {"settings", settings()}}.dump();
-  PlatformConfig config = inherited();
+  PlatformConfig config = config_with_inherited_socket();
   const PlatformConfig read = read_platform_config(text);
   config.settings = read.settings;
   config.class_names = read.class_names;
@@ -238,7 +239,7 @@
     CHECK_EQ(lab->figure("config_applied"), "1|c");
   }
   const std::size_t listens = old.listens.size();
-  server_answers_all(old, server);
+  answer_all_invites(old, server);
   CHECK_EQ(old.lines(kCaller).at(0).type, "answer");
   old.pass(1s);
   CHECK_EQ(old.listens.size(), listens);
@@ -248,16 +249,16 @@
   CHECK(listens_for_callers(fresh) && fresh.listens.back().inherited == 7);
 }
 
-// The new process does not know the call's server. The caller is heard at once, nothing is made up for a
-// server, and the call ends at the old process when its server releases it.
-void a_caller_releases_at_the_new_process_what_the_old_one_set_up() {
-  Lab old(inherited());
+// The new process does not know the call's server: it confirms the caller's release at once and sends nothing
+// to any server. The call ends at the old process when its server releases it.
+void release_at_the_new_process_of_a_call_of_the_old_one() {
+  Lab old(config_with_inherited_socket());
   const ConnId server = old.connects.at(0).conn;
   old.bring_up();
   old.tell(net::Accepted{kCaller});
   old.receive(kCaller, set_up_line("00000000000000f1"));
-  server_answers_all(old, server);
-  Lab fresh(inherited());
+  answer_all_invites(old, server);
+  Lab fresh(config_with_inherited_socket());
   std::vector<ConnId> servers;
   for (const net::Connect& c : fresh.connects) servers.push_back(c.conn);
   fresh.bring_up();
@@ -278,14 +279,14 @@
 }  // namespace
 
 int main() {
-  two_upgrades_close_together_keep_every_call();
-  a_drain_told_to_one_process_binds_that_one();
-  a_reload_during_an_upgrade_is_taken_by_both();
-  a_caller_releases_at_the_new_process_what_the_old_one_set_up();
-  the_new_one_takes_callers_once_it_is_ready();
-  the_old_one_leaves_new_callers_and_closes_what_is_quiet();
-  one_that_is_stopped_before_it_is_ready_takes_nobody();
-  half_a_line_is_waited_for();
-  it_ends_all_the_same();
-  without_a_successor_it_stops_as_before();
+  two_upgrades_in_quick_succession_keep_every_call();
+  draining_event_applies_to_the_process_that_got_it();
+  reload_during_upgrade_is_applied_by_both_processes();
+  release_at_the_new_process_of_a_call_of_the_old_one();
+  new_process_accepts_callers_once_it_is_ready();
+  old_process_accepts_no_callers_and_closes_idle_ones();
+  process_stopped_before_ready_accepts_nobody();
+  stopped_process_waits_for_the_rest_of_a_line();
+  established_calls_delay_the_exit_for_bounded_time();
+  process_without_successor_listens_until_exit();
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,4 +1,4 @@
-// What the real program is started with, and what it finds: one setup server, a journal service, a caller.
+// Fixture for tests of the real program: a configuration, one setup server, a discovery service and a caller.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-inline std::string binary;  // the program
+inline std::string binary;  // path of the gatekeeper program
 
 inline std::string at(int port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -32,7 +32,7 @@
           {"settings", settings()}};
 }
 
-// A program with one setup server and a journal service.
+// A running program connected to one setup server and a discovery service, with one connected caller.
 struct World {
   explicit World(const json& deploy = {}) {
     config = config_for(port, server_listener.port(), journal_listener.port());
