--- a/bench/capacity/fit.cpp
+++ b/bench/capacity/fit.cpp
@@ -6,14 +6,15 @@
 namespace graniterun::capacity {
 namespace {
 
-double stretched(Law law, double size) {
+// The value that the law is linear in: 0, ln n or n.
+double regressor(Law law, double size) {
   return law == Law::constant ? 0.0 : law == Law::n ? size : std::log(size);
 }
 
 struct Line {
   double base{};
   double slope{};
-  double at(Law law, double size) const { return base + slope * stretched(law, size); }
+  double at(Law law, double size) const { return base + slope * regressor(law, size); }
 };
 
 Line least_squares(Law law, const std::vector<Point>& points) {
@@ -21,13 +22,13 @@
   double mean_x = 0.0;
   double mean_y = 0.0;
   for (const Point& p : points) {
-    mean_x += stretched(law, p.size) / n;
+    mean_x += regressor(law, p.size) / n;
     mean_y += median(p.runs) / n;
   }
   double xy = 0.0;
   double xx = 0.0;
   for (const Point& p : points) {
-    const double x = stretched(law, p.size) - mean_x;
+    const double x = regressor(law, p.size) - mean_x;
     xy += x * (median(p.runs) - mean_y);
     xx += x * x;
   }
@@ -37,7 +38,7 @@
 
 }  // namespace
 
-std::string_view word_of(Law law) {
+std::string_view to_string(Law law) {
   constexpr std::string_view kWords[] = {"constant", "log n", "n"};
   return kWords[static_cast<std::size_t>(law)];
 }
@@ -49,27 +50,27 @@
 }
 
 double spread(const std::vector<double>& runs) {
-  const auto [least, most] = std::minmax_element(runs.begin(), runs.end());
+  const auto [min, max] = std::minmax_element(runs.begin(), runs.end());
   const double middle = median(runs);
-  return middle == 0.0 ? 0.0 : (*most - *least) / std::abs(middle);
+  return middle == 0.0 ? 0.0 : (*max - *min) / std::abs(middle);
 }
 
-double Fit::at(double size) const { return std::max(0.0, base + slope * stretched(law, size)); }
+double Fit::at(double size) const { return std::max(0.0, base + slope * regressor(law, size)); }
 
 Fit fit(std::vector<Point> points) {
   std::sort(points.begin(), points.end(), [](const Point& a, const Point& b) { return a.size < b.size; });
   Fit best;
   best.largest = points.back().size;
   for (const Point& p : points) best.spread = std::max(best.spread, spread(p.runs));
-  const std::vector<Point> kept(points.begin(), points.end() - 1);
+  const std::vector<Point> training(points.begin(), points.end() - 1);
   const double held_out = median(points.back().runs);
   for (const Law law : kLaws) {
-    if (kept.size() < (law == Law::constant ? 1U : 2U)) continue;
-    const double foretold = std::max(0.0, least_squares(law, kept).at(law, best.largest));
-    // Of two zeros there is no relative error; beside a zero, all of it is wrong.
-    const double error = foretold == held_out ? 0.0
-                         : held_out == 0.0    ? 1.0
-                                              : std::abs(foretold - held_out) / std::abs(held_out);
+    if (training.size() < (law == Law::constant ? 1U : 2U)) continue;
+    const double predicted = std::max(0.0, least_squares(law, training).at(law, best.largest));
+    // A relative error needs a measured value other than 0: against 0 it counts as 0 if equal, else as 1.
+    const double error = predicted == held_out ? 0.0
+                         : held_out == 0.0     ? 1.0
+                                               : std::abs(predicted - held_out) / std::abs(held_out);
     best.errors[static_cast<std::size_t>(law)] = error;
     if (!best.error || error < *best.error - 1e-9) {
       best.error = error;
--- a/bench/capacity/page.h
+++ b/bench/capacity/page.h
@@ -1,4 +1,5 @@
-// The page's tables: what stands between `<!-- capacity:NAME -->` and `<!-- /capacity:NAME -->`. No I/O.
+// Replaces the tables of docs/CAPACITY.md, each the text between `<!-- capacity:NAME -->` and
+// `<!-- /capacity:NAME -->`, and compares pages. No I/O.
 #pragma once
 
 #include <map>
@@ -10,13 +11,13 @@
 
 namespace graniterun::capacity {
 
-using Tables = std::map<std::string, std::string>;  // name -> its lines, each with its end
+using Tables = std::map<std::string, std::string>;  // name -> its lines, each ending in a newline
 
-// The page with every table in place; all else stays as it is. Throws BadInput where a mark has no end,
-// stands twice, names no table, or where a table has no marks.
-std::string with_tables(std::string_view page, const Tables& tables);
+// Returns the page with every table replaced and all other text unchanged. Throws BadInput if a marker is not
+// closed, appears twice or names an unknown table, or if a table has no markers.
+std::string replace_tables(std::string_view page, const Tables& tables);
 
-// Where two pages differ first: a line for people. None: they are the same.
-std::optional<std::string> first_difference(std::string_view is, std::string_view should_be);
+// Describes the first line in which two pages differ; none if they are equal.
+std::optional<std::string> first_difference(std::string_view actual, std::string_view expected);
 
 }  // namespace graniterun::capacity
--- a/bench/capacity/slopes.cpp
+++ b/bench/capacity/slopes.cpp
@@ -19,8 +19,8 @@
   return value;
 }
 
-// The size at the end of a name, which is then cut off.
-double take_size(std::string& name) {
+// Removes the size suffix from a name and returns the size; 0 if there is none.
+double remove_size_suffix(std::string& name) {
   for (const std::string_view mark : {"_at_", "_depth_"}) {
     const auto at = name.rfind(mark);
     if (at == std::string::npos) continue;
@@ -58,34 +58,34 @@
     const auto figure = number_of(value);
     if (!figure) continue;
     Run::Line read;
-    read.size = take_size(name);
+    read.size = remove_size_suffix(name);
     read.id = name;
     read.value = *figure;
     read.unit = unit;
     run.lines.push_back(std::move(read));
   }
   if (run.command.empty() || run.revision.empty())
-    throw BadInput(file + ": there is no '# command: ' or no '# revision: ' at its head");
-  if (run.lines.empty()) throw BadInput(file + ": no line is a figure");
+    throw BadInput(file + ": header '# command: ' or '# revision: ' is missing");
+  if (run.lines.empty()) throw BadInput(file + ": contains no line with a figure");
   return run;
 }
 
-Slopes slopes_of(const std::vector<Run>& runs, const json& listed) {
+Slopes collect_slopes(const std::vector<Run>& runs, const json& listed) {
   Slopes slopes;
   for (const Run& run : runs) {
     for (const Run::Line& line : run.lines) {
       if (!listed.contains(line.id)) continue;
       const json& about = listed[line.id];
-      const auto [it, fresh] = slopes.try_emplace(line.id);
+      const auto [it, inserted] = slopes.try_emplace(line.id);
       Slope& slope = it->second;
-      if (fresh) {
+      if (inserted) {
         slope.per = about.at("per").get<std::string>();
         slope.unit = about.at("unit").get<std::string>();
         slope.command = run.command;
         slope.revision = run.revision;
       }
       if (line.unit != slope.unit)
-        throw BadInput(line.id + " is told in " + line.unit + ", not in " + slope.unit);
+        throw BadInput(line.id + " has the unit " + line.unit + " instead of " + slope.unit);
       if (slope.command != run.command) throw BadInput(line.id + " comes from two commands");
       if (slope.revision != run.revision) throw BadInput(line.id + " comes from two revisions");
       if (line.unit == "ms" && line.value < 0.0) {
@@ -117,8 +117,8 @@
   const double high = median(above->runs);
   if (above->size == size) return {high, true};
   if (above == points.begin()) {
-    const double foretold = fit.at(size);
-    return {foretold > 0.0 ? foretold : high, false};
+    const double predicted = fit.at(size);
+    return {predicted > 0.0 ? predicted : high, false};
   }
   const Point& below = *std::prev(above);
   const double low = median(below.runs);
@@ -135,7 +135,7 @@
     one["revision"] = s.revision;
     one["points"] = json::array();
     for (const Point& p : s.points) one["points"].push_back({{"size", p.size}, {"runs", p.runs}});
-    one["law"] = word_of(s.fit.law);
+    one["law"] = to_string(s.fit.law);
     one["base"] = rounded(s.fit.base);
     one["slope"] = rounded(s.fit.slope);
     if (s.failed > 0) one["without_end"] = s.failed;
@@ -143,13 +143,13 @@
     one["held_out"] = json::object();
     for (const Law law : kLaws) {
       if (const auto error = s.fit.errors[static_cast<std::size_t>(law)])
-        one["held_out"][std::string(word_of(law))] = rounded(*error);
+        one["held_out"][std::string(to_string(law))] = rounded(*error);
     }
   }
   return file;
 }
 
-Slopes slopes_in(const json& file) {
+Slopes parse_slopes(const json& file) {
   Slopes slopes;
   try {
     for (const auto& [id, one] : file.items()) {
@@ -167,11 +167,12 @@
       s.fit = fit(s.points);
       slopes.emplace(id, std::move(s));
     }
-  } catch (const json::exception& trouble) {
-    throw BadInput(std::string("the slopes are malformed: ") + trouble.what());
+  } catch (const json::exception& error) {
+    throw BadInput(std::string("the slopes are malformed: ") + error.what());
   }
   if (to_json(slopes) != file)
-    throw BadInput("the slopes' laws are not those of their points: take them again from the runs");
+    throw BadInput(
+        "the stored laws do not match their points: regenerate the slopes from the runs (make capacity)");
   return slopes;
 }
 
--- a/bench/capacity/slopes.h
+++ b/bench/capacity/slopes.h
@@ -1,4 +1,5 @@
-// Measured slopes: out of the raw outputs of runs into one file, and out of that file again. No I/O.
+// Measured slopes of docs/CAPACITY.md: collects them from the raw outputs of runs and converts them to and
+// from the stored file (slopes.json). No I/O.
 #pragma once
 
 #include <map>
@@ -13,17 +14,17 @@
 
 namespace graniterun::capacity {
 
-// Its text is one plain line.
+// Invalid input; what() is a single line for people.
 class BadInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One run of one command.
+// Output of one run of one command.
 struct Run {
   std::string command{};
   std::string revision{};
-  // A figure, its size (0: the name tells none), its value and unit.
+  // A figure; `size` is 0 if the name carries none.
   struct Line {
     std::string id{};
     double size{};
@@ -32,31 +33,33 @@
   };
   std::vector<Line> lines{};
 };
-// `name value unit` lines under a head of `# command: ...` and `# revision: ...`; other lines are passed
-// over. A size is the number at the end of a name, after `_at_` or `_depth_`. Throws BadInput where the head
-// is not whole, or where no line is a figure.
+// Parses `name value unit` lines below the headers `# command: ...` and `# revision: ...`; ignores other
+// lines. A size is the number at the end of a name, after `_at_` or `_depth_`. Throws BadInput if a header is
+// missing or no line is a figure.
 Run read_run(std::string_view text, const std::string& file);
 
 struct Slope {
-  std::string per{};  // what it grows with: member, server, service, change, connection, gap, call, ...
+  std::string
+      per{};  // quantity that `size` counts: member, server, service, change, connection, gap, call, ...
   std::string unit{};
   std::string command{};
   std::string revision{};
   std::vector<Point> points{};
-  std::size_t failed = 0;  // runs of a time that had no end: a value below 0 ms
+  std::size_t failed = 0;  // runs in which a measured time did not end, printed as a value below 0 ms
   Fit fit{};
-  // Between the sizes measured: between the medians on both sides. Beyond them: the law, and whether so.
-  std::pair<double, bool> at(double size) const;  // value, inside
+  // Value at a size. Within the measured sizes it interpolates between the neighbouring medians; outside them
+  // it follows the law.
+  std::pair<double, bool> at(double size) const;  // value, whether `size` is within
 };
 using Slopes = std::map<std::string, Slope>;
 
-// `listed`: id -> {"per", "unit"}: which figures are kept. Every run of a figure must be of one command and
-// one revision. Throws BadInput where not, or where a unit is another one.
-Slopes slopes_of(const std::vector<Run>& runs, const nlohmann::json& listed);
+// `listed` maps the ids of the figures to collect to {"per", "unit"}. All runs of a figure must come from one
+// command and one revision. Throws BadInput if they do not, or if a unit differs from the listed one.
+Slopes collect_slopes(const std::vector<Run>& runs, const nlohmann::json& listed);
 
 nlohmann::json to_json(const Slopes& slopes);
-// Fits anew: what stands in the file of laws and errors is told for people, and has to be the same. Throws
+// Recomputes the laws and errors from the points; the stored ones are for readers and must be equal. Throws
 // BadInput.
-Slopes slopes_in(const nlohmann::json& file);
+Slopes parse_slopes(const nlohmann::json& file);
 
 }  // namespace graniterun::capacity
--- a/bench/capacity/sums.cpp
+++ b/bench/capacity/sums.cpp
@@ -24,11 +24,11 @@
   return text;
 }
 
-std::string word_of(Fits fits) {
-  return fits == Fits::yes ? "fits" : fits == Fits::no ? "**does not**" : "not known";
+std::string to_string(LimitStatus fits) {
+  return fits == LimitStatus::within ? "fits" : fits == LimitStatus::exceeded ? "**does not**" : "not known";
 }
 
-// Of all distinct out of `all`, so many are hit by `draws` at random.
+// Expected number of distinct items when `draws` are drawn at random, with replacement, out of `all`.
 double distinct(double all, double draws) { return all * (1.0 - std::pow(1.0 - 1.0 / all, draws)); }
 
 }  // namespace
@@ -51,7 +51,7 @@
   return product;
 }
 
-std::string text_of(double value) {
+std::string describe(double value) {
   const double size = std::abs(value);
   if (size < 1e-12) return "0";
   char text[64];
@@ -68,164 +68,169 @@
   return whole;
 }
 
-std::string text_of(const Figure& figure) {
+std::string describe(const Figure& figure) {
   if (figure.blank())
-    return figure.value > 0.0 ? std::string(kNotMeasured) + " (" + text_of(figure.value) + "~)"
+    return figure.value > 0.0 ? std::string(kNotMeasured) + " (" + describe(figure.value) + "~)"
                               : kNotMeasured;
-  return (figure.known() ? "" : "at least ") + text_of(figure.value);
+  return (figure.known() ? "" : "at least ") + describe(figure.value);
 }
 
-// ---- verdicts
+// ---- checks against limits
 
-Verdict against(const Figure& figure, double limit, const std::string& of) {
+LimitCheck check_limit(const Figure& figure, double limit, const std::string& of) {
   if (!figure.from.empty() && figure.low > limit) {
     const double times = figure.value / limit;
-    return {Fits::no, times, "**does not**: " + text_of(times) + " times the " + of};
+    return {LimitStatus::exceeded, times, "**does not**: " + describe(times) + " times the " + of};
   }
-  if (figure.from.empty() || !figure.known()) return {Fits::not_known, 0.0, "not known (" + of + ")"};
+  if (figure.from.empty() || !figure.known()) return {LimitStatus::unknown, 0.0, "not known (" + of + ")"};
   if (figure.high <= limit) {
     const double times = figure.value > 0.0 ? limit / figure.value : std::numeric_limits<double>::infinity();
-    return {Fits::yes, times,
-            "fits the " + of + (std::isinf(times) ? ", costs nothing" : ", margin " + text_of(times))};
+    return {LimitStatus::within, times,
+            "fits the " + of + (std::isinf(times) ? ", costs nothing" : ", margin " + describe(times))};
   }
-  return {Fits::not_known, 0.0,
-          "not known: " + text_of(figure.low) + " to " + text_of(figure.high) + " of " + text_of(limit) +
+  return {LimitStatus::unknown, 0.0,
+          "not known: " + describe(figure.low) + " to " + describe(figure.high) + " of " + describe(limit) +
               ", the " + of};
 }
 
-Verdict within_bound(double needed, double bound, const std::string& name) {
+LimitCheck check_bound(double needed, double bound, const std::string& name) {
   if (needed > bound)
-    return {Fits::no, needed / bound,
-            "**does not**: " + text_of(needed / bound) + " times the bound `" + name + "`"};
-  return {Fits::yes, bound / needed, "fits the bound `" + name + "`, margin " + text_of(bound / needed)};
+    return {LimitStatus::exceeded, needed / bound,
+            "**does not**: " + describe(needed / bound) + " times the bound `" + name + "`"};
+  return {LimitStatus::within, bound / needed,
+          "fits the bound `" + name + "`, margin " + describe(bound / needed)};
 }
 
-Verdict worst(const std::vector<Verdict>& all) {
-  Verdict found{Fits::not_known, 0.0, "not known"};
+LimitCheck worst(const std::vector<LimitCheck>& all) {
+  LimitCheck found{LimitStatus::unknown, 0.0, "not known"};
   bool any = false;
-  for (const Verdict& v : all) {
-    const auto rank = [](const Verdict& one) {
-      return one.fits == Fits::no ? 0 : one.fits == Fits::not_known ? 1 : 2;
+  for (const LimitCheck& v : all) {
+    const auto rank = [](const LimitCheck& one) {
+      return one.status == LimitStatus::exceeded ? 0 : one.status == LimitStatus::unknown ? 1 : 2;
     };
-    const bool worse =
-        rank(v) < rank(found) ||
-        (rank(v) == rank(found) && (v.fits == Fits::no ? v.times > found.times : v.times < found.times));
+    const bool worse = rank(v) < rank(found) ||
+                       (rank(v) == rank(found) &&
+                        (v.status == LimitStatus::exceeded ? v.ratio > found.ratio : v.ratio < found.ratio));
     if (!std::exchange(any, true) || worse) found = v;
   }
   return found;
 }
 
-std::string told_of(std::vector<Verdict> all) {
-  const Verdict deciding = worst(all);
-  if (deciding.fits != Fits::no) return deciding.text;
-  std::erase_if(all, [](const Verdict& v) { return v.fits != Fits::no; });
+std::string describe_checks(std::vector<LimitCheck> all) {
+  const LimitCheck deciding = worst(all);
+  if (deciding.status != LimitStatus::exceeded) return deciding.text;
+  std::erase_if(all, [](const LimitCheck& v) { return v.status != LimitStatus::exceeded; });
   std::stable_sort(all.begin(), all.end(),
-                   [](const Verdict& a, const Verdict& b) { return a.times > b.times; });
+                   [](const LimitCheck& a, const LimitCheck& b) { return a.ratio > b.ratio; });
   constexpr std::string_view kNo = "**does not**: ";
   std::string text;
-  for (const Verdict& v : all) text += text.empty() ? v.text : "; " + v.text.substr(kNo.size());
+  for (const LimitCheck& v : all) text += text.empty() ? v.text : "; " + v.text.substr(kNo.size());
   return text;
 }
 
-// ---- what is given, and what follows from it
+// ---- given and derived values
 
-Sums::Sums(Slopes slopes, const json& target) : slopes_(std::move(slopes)), target_(target) {
+CapacityModel::CapacityModel(Slopes slopes, const json& target)
+    : slopes_(std::move(slopes)), target_(target) {
   for (const char* part : {"target", "assumptions", "bounds"}) {
     if (!target_.contains(part)) throw BadInput(std::string("the target has no '") + part + "'");
   }
-  const auto work = [this](const std::string& name, double value, const std::string& how) {
-    worked_[name] = {value, how};
+  const auto derive = [this](const std::string& name, double value, const std::string& how) {
+    derived_[name] = {value, how};
   };
   const double servers = given("servers");
-  work("gatekeepers", servers, "one for each setup server");
-  work("listed", servers / given("services") * given("needed"), "servers / services x services needed");
-  work("listed_large", given("large") + given("listed"), "those of one large service beside them");
-  work("listers", given("listed"), "gatekeepers that list a server: as many, in the mean, as servers listed");
-  work("connections_mean", given("listed") * given("at_most_connections") / 2.0,
-       "to setup servers, three to each at most");
-  work("calls_each", given("calls") / servers, "a second at each gatekeeper, calls further down among them");
-  work("calls_each_deep", given("calls") / servers * given("depth"),
-       "a second, where each goes on to the last");
-  work("subscribed", servers * given("needed") / given("services"), "gatekeepers of a service, in the mean");
-  work("list_changes", (given("restarts") + given("failures")) * given("told") / kDay,
-       "of the list of servers, a second, in the whole fleet");
-  work("list_changes_each", given("list_changes") * given("listed") / servers,
-       "of them that one gatekeeper is told");
-  work("list_changes_large", given("list_changes") * given("listed_large") / servers,
-       "the same where one large service is needed");
-  work("changes_second", given("changes") / kDay, "of configuration, a second");
-  work("changes_each", given("changes_second") * given("needed") / given("services"),
-       "of them that one gatekeeper needs");
-  work("clients", servers * given("sources") / given("machines"), "connections to a distributor");
-  work("clients_two_lost", servers * given("sources") / (given("machines") - 2.0),
-       "the same with two of them lost");
-  work("primaries", servers / given("machines"), "gatekeepers that count themselves at one distributor");
-  work("tenth", servers / 10.0, "machines restarted in a wave");
-  work("zone", servers / given("zones"), "machines of a zone: 8 in all");
-  work("zone_small", servers / given("zones") / given("regions"), "machines of a zone: 8 in each region");
-  work("third", servers / given("regions"), "machines of a region");
-  work("behind_each", distinct(given("services"), given("behind")) * given("needed") / given("services"),
-       "services of one gatekeeper that differ after the changes of an hour, some of them changed twice");
-  work("list_bytes_large", slope("discovery_list_bytes", given("listed_large")).value,
-       "a whole list, as measured");
-  work("announcer_line", slope("announcer_line", servers).value,
-       "the longest line of the announcer, as measured");
-}
-
-double Sums::given(const std::string& name) const {
-  if (const auto it = worked_.find(name); it != worked_.end()) return it->second.value;
+  derive("gatekeepers", servers, "one for each setup server");
+  derive("listed", servers / given("services") * given("needed"), "servers / services x services needed");
+  derive("listed_large", given("large") + given("listed"), "those of one large service beside them");
+  derive("listers", given("listed"),
+         "gatekeepers that list a server: as many, in the mean, as servers listed");
+  derive("connections_mean", given("listed") * given("at_most_connections") / 2.0,
+         "to setup servers, three to each at most");
+  derive("calls_each", given("calls") / servers,
+         "a second at each gatekeeper, calls further down among them");
+  derive("calls_each_deep", given("calls") / servers * given("depth"),
+         "a second, where each goes on to the last");
+  derive("subscribed", servers * given("needed") / given("services"),
+         "gatekeepers of a service, in the mean");
+  derive("list_changes", (given("restarts") + given("failures")) * given("told") / kDay,
+         "of the list of servers, a second, in the whole fleet");
+  derive("list_changes_each", given("list_changes") * given("listed") / servers,
+         "of them that one gatekeeper is told");
+  derive("list_changes_large", given("list_changes") * given("listed_large") / servers,
+         "the same where one large service is needed");
+  derive("changes_second", given("changes") / kDay, "of configuration, a second");
+  derive("changes_each", given("changes_second") * given("needed") / given("services"),
+         "of them that one gatekeeper needs");
+  derive("clients", servers * given("sources") / given("machines"), "connections to a distributor");
+  derive("clients_two_lost", servers * given("sources") / (given("machines") - 2.0),
+         "the same with two of them lost");
+  derive("primaries", servers / given("machines"), "gatekeepers that count themselves at one distributor");
+  derive("tenth", servers / 10.0, "machines restarted in a wave");
+  derive("zone", servers / given("zones"), "machines of a zone: 8 in all");
+  derive("zone_small", servers / given("zones") / given("regions"), "machines of a zone: 8 in each region");
+  derive("third", servers / given("regions"), "machines of a region");
+  derive("behind_each", distinct(given("services"), given("behind")) * given("needed") / given("services"),
+         "services of one gatekeeper that differ after the changes of an hour, some of them changed twice");
+  derive("list_bytes_large", slope("discovery_list_bytes", given("listed_large")).value,
+         "a whole list, as measured");
+  derive("announcer_line", slope("announcer_line", servers).value,
+         "the longest line of the announcer, as measured");
+}
+
+double CapacityModel::given(const std::string& name) const {
+  if (const auto it = derived_.find(name); it != derived_.end()) return it->second.value;
   for (const char* part : {"target", "assumptions"}) {
     const json& all = target_.at(part);
     if (all.contains(name) && all[name].contains("value") && all[name]["value"].is_number())
       return all[name]["value"].get<double>();
   }
-  throw BadInput("the target says nothing of '" + name + "'");
+  throw BadInput("the target has no value for '" + name + "'");
 }
 
-Figure Sums::slope(const std::string& id, double size) const {
+Figure CapacityModel::slope(const std::string& id, double size) const {
   const auto it = slopes_.find(id);
   if (it == slopes_.end()) return {0.0, 0.0, 0.0, {}, {id}};
   if (it->second.failed > 0) return {0.0, 0.0, 0.0, {}, {id + " (a run had no end)"}};
   const Slope& s = it->second;
   const auto [value, inside] = s.at(size);
-  const double doubt = 1.0 + s.fit.spread + (inside ? 0.0 : s.fit.error.value_or(0.0));
-  return {value, value / doubt, value * doubt, {id}, {}};
+  const double uncertainty = 1.0 + s.fit.spread + (inside ? 0.0 : s.fit.error.value_or(0.0));
+  return {value, value / uncertainty, value * uncertainty, {id}, {}};
 }
 
-Figure Sums::slope_or(const std::vector<std::string>& ids, double size, double reckoned) const {
+Figure CapacityModel::slope_or(const std::vector<std::string>& ids, double size, double estimate) const {
   for (const std::string& id : ids) {
     if (Figure measured = slope(id, size); measured.known()) return measured;
   }
-  return {reckoned, reckoned, reckoned, {}, slope(ids.front(), size).missing};
+  return {estimate, estimate, estimate, {}, slope(ids.front(), size).missing};
 }
 
-Verdict Sums::bound(const std::string& name) const {
+LimitCheck CapacityModel::bound(const std::string& name) const {
   for (const json& b : target_.at("bounds")) {
-    if (b.at("name") == name) return within_bound(given(b.at("needs")), b.at("value"), name);
+    if (b.at("name") == name) return check_bound(given(b.at("needs")), b.at("value"), name);
   }
   throw BadInput("there is no bound '" + name + "'");
 }
 
 // ---- rows
 
-std::vector<Sums::Row> Sums::gatekeeper() const {
+std::vector<CapacityModel::Row> CapacityModel::gatekeeper() const {
   const double n = given("gatekeepers");
   const auto limits = [this](Row& row) {
-    row.verdicts.insert(row.verdicts.begin(), {against(row.cpu, given("cpu"), "processor for control"),
-                                               against(row.bytes, given("bytes"), "bytes for control"),
-                                               against(row.state, given("memory"), "memory for control")});
+    row.checks.insert(row.checks.begin(), {check_limit(row.cpu, given("cpu"), "processor for control"),
+                                           check_limit(row.bytes, given("bytes"), "bytes for control"),
+                                           check_limit(row.state, given("memory"), "memory for control")});
   };
   std::vector<Row> rows;
   for (const bool deep : {false, true}) {
     Row r;
     const double calls = given(deep ? "calls_each_deep" : "calls_each");
-    r.part = "calls, " + text_of(calls) + " a second";
+    r.part = "calls, " + describe(calls) + " a second";
     r.mechanism = "`front`, `core`, `back`; not control";
     r.state = slope("calls_state", calls);
     r.messages = exact(calls * given("call_messages"));
     r.bytes = slope("calls_bytes", calls);
     r.cpu = cpu_per_call(calls) * (calls / 1000.0);
-    r.verdicts = {against(r.cpu, given("core"), "core")};
+    r.checks = {check_limit(r.cpu, given("core"), "core")};
     r.family = "calls";
     r.control = false;
     rows.push_back(r);
@@ -234,7 +239,7 @@
     Row r;
     const double listed = given(large ? "listed_large" : "listed");
     const double changes = given(large ? "list_changes_large" : "list_changes_each");
-    r.part = "discovery, " + text_of(listed) + " servers listed";
+    r.part = "discovery, " + describe(listed) + " servers listed";
     r.mechanism = "`back/discovery`: server-sent events; `back/setup_servers` keeps connections";
     r.state = slope("servers_state", listed);
     r.messages = exact(given("comments") + changes) + slope("servers_probes", listed);
@@ -243,18 +248,18 @@
             slope("discovery_change_cpu", listed) * (changes / 1000.0);
     limits(r);
     r.family = "servers listed";
-    r.verdicts.push_back(
+    r.checks.push_back(
         bound(large ? "a quarter of limits.sockets" : "a quarter of limits.sockets, three to each"));
     if (large) {
-      r.other_case = true;
-      r.verdicts.push_back(bound("http::kEventBound"));
+      r.alternative = true;
+      r.checks.push_back(bound("http::kEventBound"));
     }
     rows.push_back(r);
   }
   for (const bool large : {false, true}) {
     Row r;
     const double listed = given(large ? "listed_large" : "listed");
-    r.part = "the whole program, idle, " + text_of(listed) + " servers listed";
+    r.part = "the whole program, idle, " + describe(listed) + " servers listed";
     r.mechanism = "sockets and the loop with it";
     r.state = slope("listed_memory_mb", listed) * 1e6;
     r.messages = slope("servers_probes", listed);
@@ -262,9 +267,9 @@
         slope("discovery_change_bytes", listed) * given(large ? "list_changes_large" : "list_changes_each") +
         exact(given("comments") * given("comment"));
     r.cpu = slope("listed_idle_cpu_ms", listed);
-    r.verdicts = {against(r.cpu, given("cpu"), "processor for control")};
+    r.checks = {check_limit(r.cpu, given("cpu"), "processor for control")};
     r.family = "servers listed";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
   }
   {
@@ -276,8 +281,9 @@
     r.messages = exact(0.0);
     r.bytes = exact(0.0);
     r.cpu = slope("config_read_cpu", given("file")) * (read / 1000.0);
-    r.verdicts = {{Fits::no, std::numeric_limits<double>::infinity(), "**does not**: nothing carries it"}};
-    r.stands = false;
+    r.checks = {
+        {LimitStatus::exceeded, std::numeric_limits<double>::infinity(), "**does not**: nothing carries it"}};
+    r.implemented = false;
     r.family = "configuration";
     rows.push_back(r);
   }
@@ -298,7 +304,7 @@
         slope("control_cpu_hollow", n) * 0.001 + slope("gatekeeper_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
     limits(r);
-    r.verdicts.push_back(bound("distribution::kMaxSubscribedServices"));
+    r.checks.push_back(bound("distribution::kMaxSubscribedServices"));
     rows.push_back(r);
   }
   {
@@ -310,14 +316,14 @@
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
     limits(r);
-    r.verdicts.push_back(bound("kMaxMembers"));
+    r.checks.push_back(bound("kMaxMembers"));
     r.family = "membership";
     rows.push_back(r);
   }
   {
     Row r;
     const double changes = given("gap_changes") / kDay;
-    r.part = "gaps, " + text_of(given("gaps")) + " held, none called";
+    r.part = "gaps, " + describe(given("gaps")) + " held, none called";
     r.mechanism = "one announcer, a connection to each (`control`)";
     r.state = slope("gap_state", given("gaps")) * given("gaps");
     r.messages = slope("announcer_quiet_messages", n) * 2.0;
@@ -325,22 +331,22 @@
     r.cpu =
         slope("control_quiet_cpu", n) * 0.001 + slope("gap_change_cpu", given("gaps")) * (changes / 1000.0);
     limits(r);
-    r.verdicts.push_back(bound("gaps.fleet_size"));
+    r.checks.push_back(bound("gaps.fleet_size"));
     r.family = "the announcer's fleet";
     rows.push_back(r);
   }
   {
     Row r;
-    r.part = "gaps, " + text_of(given("dealt")) + " called everywhere";
+    r.part = "gaps, " + describe(given("dealt")) + " called everywhere";
     r.mechanism = "demands of all told to all, slots dealt";
     r.state = exact(0.0);
     r.messages = exact(given("demands_told") * given("dealt") + given("reports"));
     r.bytes = slope("announcer_dealt_bytes", n) * given("dealt");
     r.cpu = slope("control_dealt_cpu", n) * 0.001;
     limits(r);
-    r.verdicts.push_back(bound("control::kMaxLineBytes"));
+    r.checks.push_back(bound("control::kMaxLineBytes"));
     r.family = "slots dealt by demand";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
   }
   {
@@ -362,7 +368,7 @@
   for (const bool deep : {false, true}) {
     Row r;
     const double calls = given(deep ? "calls_each_deep" : "calls_each");
-    r.part = "traces out, " + text_of(calls) + " calls a second";
+    r.part = "traces out, " + describe(calls) + " calls a second";
     r.mechanism = "OTLP, a span a call and one an attempt, none left out; off without `otlp`";
     r.state = exact(given("spans")) * slope("trace_bytes", given("attempts"));
     r.messages = exact(calls / given("batch") * 2.0);
@@ -370,40 +376,40 @@
     r.cpu = slope("trace_cpu", given("attempts")) * (calls / 1000.0);
     limits(r);
     r.family = "traces";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
   }
   return rows;
 }
 
-std::vector<Sums::Row> Sums::machines() const {
+std::vector<CapacityModel::Row> CapacityModel::machines() const {
   const double n = given("gatekeepers");
   std::vector<Row> rows;
   {
     Row r;
-    r.part = "a setup server, as it sees gatekeepers (" + text_of(given("listers")) + " of them)";
+    r.part = "a setup server, as it sees gatekeepers (" + describe(given("listers")) + " of them)";
     r.mechanism = "a connection from each, three and three for news at most";
     r.state = slope("stood_server_state", given("listers"));
     r.messages =
         slope("servers_probes", given("listed")) + exact(given("calls_each") * given("call_messages"));
     r.bytes = slope("stood_server_bytes", given("listers"));
     r.cpu = slope("stood_server_cpu", given("listers"));
-    r.verdicts = {{Fits::not_known, 0.0,
-                   "not known: the target sets no limit; " + text_of(given("listers")) +
-                       " connections at rest, " + text_of(given("listers") * given("at_most_connections")) +
-                       " at most"}};
+    r.checks = {{LimitStatus::unknown, 0.0,
+                 "not known: the target sets no limit; " + describe(given("listers")) +
+                     " connections at rest, " + describe(given("listers") * given("at_most_connections")) +
+                     " at most"}};
     r.control = false;
     rows.push_back(r);
     r.part = "the sum of cold starts at it";
     r.mechanism = "each process its share of N + 2 x root of N + 2, told by nobody (`graniterun_cold_bench`)";
     r.state = r.messages = r.bytes = r.cpu = slope("cold_over_budget", given("listers"));
-    r.verdicts = {{Fits::not_known, 0.0, "not known at " + text_of(given("listers")) + " processes"}};
+    r.checks = {{LimitStatus::unknown, 0.0, "not known at " + describe(given("listers")) + " processes"}};
     rows.push_back(r);
   }
   {
     Row r;
-    r.part = "a distributor (one of " + text_of(given("machines")) + ")";
-    r.mechanism = "`distribution`; " + text_of(given("clients")) + " connections each";
+    r.part = "a distributor (one of " + describe(given("machines")) + ")";
+    r.mechanism = "`distribution`; " + describe(given("clients")) + " connections each";
     const double share = 1.0 / given("machines");
     const double changes = given("changes_second");
     const double beats = given("clients") * 2.0 / given("beat_every");
@@ -421,7 +427,7 @@
     r.cpu = slope("distributor_cpu_quiet", n) * 0.001 +
             slope("distributor_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("distribution::kMaxClients")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("distribution::kMaxClients")};
     rows.push_back(r);
   }
   {
@@ -432,17 +438,17 @@
     r.messages = slope("announcer_quiet_messages", n) * (2.0 * n);
     r.bytes = slope("announcer_quiet_bytes", n) * n;
     r.cpu = slope("announcer_quiet_cpu", n) * (n / 1000.0);
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("descriptors of a process")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("descriptors of a process")};
     r.family = "the announcer's fleet";
     rows.push_back(r);
-    r.part = "the announcer, " + text_of(given("dealt")) + " gap called everywhere";
+    r.part = "the announcer, " + describe(given("dealt")) + " gap called everywhere";
     r.mechanism = "20 times a second all demands to all";
     r.messages = exact((given("demands_told") * given("dealt") + given("reports")) * n);
     r.bytes = slope("announcer_dealt_bytes", n) * n;
     r.cpu = slope("announcer_dealt_cpu", n) * (n / 1000.0);
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("control::kMaxLineBytes")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("control::kMaxLineBytes")};
     r.family = "slots dealt by demand";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
   }
   {
@@ -450,34 +456,35 @@
     r.part = "an owner, a voter";
     r.mechanism = "not built; `heirs` goes by the port instead";
     r.state = r.messages = r.bytes = r.cpu = slope("owner", n);
-    r.verdicts = {{Fits::not_known, 0.0, "not known: not built, and nothing above needs it"}};
+    r.checks = {{LimitStatus::unknown, 0.0, "not known: not built, and nothing above needs it"}};
     r.control = false;
     rows.push_back(r);
   }
   {
     Row r;
-    r.part = "a seed of the membership (" + text_of(given("seeds")) + ")";
+    r.part = "a seed of the membership (" + describe(given("seeds")) + ")";
     r.mechanism = "a member like others, asked by who starts";
     r.state = slope("membership_state", n);
     r.messages = slope("membership_datagrams", n) * 2.0;
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
-    r.verdicts = {against(r.cpu, given("core"), "core"), bound("kMaxMembers")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("kMaxMembers")};
     r.family = "membership";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
   }
   {
     Row r;
-    const double told = given("list_changes") * given("listers");
+    const double notifications = given("list_changes") * given("listers");
     r.part = "the discovery service (not ours)";
     r.mechanism = "a stream to each gatekeeper, a comment a second on each";
     r.state = slope("discovery_list_bytes", n);
-    r.messages = exact(n * given("comments") + told);
-    r.bytes = slope("discovery_change_bytes", given("listed")) * told +
+    r.messages = exact(n * given("comments") + notifications);
+    r.bytes = slope("discovery_change_bytes", given("listed")) * notifications +
               exact(n * given("comments") * given("comment"));
     r.cpu = slope("discovery_service_cpu", n);
-    r.verdicts = {{Fits::not_known, 0.0, "not known: " + text_of(n) + " streams; what it bears is not told"}};
+    r.checks = {
+        {LimitStatus::unknown, 0.0, "not known: " + describe(n) + " streams; what it bears is not told"}};
     r.control = false;
     rows.push_back(r);
   }
@@ -489,59 +496,59 @@
     r.messages = exact(2.0 * n);
     r.bytes = slope("command_bytes", n);
     r.cpu = slope("command_cpu", n);
-    r.verdicts = {bound("descriptors of a process")};
+    r.checks = {bound("descriptors of a process")};
     r.family = "the operator's command";
-    r.other_case = true;
+    r.alternative = true;
     rows.push_back(r);
     r.part = "the operator's command, to distributors";
     r.mechanism = "`graniterunctl config`: 16 connections";
     r.family = "configuration, distributed";
     r.messages = exact(2.0 * given("machines"));
-    r.verdicts = {{Fits::not_known, 0.0, "not known: not measured"}};
+    r.checks = {{LimitStatus::unknown, 0.0, "not known: not measured"}};
     rows.push_back(r);
   }
   return rows;
 }
 
-std::string Sums::cells(const Row& row) const {
+std::string CapacityModel::cells(const Row& row) const {
   std::set<std::string> from;
   std::set<std::string> missing;
   for (const Figure* f : {&row.state, &row.messages, &row.bytes, &row.cpu}) {
     from.insert(f->from.begin(), f->from.end());
     missing.insert(f->missing.begin(), f->missing.end());
   }
-  // Arithmetic alone is said to be that.
-  const auto told = [](const Figure& f, double unit) {
-    return text_of(f * unit) + (f.from.empty() && f.known() && f.value > 0.0 ? "~" : "");
+  // A `~` marks a value that was calculated only, without a measured slope.
+  const auto cell = [](const Figure& f, double unit) {
+    return describe(f * unit) + (f.from.empty() && f.known() && f.value > 0.0 ? "~" : "");
   };
   std::string by;
   for (const std::string& id : from) by += (by.empty() ? "" : ", ") + ("`" + id + "`");
-  return "| " + row.part + " | " + row.mechanism + " | " + told(row.state, 0.001) + " | " +
-         told(row.messages, 1.0) + " | " + told(row.bytes, 0.001) + " | " + told(row.cpu, 1.0) + " | " +
-         told_of(row.verdicts) + " | " + (by.empty() ? "-" : by) + " |\n";
+  return "| " + row.part + " | " + row.mechanism + " | " + cell(row.state, 0.001) + " | " +
+         cell(row.messages, 1.0) + " | " + cell(row.bytes, 0.001) + " | " + cell(row.cpu, 1.0) + " | " +
+         describe_checks(row.checks) + " | " + (by.empty() ? "-" : by) + " |\n";
 }
 
-Sums::Row Sums::sum_of(const std::vector<Row>& rows, bool traces) const {
+CapacityModel::Row CapacityModel::total_of(const std::vector<Row>& rows, bool traces) const {
   Row sum;
   for (const Row& r : rows) {
-    if (!r.control || (r.other_case && !(traces && r.family == "traces"))) continue;
-    if (!r.stands) continue;  // what is to take its place is summed
+    if (!r.control || (r.alternative && !(traces && r.family == "traces"))) continue;
+    if (!r.implemented) continue;  // its planned replacement has its own row
     sum.state = sum.state + r.state;
     sum.messages = sum.messages + r.messages;
     sum.bytes = sum.bytes + r.bytes;
     sum.cpu = sum.cpu + r.cpu;
-    if (traces && r.family == "traces") break;  // by the first reading
+    if (traces && r.family == "traces") break;  // only the first of the two loads
   }
   return sum;
 }
 
-std::string Sums::sum_gatekeeper() const {
+std::string CapacityModel::gatekeeper_total() const {
   std::string text;
   for (const bool traces : {false, true}) {
-    const Row sum = sum_of(gatekeeper(), traces);
+    const Row sum = total_of(gatekeeper(), traces);
     const auto part = [&](const Figure& f, const char* limit, double unit, const char* name) {
-      return text_of(f * unit) + " of " + text_of(given(limit) * unit) + " " + name + " (" +
-             against(f, given(limit), "budget").text + ")";
+      return describe(f * unit) + " of " + describe(given(limit) * unit) + " " + name + " (" +
+             check_limit(f, given(limit), "budget").text + ")";
     };
     text += std::string("**All control of one gatekeeper") +
             (traces ? ", traces of all its calls with it" : ", traces left out") +
@@ -557,7 +564,7 @@
   return text;
 }
 
-std::string Sums::sum_machines() const {
+std::string CapacityModel::machines_total() const {
   Figure cpu = exact(0.0);
   Figure bytes = exact(0.0);
   Figure state = exact(0.0);
@@ -573,20 +580,21 @@
   missing.insert(bytes.missing.begin(), bytes.missing.end());
   missing.insert(state.missing.begin(), state.missing.end());
   const double cores = given("machines") * given("core");
-  return "**The " + text_of(given("machines")) +
-         " machines together** (distributors and one announcer, quiet): " + text_of(cpu) + " of " +
-         text_of(cores) + " ms of processor a second, a core each (" + against(cpu, cores, "budget").text +
-         "); " + text_of(state * 1e-6) + " MB; " + text_of(bytes * 0.001) + " KB a second, in and out." +
+  return "**The " + describe(given("machines")) +
+         " machines together** (distributors and one announcer, quiet): " + describe(cpu) + " of " +
+         describe(cores) + " ms of processor a second, a core each (" +
+         check_limit(cpu, cores, "budget").text + "); " + describe(state * 1e-6) + " MB; " +
+         describe(bytes * 0.001) + " KB a second, in and out." +
          (missing.empty() ? "" : " Not measured: " + joined(missing) + ".") +
          " The announcer alone has one core, which is its own row.\n";
 }
 
 // ---- moments
 
-std::string Sums::moments() const {
+std::string CapacityModel::moments() const {
   const double n = given("gatekeepers");
   const double machines = given("machines");
-  const double notices = given("sources") * 3.0;  // notice, heard, report
+  const double notices = given("sources") * 3.0;  // notification, its receipt, report
   std::string text =
       "| moment | gatekeepers it is about | list of servers: messages out | whole lists, MB | configuration: "
       "lines at "
@@ -598,13 +606,13 @@
                        const std::string& served) {
     const Figure lists = slope("discovery_list_bytes", given("listed")) * (starting * 1e-6);
     const Figure quiet = slope(id, n) * 0.001;
-    text += "| " + name + " | " + text_of(touched) + " | " +
-            (list_changes > 0.0 ? text_of(list_changes) + "~" : "0") + " | " +
-            (starting > 0.0 ? text_of(lists) : "0") + " | " +
-            (lines > 0.0 ? text_of(lines / left) + "~" : "0") + " | " +
-            (documents > 0.0 ? text_of(documents * given("document") * 1e-6 / left) + "~" : "0") + " | " +
-            (starting > 0.0 ? text_of(starting * given("gaps")) + "~" : "0") + " | " + text_of(quiet) +
-            (quiet.blank() ? "" : " s, `" + id + "`; " + against(quiet, given("in_force"), "6 s").text) +
+    text += "| " + name + " | " + describe(touched) + " | " +
+            (list_changes > 0.0 ? describe(list_changes) + "~" : "0") + " | " +
+            (starting > 0.0 ? describe(lists) : "0") + " | " +
+            (lines > 0.0 ? describe(lines / left) + "~" : "0") + " | " +
+            (documents > 0.0 ? describe(documents * given("document") * 1e-6 / left) + "~" : "0") + " | " +
+            (starting > 0.0 ? describe(starting * given("gaps")) + "~" : "0") + " | " + describe(quiet) +
+            (quiet.blank() ? "" : " s, `" + id + "`; " + check_limit(quiet, given("in_force"), "6 s").text) +
             " | " + served + " |\n";
   };
   const auto restart = [&](const std::string& name, double machines_gone, const std::string& id,
@@ -620,7 +628,7 @@
           "calls, by the servers that stay, if they can bear it");
   restart("a zone, 8 in each region", given("zone_small"), "moment_zone_small_s",
           "calls, by the servers that stay, if they can bear it");
-  row("a region back after an hour, " + text_of(given("behind")) + " changes behind", given("third"),
+  row("a region back after an hour, " + describe(given("behind")) + " changes behind", given("third"),
       given("list_changes") * 3600.0 * given("listers") / given("regions"), 0.0,
       given("third") * given("sources") * (1.0 + notices), given("third") * given("behind_each"), machines,
       "heal_to_quiet", "calls, with the last good configuration, on both sides");
@@ -649,7 +657,7 @@
 
 // ---- readings
 
-std::string Sums::readings() const {
+std::string CapacityModel::readings() const {
   std::string text =
       "| calls at each gatekeeper | processor a call, us | share of a core | added, 99th percentile, us: one "
       "gatekeeper "
@@ -661,13 +669,13 @@
     const Figure one = slope(id, 1.0);
     const Figure line = slope(id, given("depth"));
     const Figure cpu = cpu_per_call(calls);
-    text += "| " + text_of(calls) +
-            (deep ? ": 2.6 million without the calls further down, each " + text_of(given("depth")) + " deep"
+    text += "| " + describe(calls) +
+            (deep ? ": 2.6 million without the calls further down, each " + describe(given("depth")) + " deep"
                   : ": calls further down are among the 2.6 million") +
-            " | " + text_of(cpu) + " | " + (cpu.blank() ? kNotMeasured : percent(cpu.value * calls / 1e6)) +
-            " | " + text_of(one) + " | " + text_of(line) + " | " +
-            against(one, given("added"), "added time").text + " | " +
-            against(line, given("added"), "added time").text + " |\n";
+            " | " + describe(cpu) + " | " + (cpu.blank() ? kNotMeasured : percent(cpu.value * calls / 1e6)) +
+            " | " + describe(one) + " | " + describe(line) + " | " +
+            check_limit(one, given("added"), "added time").text + " | " +
+            check_limit(line, given("added"), "added time").text + " |\n";
   }
   text +=
       "\n| the last server of one call | attempts that reach it: 1 gatekeeper | 3 | 9 |\n| --- | --- | --- | "
@@ -676,34 +684,34 @@
                                    std::pair("silent", "says nothing")}) {
     text += std::string("| ") + what;
     for (const double depth : {1.0, 3.0, 9.0})
-      text += " | " + text_of(slope(std::string("attempts_at_last_server_") + kind, depth));
+      text += " | " + describe(slope(std::string("attempts_at_last_server_") + kind, depth));
     text += " |\n";
   }
   return text;
 }
 
-Figure Sums::cpu_per_call(double calls) const {
+Figure CapacityModel::cpu_per_call(double calls) const {
   const Figure paired =
       slope("cpu_per_call_us_at_" + std::to_string(static_cast<int>(std::lround(calls))), 1.0);
   return paired.known() ? paired : slope("cpu_per_call", calls);
 }
 
-// Whether the membership came to rest at every size that was measured.
-std::string Sums::membership_note() const {
+// Says up to which measured size the membership settled, and what it cost where it did not.
+std::string CapacityModel::membership_note() const {
   const auto it = slopes_.find("membership_bytes");
   const auto not_settled = slopes_.find("membership_unsettled_bytes");
   std::string text = "**Membership**: ";
   if (it == slopes_.end()) {
     text += "not measured";
   } else {
-    text += "settled at up to " + text_of(it->second.fit.largest) + " members (" +
-            text_of(median(it->second.points.back().runs) * 0.002) +
+    text += "settled at up to " + describe(it->second.fit.largest) + " members (" +
+            describe(median(it->second.points.back().runs) * 0.002) +
             " KB a second in and out there); what lies beyond follows the law";
   }
   if (not_settled != slopes_.end()) {
     const double size = not_settled->second.points.front().size;
-    text += ". **At " + text_of(size) + " members it did not settle** and sent " +
-            text_of(median(not_settled->second.points.front().runs) * 0.001) +
+    text += ". **At " + describe(size) + " members it did not settle** and sent " +
+            describe(median(not_settled->second.points.front().runs) * 0.001) +
             " KB a second each: no slope is drawn through that, and the row's figures at the target are what "
             "a membership "
             "that settles would cost";
@@ -713,7 +721,7 @@
 
 // ---- the rest
 
-std::string Sums::bounds() const {
+std::string CapacityModel::bounds() const {
   std::string text =
       "| bound | value | where | needed at the target | verdict | beyond it |\n| --- | --- | --- | --- | --- "
       "| --- |\n";
@@ -721,65 +729,65 @@
     const double needed = given(b.at("needs"));
     const double value = b.at("value");
     const std::string name = b.at("name");
-    const Verdict v = within_bound(needed, value, name);
-    text += "| `" + name + "` | " + text_of(value) + " | `" + b.at("where").get<std::string>() + "` | " +
-            (needed > 0.0 ? text_of(needed) : kNotMeasured) + " | " +
+    const LimitCheck v = check_bound(needed, value, name);
+    text += "| `" + name + "` | " + describe(value) + " | `" + b.at("where").get<std::string>() + "` | " +
+            (needed > 0.0 ? describe(needed) : kNotMeasured) + " | " +
             (needed <= 0.0 ? "not known"
-                           : word_of(v.fits) + ", " + text_of(v.times) +
-                                 (v.fits == Fits::yes ? " times room" : " times too small")) +
+                           : to_string(v.status) + ", " + describe(v.ratio) +
+                                 (v.status == LimitStatus::within ? " times room" : " times too small")) +
             " | " + b.at("beyond").get<std::string>() + " |\n";
   }
   return text;
 }
 
-std::string Sums::missing() const {
-  struct Short {
+std::string CapacityModel::missing() const {
+  struct Shortfall {
     std::string family{};
     std::string part{};
-    Verdict verdict{};
-    bool stands{};
+    LimitCheck check{};
+    bool implemented{};
     std::size_t rows = 1;
   };
-  std::vector<Short> all;
+  std::vector<Shortfall> all;
   std::size_t no = 0;
   std::size_t unknown = 0;
   std::size_t rows = 0;
   for (const std::vector<Row>& table : {gatekeeper(), machines()}) {
     for (const Row& r : table) {
       ++rows;
-      const Verdict v = worst(r.verdicts);
-      unknown += v.fits == Fits::not_known ? 1 : 0;
-      if (v.fits != Fits::no) continue;
+      const LimitCheck v = worst(r.checks);
+      unknown += v.status == LimitStatus::unknown ? 1 : 0;
+      if (v.status != LimitStatus::exceeded) continue;
       ++no;
-      // A family of rows stands once, by the worst of them.
+      // A family is listed once, with its worst row.
       const auto same =
-          std::find_if(all.begin(), all.end(), [&](const Short& s) { return s.family == r.family; });
+          std::find_if(all.begin(), all.end(), [&](const Shortfall& s) { return s.family == r.family; });
       if (same == all.end()) {
-        all.push_back({r.family, r.part, v, r.stands});
+        all.push_back({r.family, r.part, v, r.implemented});
       } else {
         ++same->rows;
-        if (v.times > same->verdict.times) {
+        if (v.ratio > same->check.ratio) {
           same->part = r.part;
-          same->verdict = v;
+          same->check = v;
         }
       }
     }
   }
-  // First that for which nothing stands, then by how much they fail.
-  std::stable_sort(all.begin(), all.end(), [](const Short& a, const Short& b) {
-    return a.stands != b.stands ? !a.stands : a.verdict.times > b.verdict.times;
+  // Unimplemented parts first, then by the ratio to the limit, largest first.
+  std::stable_sort(all.begin(), all.end(), [](const Shortfall& a, const Shortfall& b) {
+    return a.implemented != b.implemented ? !a.implemented : a.check.ratio > b.check.ratio;
   });
   std::string text =
       "| | what | by how much, at its worst | that row | rows |\n| --- | --- | --- | --- | --- |\n";
-  std::size_t place = 0;
-  for (const Short& s : all)
-    text += "| " + std::to_string(++place) + " | " + s.family + " | " + s.verdict.text + " | " + s.part +
-            " | " + std::to_string(s.rows) + " |\n";
+  std::size_t rank = 0;
+  for (const Shortfall& s : all)
+    text += "| " + std::to_string(++rank) + " | " + s.family + " | " + s.check.text + " | " + s.part + " | " +
+            std::to_string(s.rows) + " |\n";
   return text + "\nOf " + std::to_string(rows) + " rows " + std::to_string(no) + " do not fit and " +
          std::to_string(unknown) + " are not known.\n";
 }
 
-std::string Sums::slopes_table() const {
+std::string CapacityModel::slopes_table() const {
   std::string text =
       "| figure | unit | grows with | measured at | at the largest | law | error, largest held out | spread "
       "of runs | "
@@ -788,41 +796,41 @@
     std::string sizes;
     std::size_t runs = s.points.front().runs.size();
     for (const Point& p : s.points) {
-      sizes += (sizes.empty() ? "" : ", ") + text_of(p.size);
+      sizes += (sizes.empty() ? "" : ", ") + describe(p.size);
       runs = std::min(runs, p.runs.size());
     }
-    text +=
-        "| `" + id + "` | " + s.unit + " | " + s.per + " | " + sizes + " | " +
-        text_of(median(s.points.back().runs)) + " | " + std::string(word_of(s.fit.law)) + ": " +
-        text_of(s.fit.base) +
-        (s.fit.law == Law::constant ? ""
-                                    : " + " + text_of(s.fit.slope) + (s.fit.law == Law::n ? " n" : " ln n")) +
-        " | " + (s.fit.error ? percent(*s.fit.error) : "one size") + " | " + percent(s.fit.spread) + " | " +
-        std::to_string(runs) + " | `" + s.command + "` | " + s.revision + " |\n";
+    text += "| `" + id + "` | " + s.unit + " | " + s.per + " | " + sizes + " | " +
+            describe(median(s.points.back().runs)) + " | " + std::string(to_string(s.fit.law)) + ": " +
+            describe(s.fit.base) +
+            (s.fit.law == Law::constant
+                 ? ""
+                 : " + " + describe(s.fit.slope) + (s.fit.law == Law::n ? " n" : " ln n")) +
+            " | " + (s.fit.error ? percent(*s.fit.error) : "one size") + " | " + percent(s.fit.spread) +
+            " | " + std::to_string(runs) + " | `" + s.command + "` | " + s.revision + " |\n";
   }
   if (slopes_.empty()) text += "| none | | | | | | | | | | |\n";
   return text;
 }
 
-std::string Sums::given_table(const char* part) const {
+std::string CapacityModel::given_table(const char* part) const {
   std::string text = "| name | value | what it is |\n| --- | --- | --- |\n";
   for (const auto& [name, one] : target_.at(part).items()) {
     const std::string word = one.at("word");
-    text += "| `" + name + "` | " + text_of(one.at("value").get<double>()) + " " +
+    text += "| `" + name + "` | " + describe(one.at("value").get<double>()) + " " +
             one.at("unit").get<std::string>() + " | " + word + " |\n";
   }
   return text;
 }
 
-std::string Sums::worked_out() const {
+std::string CapacityModel::derived_table() const {
   std::string text = "| name | value | how |\n| --- | --- | --- |\n";
-  for (const auto& [name, one] : worked_)
-    text += "| `" + name + "` | " + (one.value > 0.0 ? text_of(one.value) : kNotMeasured) + " | " + one.how +
+  for (const auto& [name, one] : derived_)
+    text += "| `" + name + "` | " + (one.value > 0.0 ? describe(one.value) : kNotMeasured) + " | " + one.how +
             " |\n";
   return text;
 }
 
-Tables Sums::tables() const {
+Tables CapacityModel::tables() const {
   constexpr const char* kHead =
       "| part | what carries it | state, KB | messages a second, in and out | KB a second, in and out | "
       "processor, ms a "
@@ -834,8 +842,8 @@
   for (const Row& r : machines()) others += cells(r);
   all["gatekeeper"] = gatekeepers;
   all["machines"] = others;
-  all["sum-gatekeeper"] = sum_gatekeeper();
-  all["sum-machines"] = sum_machines();
+  all["sum-gatekeeper"] = gatekeeper_total();
+  all["sum-machines"] = machines_total();
   all["moments"] = moments();
   all["readings"] = readings();
   all["bounds"] = bounds();
@@ -844,7 +852,7 @@
   all["slopes"] = slopes_table();
   all["target"] = given_table("target");
   all["assumptions"] = given_table("assumptions");
-  all["worked-out"] = worked_out();
+  all["worked-out"] = derived_table();
   return all;
 }
 
--- a/bench/capacity/sums.h
+++ b/bench/capacity/sums.h
@@ -1,5 +1,5 @@
-// The sums of docs/CAPACITY.md: what each part of control costs at the size of the target, worked out from
-// measured slopes and from what the target and the assumptions beside it say. Pure.
+// Capacity model behind docs/CAPACITY.md: computes the cost of each part of the control plane at the target
+// size from measured slopes, the target's values and its assumptions, and compares it with limits. No I/O.
 #pragma once
 
 #include <limits>
@@ -14,55 +14,58 @@
 
 namespace graniterun::capacity {
 
-// A figure with what it may be by the error and the spread of its slopes, and the slopes that no run has
-// given: it holds at least `value` then.
+// A figure with the range given by the error and spread of its slopes. If slopes are missing because no run
+// measured them, `value` is a lower bound.
 struct Figure {
   double value{};
   double low{};
   double high{};
-  std::set<std::string> from{};     // slopes
-  std::set<std::string> missing{};  // slopes
+  std::set<std::string> from{};     // ids of the slopes used
+  std::set<std::string> missing{};  // ids of the slopes without a run
   bool known() const { return missing.empty(); }
-  // Not known, and nothing of it is.
+  // No part of the figure is measured.
   bool blank() const { return !known() && from.empty(); }
 };
 Figure exact(double value);
 Figure operator+(const Figure& a, const Figure& b);
-Figure operator*(const Figure& a, const Figure& b);  // of figures that are not below 0
+Figure operator*(const Figure& a, const Figure& b);  // both must be at least 0
 inline Figure operator*(const Figure& a, double b) { return a * exact(b); }
 
-enum class Fits { yes, no, not_known };
-struct Verdict {
-  Fits fits{};
-  double times{};  // yes: the limit is so many times the figure; no: the figure is so many times the limit
+enum class LimitStatus { within, exceeded, unknown };
+// Result of comparing a figure with a limit.
+struct LimitCheck {
+  LimitStatus status{};
+  double ratio{};  // within: limit / figure; exceeded: figure / limit
   std::string text{};
 };
-// Yes or no only where the slopes' error and spread leave no doubt; no also where what is known is too much
-// already. A figure that no run stands behind is not known.
-Verdict against(const Figure& figure, double limit, const std::string& of);
-// Of a bound and what it has to hold, both exact.
-Verdict within_bound(double needed, double bound, const std::string& name);
-// The one that decides: the worst no, else not known, else the yes with the least margin.
-Verdict worst(const std::vector<Verdict>& all);
-// Of the one that decides; where that is a no, of every no, the worst first.
-std::string told_of(std::vector<Verdict> all);
+// Compares the whole uncertainty range of a figure with a limit, which `of` names. `exceeded` also if the
+// measured part alone exceeds the limit; `unknown` if the range spans the limit or no run supports the
+// figure.
+LimitCheck check_limit(const Figure& figure, double limit, const std::string& of);
+// Compares a bound in the code with the size it has to support; both are exact.
+LimitCheck check_bound(double needed, double bound, const std::string& name);
+// Returns the check that decides: the exceeded one with the largest ratio, else an unknown one, else the one
+// with the smallest margin.
+LimitCheck worst(const std::vector<LimitCheck>& all);
+// Text of the check that decides; if that one is exceeded, of all exceeded ones, the largest ratio first.
+std::string describe_checks(std::vector<LimitCheck> all);
 
-// 1,234 and 0.0123: three digits.
-std::string text_of(double value);
-std::string text_of(const Figure& figure);
+// Formats with three significant digits, and thousands separators: 1,234 and 0.0123.
+std::string describe(double value);
+std::string describe(const Figure& figure);
 
-class Sums {
+class CapacityModel {
  public:
-  // `target`: {"target": {name: {"value", "unit", "word"}}, "assumptions": the same, "bounds": [...]}. Throws
-  // BadInput.
-  Sums(Slopes slopes, const nlohmann::json& target);
+  // `target`: {"target": {name: {"value", "unit", "word"}}, "assumptions": same form, "bounds": [...]}.
+  // Throws BadInput.
+  CapacityModel(Slopes slopes, const nlohmann::json& target);
 
-  double given(const std::string& name) const;  // of the target, the assumptions, or worked out from them
-  // A slope at a size; without a run: missing.
+  double given(const std::string& name) const;  // from the target, the assumptions, or derived
+  // Value of a slope at a size; a slope without a run, or with a run that did not end, is listed as missing.
   Figure slope(const std::string& id, double size) const;
-  // The first of them that a run has given; without any it is missing, and what is reckoned stands beside
-  // that.
-  Figure slope_or(const std::vector<std::string>& ids, double size, double reckoned) const;
+  // Value of the first slope of `ids` that was measured. Without any, the value is the estimate and the first
+  // id is listed as missing.
+  Figure slope_or(const std::vector<std::string>& ids, double size, double estimate) const;
   Tables tables() const;
 
  private:
@@ -70,19 +73,19 @@
     std::string part{};
     std::string mechanism{};
     Figure state{};     // bytes
-    Figure messages{};  // a second, in and out
-    Figure bytes{};     // a second, in and out
-    Figure cpu{};       // ms a second
-    std::vector<Verdict> verdicts{};
-    bool stands = true;  // something carries it today
+    Figure messages{};  // per second, in and out
+    Figure bytes{};     // per second, in and out
+    Figure cpu{};       // ms per second
+    std::vector<LimitCheck> checks{};
+    bool implemented = true;  // false: planned, nothing implements it yet
     bool control = true;
-    std::string family{};     // rows of one thing that is missing
-    bool other_case = false;  // of a part that another row stands for: it is not summed up
+    std::string family{};      // groups rows that one missing feature would fix
+    bool alternative = false;  // other load of a part already in the total: left out of it
   };
   std::string cells(const Row& row) const;
   std::vector<Row> gatekeeper() const;
   std::vector<Row> machines() const;
-  Row sum_of(const std::vector<Row>& rows, bool traces) const;
+  Row total_of(const std::vector<Row>& rows, bool traces) const;
   std::string moments() const;
   std::string readings() const;
   std::string bounds() const;
@@ -91,18 +94,18 @@
   std::string membership_note() const;
   std::string slopes_table() const;
   std::string given_table(const char* part) const;
-  std::string worked_out() const;
-  std::string sum_gatekeeper() const;
-  std::string sum_machines() const;
-  Verdict bound(const std::string& name) const;
+  std::string derived_table() const;
+  std::string gatekeeper_total() const;
+  std::string machines_total() const;
+  LimitCheck bound(const std::string& name) const;
 
   Slopes slopes_;
   nlohmann::json target_;
-  struct Worked {
+  struct DerivedValue {
     double value{};
-    std::string how{};
+    std::string how{};  // derivation, for the page
   };
-  std::map<std::string, Worked> worked_;
+  std::map<std::string, DerivedValue> derived_;
 };
 
 }  // namespace graniterun::capacity
--- a/bench/close_bench.cpp
+++ b/bench/close_bench.cpp
@@ -1,6 +1,6 @@
-// From a caller's close to the CANCEL of its call at the setup server, with the real program, idle and beside
-// a load. Usage: close_bench GATEKEEPER. Exits with 1 where the aim is missed: no attempt may go on for more
-// than 0.1 s after its caller closed.
+// Measures the time from a caller's disconnect to the CANCEL of its call at the setup server, with a real
+// gatekeeper, idle and under load. Usage: close_bench GATEKEEPER. Exits with 1 if the limit is missed: no
+// attempt may go on for more than 0.1 s after its caller disconnected.
 #include <atomic>
 #include <cstdio>
 #include <map>
@@ -17,34 +17,34 @@
 
 namespace {
 
-constexpr double kLimitMs = 100.0;
-constexpr int kCloses = 300;
-constexpr int kRate = 1000;  // calls a second beside it
+constexpr double kMaxCancelDelayMs = 100.0;
+constexpr int kDisconnects = 300;
+constexpr int kLoadRate = 1000;  // calls per second of the concurrent load
 
-bool good = true;
+bool passed = true;
 
-void figure(const std::string& name, double value, const char* unit, bool holds) {
-  std::printf("%s %.3f %s%s\n", name.c_str(), value, unit, holds ? "" : " SHORT");
+void print_figure(const std::string& name, double value, const char* unit, bool within_limit) {
+  std::printf("%s %.3f %s%s\n", name.c_str(), value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && holds;
+  passed = passed && within_limit;
 }
 
-// A setup server that answers all but the calls measured, and notes when their CANCELs come.
+// Setup server that answers all calls but the measured ones, and records when their INVITE and CANCEL arrive.
 class Server {
  public:
   Server() : thread_([this] { serve(); }) {}
   ~Server() {
-    over_ = true;
+    stopping_ = true;
     thread_.join();
   }
   int port() const { return listener_.port(); }
-  // Whether that request for the call has come within so long, and when.
-  bool wait(const std::string& method, const std::string& id, Clock::time_point& came) {
+  // Waits up to 3 s for the request `method` of call `id`; `received_at` is its arrival time.
+  bool wait_for(const std::string& method, const std::string& id, Clock::time_point& received_at) {
     for (const auto end = Clock::now() + 3s; Clock::now() < end; std::this_thread::sleep_for(200us)) {
       const std::lock_guard guard(mutex_);
-      const auto it = came_.find(method + id);
-      if (it == came_.end()) continue;
-      came = it->second;
+      const auto it = received_at_.find(method + id);
+      if (it == received_at_.end()) continue;
+      received_at = it->second;
       return true;
     }
     return false;
@@ -58,13 +58,13 @@
   };
   void serve() {
     std::vector<Peer> peers;
-    while (!over_) {
+    while (!stopping_) {
       std::vector<pollfd> polled{{listener_.descriptor(), POLLIN, 0}};
       for (const Peer& p : peers) polled.push_back({p.socket.descriptor(), POLLIN, 0});
       if (::poll(polled.data(), polled.size(), 50) <= 0) continue;
       const auto now = Clock::now();
       for (std::size_t i = 1; i < polled.size(); ++i) {
-        if (polled[i].revents != 0) hear(peers[i - 1], now);
+        if (polled[i].revents != 0) handle_input(peers[i - 1], now);
       }
       std::erase_if(peers, [](const Peer& p) { return !p.open; });
       if (polled[0].revents != 0) {
@@ -75,7 +75,7 @@
       }
     }
   }
-  void hear(Peer& peer, Clock::time_point now) {
+  void handle_input(Peer& peer, Clock::time_point now) {
     const std::string got = peer.socket.some(65536);
     if (got.empty()) {
       peer.open = false;
@@ -97,14 +97,14 @@
     const bool measured = id.starts_with("ffff");
     if (measured) {
       const std::lock_guard guard(mutex_);
-      came_.emplace(message.method + id, now);
+      received_at_.emplace(message.method + id, now);
     }
     if (measured && message.method == "INVITE") return {};
     sip::Message reply;
     reply.status = measured ? 487 : 200;
     reply.phrase = "x";
     for (const char* name : {"Via", "Call-ID", "CSeq"}) reply.add(name, std::string(message.header(name)));
-    if (measured) {  // the end of its INVITE
+    if (measured) {  // the final answer to its INVITE
       reply.headers.clear();
       reply.add("Call-ID", id);
       reply.add("CSeq", "1 INVITE");
@@ -115,9 +115,9 @@
   }
 
   test::Socket listener_ = test::Socket::bound(SOCK_STREAM);
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::mutex mutex_;
-  std::map<std::string, Clock::time_point> came_;
+  std::map<std::string, Clock::time_point> received_at_;
   std::thread thread_;
 };
 
@@ -127,39 +127,40 @@
   return id;
 }
 
-void closes(const std::string& name, int port, Server& server) {
-  std::vector<double> all;
-  int not_told = 0;
-  int not_begun = 0;
-  for (int i = 0; i < kCloses; ++i) {
-    const std::string id =
-        id_of(static_cast<int>(all.size()) + not_told + not_begun + (name.empty() ? 0 : 100000));
-    Clock::time_point came;
+void measure_disconnects(const std::string& name, int port, Server& server) {
+  std::vector<double> delays;
+  int without_cancel = 0;
+  int without_invite = 0;
+  for (int i = 0; i < kDisconnects; ++i) {
+    const std::string id = id_of(static_cast<int>(delays.size()) + without_cancel + without_invite +
+                                 (name.empty() ? 0 : 100000));
+    Clock::time_point received_at;
     Clock::time_point closed;
     {
       test::Socket caller = test::Socket::connected(port);
       caller.send(R"({"type":"setup","id":")" + id + R"(","fields":{"class":"voice","left":"3000","key":")" +
                   id + R"(","extras":"dest:2"},"sdp":"o"})" + "\n");
-      if (!server.wait("INVITE", id, came)) {
-        ++not_begun;
+      if (!server.wait_for("INVITE", id, received_at)) {
+        ++without_invite;
         continue;
       }
       closed = Clock::now();
     }
-    if (server.wait("CANCEL", id, came)) {
-      all.push_back(std::chrono::duration<double, std::milli>(came - closed).count());
+    if (server.wait_for("CANCEL", id, received_at)) {
+      delays.push_back(std::chrono::duration<double, std::milli>(received_at - closed).count());
     } else {
-      ++not_told;
+      ++without_cancel;
     }
     std::this_thread::sleep_for(2ms);
   }
-  figure("close_to_cancel_median" + name, lab::percentile(all, 0.5), "ms", true);
-  const double p99 = lab::percentile(all, 0.99);
-  figure("close_to_cancel_p99_ms" + name, p99, "ms", !all.empty() && p99 < kLimitMs);
-  const double longest = lab::percentile(all, 1.0);
-  figure("close_to_cancel_longest" + name, longest, "ms", !all.empty() && longest < kLimitMs);
-  figure("closes_without_cancel" + name, not_told, "calls", not_told == 0);
-  figure("calls_that_never_began" + name, not_begun, "calls", not_begun < kCloses / 10);
+  print_figure("close_to_cancel_median" + name, lab::percentile(delays, 0.5), "ms", true);
+  const double p99 = lab::percentile(delays, 0.99);
+  print_figure("close_to_cancel_p99_ms" + name, p99, "ms", !delays.empty() && p99 < kMaxCancelDelayMs);
+  const double longest = lab::percentile(delays, 1.0);
+  print_figure("close_to_cancel_longest" + name, longest, "ms",
+               !delays.empty() && longest < kMaxCancelDelayMs);
+  print_figure("closes_without_cancel" + name, without_cancel, "calls", without_cancel == 0);
+  print_figure("calls_that_never_began" + name, without_invite, "calls", without_invite < kDisconnects / 10);
 }
 
 }  // namespace
@@ -173,23 +174,23 @@
   json config = config_of(at(port), servers, 0, 1);
   config["settings"]["familyInfo"]["poolsByClass"] = {{0, 1, 2}, {0, 1, 2}};
   const test::Program program(argv[1], config.dump());
-  closes("", port, server);  // the load's servers refuse connections meanwhile
+  measure_disconnects("", port, server);  // the load's servers are not listening yet
   lab::Plan plan;
   plan.gatekeepers = {at(port)};
   plan.servers = loaded;
   plan.flows.emplace_back();
-  plan.flows[0].per_second = kRate;
+  plan.flows[0].per_second = kLoadRate;
   plan.lasts = 8s;
   lab::Load load(plan);
   std::thread callers([&] {
     std::this_thread::sleep_for(2500ms);
-    closes("_loaded", port, server);
+    measure_disconnects("_loaded", port, server);
   });
   load.run();
   callers.join();
-  std::size_t stood = 0;
-  for (const lab::CallRecord& c : load.calls()) stood += c.stood ? 1 : 0;
-  const double share = static_cast<double>(stood) / static_cast<double>(load.calls().size());
-  figure("load_stood", share, "share", share > 0.95);
-  return good ? 0 : 1;
+  std::size_t established = 0;
+  for (const lab::CallRecord& c : load.calls()) established += c.stood ? 1 : 0;
+  const double share = static_cast<double>(established) / static_cast<double>(load.calls().size());
+  print_figure("load_stood", share, "share", share > 0.95);
+  return passed ? 0 : 1;
 }
--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -1,5 +1,7 @@
-// Cold servers and the fleet, over many seeds: the worst window that all senders together make, as a share of
-// what chance allows beyond the budget (1 is a fall), and how much of the offered calls stood.
+// Simulates servers in slow start behind a fleet of senders, over many seeds. Prints the worst window of all
+// senders together, as a fraction of the random excess allowed over the budget (above 1 the server falls
+// over), and the share of offered calls that were established. Usage: cold_bench [SEEDS]. Exits with 1 if any
+// server falls over.
 #include <atomic>
 #include <cstdio>
 #include <cstdlib>
@@ -74,49 +76,49 @@
 int main(int argc, char** argv) {
   const int seeds = argc > 1 ? std::atoi(argv[1]) : 100;
   std::vector<Case> all = cases();
-  struct Sum {
+  struct CaseTotals {
     double worst = -1e9;
     double budget = 0.0;
     double served = 0.0;
     int over = 0;
     int played = 0;
   };
-  std::vector<Sum> sums(all.size());
-  struct Play {
-    std::size_t which;
+  std::vector<CaseTotals> totals(all.size());
+  struct Run {
+    std::size_t case_index;
     int seed;
   };
-  std::vector<Play> plays;
+  std::vector<Run> runs;
   for (std::size_t i = all.size(); i-- > 0;) {  // the largest fleets first
     const int count = all[i].fleet.senders > 100 ? std::max(1, seeds / 20) : seeds;
-    for (int seed = 1; seed <= count; ++seed) plays.push_back({i, seed});
+    for (int seed = 1; seed <= count; ++seed) runs.push_back({i, seed});
   }
   std::atomic<std::size_t> next{0};
-  std::mutex adding;
+  std::mutex totals_mutex;
   std::vector<std::thread> threads;
-  for (unsigned w = 0; w < std::max(1U, std::thread::hardware_concurrency()); ++w) {
+  for (unsigned worker = 0; worker < std::max(1U, std::thread::hardware_concurrency()); ++worker) {
     threads.emplace_back([&] {
-      for (std::size_t at = next++; at < plays.size(); at = next++) {
-        ColdFleet fleet = all[plays[at].which].fleet;
-        fleet.seed = static_cast<std::uint64_t>(plays[at].seed);
-        const ColdFleet::Result r = fleet.play();
-        const std::lock_guard lock(adding);
-        Sum& sum = sums[plays[at].which];
-        sum.worst = std::max(sum.worst, r.worst);
-        sum.budget = std::max(sum.budget, r.of_budget);
-        sum.served += r.served();
-        sum.over += r.worst > 1.0 ? 1 : 0;
-        ++sum.played;
+      for (std::size_t at = next++; at < runs.size(); at = next++) {
+        ColdFleet fleet = all[runs[at].case_index].fleet;
+        fleet.seed = static_cast<std::uint64_t>(runs[at].seed);
+        const ColdFleet::Result result = fleet.play();
+        const std::lock_guard lock(totals_mutex);
+        CaseTotals& case_totals = totals[runs[at].case_index];
+        case_totals.worst = std::max(case_totals.worst, result.worst);
+        case_totals.budget = std::max(case_totals.budget, result.of_budget);
+        case_totals.served += result.served();
+        case_totals.over += result.worst > 1.0 ? 1 : 0;
+        ++case_totals.played;
       }
     });
   }
-  for (std::thread& t : threads) t.join();
+  for (std::thread& thread : threads) thread.join();
   int over = 0;
   for (std::size_t i = 0; i < all.size(); ++i) {
     std::printf("cold_%-22s worst %6.2f of chance, %4.2f of budget, served %4.2f, falls %d of %d\n",
-                all[i].name.c_str(), sums[i].worst, sums[i].budget, sums[i].served / sums[i].played,
-                sums[i].over, sums[i].played);
-    over += sums[i].over;
+                all[i].name.c_str(), totals[i].worst, totals[i].budget, totals[i].served / totals[i].played,
+                totals[i].over, totals[i].played);
+    over += totals[i].over;
   }
   return over == 0 ? 0 : 1;
 }
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -1,8 +1,10 @@
-// What control costs, part by part: the program's own reducers under a clock of their own, at three sizes or
-// more. A line a figure, `name_at_N value unit`, N being what the figure is to grow with. Processor time and
-// counts only, so that it holds on a busy machine; sockets, the kernel and the headers of IP are not in it.
+// Measures the cost of each part of the control plane by running the program's own reducers under a simulated
+// clock, at three or more sizes. Prints one figure per line, `name_at_N value unit`, where N is the size that
+// the figure grows with. It measures processor time and counts only, so that results hold on a busy machine;
+// sockets, the kernel and IP headers are not included.
+//
 // Usage: control_bench [PART...]; parts: membership membership_1000 discovery gaps announcer configuration
-// figures. Without any: all but membership_1000.
+// figures. Without arguments: all but membership_1000.
 #include <malloc.h>
 #include <sys/resource.h>
 
@@ -56,18 +58,19 @@
     sim.start(i);
     if (size > 100 && i % 10 == 9) sim.run(20ms);
   }
-  const Duration patience = size > 300 ? 10s : 30s;
-  const bool settled = sim.until(patience,
+  const Duration settle_timeout = size > 300 ? 10s : 30s;
+  const bool settled = sim.until(settle_timeout,
                                  [&, next = Time{}]() mutable {
                                    if (sim.now() < next) return false;
                                    next = sim.now() + 100ms;
                                    return sim.all_agree();
                                  })
                            .has_value();
-  // What is told of a fleet that never came to rest is no slope.
+  // Figures of a fleet that did not settle get another name, because no slope may be drawn through them.
   const std::string name = settled ? "membership_" : "membership_unsettled_";
-  if (!settled) std::printf("# not settled: %zu members, %.0f s after the start\n", size, seconds(patience));
-  // What is told of the starts goes on for some 6.5 s after all agree: it is not quiet before.
+  if (!settled)
+    std::printf("# not settled: %zu members, %.0f s after the start\n", size, seconds(settle_timeout));
+  // Gossip about the starts continues for about 6.5 s after all members agree.
   if (settled) sim.run(8s);
   std::size_t seen = 0;
   std::size_t sampled = 0;
@@ -93,7 +96,7 @@
   figure(name + "state", size, static_cast<double>(sim.member(0).memory()), "B");
 }
 
-// ---- discovery and the servers listed: the whole reducer of a gatekeeper, without callers
+// ---- discovery and setup servers: the whole reducer of a gatekeeper, without callers
 
 json target(std::size_t i, std::size_t boot) {
   return {{"uid", "setup-" + std::to_string(100'000 + i)},
@@ -107,7 +110,7 @@
           {"boot_ms", 1'700'000'000'000 + boot}};
 }
 
-json configuration_of(std::size_t classes) {
+json configuration_with_classes(std::size_t classes) {
   json settings = test::settings();
   settings["familyInfo"]["poolsByClass"] = json::array();
   settings["familyInfo"]["classHoldNs"] = json::array();
@@ -128,15 +131,17 @@
           {"settings", settings}};
 }
 
-// A gatekeeper, and in place of the runtime what connects at once and keeps count.
-class Alone {
+// Gatekeeper with a fake runtime, in which every connection succeeds at once, and which counts messages.
+class IsolatedGatekeeper {
  public:
-  Alone() : gatekeeper_(read_platform_config(configuration_of(2).dump()), DeployConfig{}, [](Counters&) {}) {
+  IsolatedGatekeeper()
+      : gatekeeper_(read_platform_config(configuration_with_classes(2).dump()), DeployConfig{},
+                    [](Counters&) {}) {
     feed(net::Started{});
-    hear("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    receive("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
   }
-  // From the journal service, in pieces as a socket gives them.
-  void hear(std::string_view bytes) {
+  // Delivers bytes from the journal service, in pieces as a socket reads them.
+  void receive(std::string_view bytes) {
     constexpr std::size_t kPiece = 16 * 1024;
     for (; !bytes.empty(); bytes.remove_prefix(std::min(kPiece, bytes.size()))) {
       unread_ += bytes.substr(0, kPiece);
@@ -156,10 +161,10 @@
       now_ = std::max(now_, next->second);
       const net::TimerKey key{next->first.first, next->first.second};
       timers_.erase(next);
-      // The journal service says every second that it is there.
-      if (now_ - said_ >= 1s) {
-        said_ = now_;
-        hear(":\n\n");
+      // The journal service sends an empty comment every second as a heartbeat.
+      if (now_ - last_heartbeat_at_ >= 1s) {
+        last_heartbeat_at_ = now_;
+        receive(":\n\n");
       }
       feed(net::TimerFired{key});
     }
@@ -169,16 +174,16 @@
 
  private:
   void feed(const net::Event& event) {
-    std::deque<net::Event> todo{event};
-    while (!todo.empty()) {
+    std::deque<net::Event> pending{event};
+    while (!pending.empty()) {
       net::Effects effects;
-      gatekeeper_.step(now_, todo.front(), effects);
-      todo.pop_front();
+      gatekeeper_.step(now_, pending.front(), effects);
+      pending.pop_front();
       for (const net::Effect& effect : effects) {
         if (const auto* c = std::get_if<net::Connect>(&effect)) {
           if (c->conn.concern == net::Concern::discovery) journal_ = c->conn;
           connects += c->conn.concern == net::Concern::server ? 1 : 0;
-          todo.push_back(net::Connected{c->conn});
+          pending.push_back(net::Connected{c->conn});
         } else if (const auto* s = std::get_if<net::Send>(&effect)) {
           to_servers += s->conn.concern == net::Concern::server ? 1 : 0;
         } else if (const auto* a = std::get_if<net::ArmTimer>(&effect)) {
@@ -191,7 +196,7 @@
   }
   Gatekeeper gatekeeper_;
   Time now_ = kStart;
-  Time said_ = kStart;
+  Time last_heartbeat_at_ = kStart;
   net::ConnId journal_{};
   std::string unread_{};
   std::uint64_t position_ = 0;
@@ -202,36 +207,36 @@
   std::vector<json> targets;
   for (std::size_t i = 0; i < size; ++i) targets.push_back(target(i, 0));
   const double heap = heap_bytes();
-  auto alone = std::make_unique<Alone>();
-  const std::string whole = alone->event(true, targets);
+  auto gatekeeper = std::make_unique<IsolatedGatekeeper>();
+  const std::string whole = gatekeeper->event(true, targets);
   double cpu = cpu_us();
-  alone->hear(whole);
+  gatekeeper->receive(whole);
   figure("discovery_list_cpu", size, cpu_us() - cpu, "us");
   figure("discovery_list_bytes", size, static_cast<double>(whole.size()), "B");
-  alone->run(2s);
-  figure("servers_connects", size, static_cast<double>(alone->connects), "connections");
+  gatekeeper->run(2s);
+  figure("servers_connects", size, static_cast<double>(gatekeeper->connects), "connections");
   figure("servers_state", size, heap_bytes() - heap - static_cast<double>(whole.capacity()), "B");
-  alone->to_servers = 0;
-  // Long enough for the little that a short list costs.
+  gatekeeper->to_servers = 0;
+  // A short list costs little, so it is measured for longer.
   const Duration quiet = std::clamp<Duration>(30'000s / size, 10s, 600s);
   cpu = cpu_us();
-  alone->run(quiet);
+  gatekeeper->run(quiet);
   figure("servers_idle_cpu", size, (cpu_us() - cpu) / seconds(quiet), "us/s");
-  figure("servers_probes", size, static_cast<double>(alone->to_servers) / seconds(quiet), "1/s");
-  // One server after the other has started anew.
+  figure("servers_probes", size, static_cast<double>(gatekeeper->to_servers) / seconds(quiet), "1/s");
+  // Each change is the restart of one server.
   const std::size_t changes = size > 300 ? 200 : 2000;
   std::vector<std::string> events;
   for (std::size_t i = 0; i < changes; ++i)
-    events.push_back(alone->event(false, {target(i * 7 % size, i + 1)}));
+    events.push_back(gatekeeper->event(false, {target(i * 7 % size, i + 1)}));
   cpu = cpu_us();
-  for (const std::string& e : events) alone->hear(e);
+  for (const std::string& e : events) gatekeeper->receive(e);
   figure("discovery_change_cpu", size, (cpu_us() - cpu) / static_cast<double>(changes), "us");
   figure("discovery_change_bytes", size, static_cast<double>(events.back().size()), "B");
 }
 
 // ---- gaps
 
-call_gapping::Announcement gap_of(std::size_t i, std::uint64_t version, Time now) {
+call_gapping::Announcement gap_announcement(std::size_t i, std::uint64_t version, Time now) {
   call_gapping::Announcement a;
   a.id = "gap-" + std::to_string(100'000 + i);
   a.version = version;
@@ -248,22 +253,22 @@
 void gaps_at(std::size_t size) {
   const Time now = kStart;
   const double heap = heap_bytes();
-  call_gapping::GapRegister held({1024, 0}, 1, now);
-  for (std::size_t i = 0; i < size; ++i) held.announce(now, gap_of(i, 1, now));
+  call_gapping::GapRegister gaps({1024, 0}, 1, now);
+  for (std::size_t i = 0; i < size; ++i) gaps.announce(now, gap_announcement(i, 1, now));
   figure("gap_state", size, (heap_bytes() - heap) / static_cast<double>(size), "B");
   constexpr std::size_t kChanges = 2000;
   const double cpu = cpu_us();
   for (std::size_t i = 0; i < kChanges; ++i)
-    held.announce(now + 1s, gap_of(i % size, 2 + i / size, now + 1s));
+    gaps.announce(now + 1s, gap_announcement(i % size, 2 + i / size, now + 1s));
   figure("gap_change_cpu", size, (cpu_us() - cpu) / kChanges, "us");
-  const json line = {{"op", "announce"}, {"gap", control::to_json(gap_of(size - 1, 2, now))}};
+  const json line = {{"op", "announce"}, {"gap", control::to_json(gap_announcement(size - 1, 2, now))}};
   figure("gap_change_bytes", size, static_cast<double>(control::line_of(line).size()), "B");
 }
 
-// The announcer and a control listener at each of its gatekeepers, with nothing between them.
-class Announced {
+// Gap publisher and the control listener of each of its gatekeepers, connected without sockets.
+class PublisherFleet {
  public:
-  explicit Announced(std::size_t size) {
+  explicit PublisherFleet(std::size_t size) {
     control::GapPublisherSettings s;
     s.listen = "127.0.0.1:7300";
     s.incarnation = 1;
@@ -275,49 +280,49 @@
       c.name = "gatekeeper-" + std::to_string(10'000 + i);
       c.seed = i + 1;
       counters_.push_back(std::make_unique<Counters>());
-      desks_.push_back(std::make_unique<control::Control>(c, *counters_.back()));
+      controls_.push_back(std::make_unique<control::Control>(c, *counters_.back()));
       Outbox out;
-      desks_.back()->start(now_, out);
+      controls_.back()->start(now_, out);
     }
-    announcer_ = std::make_unique<control::GapPublisher>(s);
-    to_announcer({net::Started{}});
-    pump();
+    publisher_ = std::make_unique<control::GapPublisher>(s);
+    step_publisher({net::Started{}});
+    deliver_all();
   }
-  // Ticks of all, every 50 ms; `calls`: of one number that each gatekeeper is asked about in a tick.
+  // Runs all ticks, one every 50 ms, each with `calls` checks of one called number at each gatekeeper.
   void run(Duration span, int calls = 0) {
     for (const Time end = now_ + span; now_ < end;) {
       now_ += 50ms;
       const double cpu = cpu_us();
-      for (std::size_t i = 0; i < desks_.size(); ++i) {
+      for (std::size_t i = 0; i < controls_.size(); ++i) {
         Outbox out;
-        desks_[i]->on(now_, net::TimerFired{{net::Concern::control, 0}}, out);
-        for (int c = 0; c < calls; ++c) desks_[i]->check(now_, "4711000000", "voice");
-        from_desk(i, out.net);
+        controls_[i]->on(now_, net::TimerFired{{net::Concern::control, 0}}, out);
+        for (int c = 0; c < calls; ++c) controls_[i]->check(now_, "4711000000", "voice");
+        queue_responses(i, out.net);
       }
       control_cpu += cpu_us() - cpu;
-      pump();
-      to_announcer({net::TimerFired{{net::Concern::control, 0}}});
-      pump();
+      deliver_all();
+      step_publisher({net::TimerFired{{net::Concern::control, 0}}});
+      deliver_all();
     }
   }
   void announce(const call_gapping::Announcement& a) {
     const net::ConnId conn{net::Concern::control, 1};
-    if (!std::exchange(operator_here_, true)) to_announcer({net::Accepted{conn}});
+    if (!std::exchange(operator_connected_, true)) step_publisher({net::Accepted{conn}});
     const std::string line = control::line_of({{"op", "announce"}, {"gap", control::to_json(a)}});
-    to_announcer({net::Received{conn, line}});
-    pump();
+    step_publisher({net::Received{conn, line}});
+    deliver_all();
   }
   Time now() const { return now_; }
-  bool all_hold() const {
-    return std::all_of(desks_.begin(), desks_.end(),
-                       [&](const auto& d) { return d->gaps().digest() == announcer_->digest(); });
+  bool all_have_gaps() const {
+    return std::all_of(controls_.begin(), controls_.end(),
+                       [&](const auto& d) { return d->gaps().digest() == publisher_->digest(); });
   }
   void reset() { announcer_cpu = control_cpu = 0, out_lines = out_bytes = in_lines = in_bytes = 0; }
 
   double announcer_cpu = 0.0;
   double control_cpu = 0.0;
   std::size_t connections = 0;
-  std::size_t out_lines = 0;  // of the announcer, to gatekeepers
+  std::size_t out_lines = 0;  // from the publisher to gatekeepers
   std::size_t out_bytes = 0;
   std::size_t in_lines = 0;
   std::size_t in_bytes = 0;
@@ -325,78 +330,79 @@
 
  private:
   struct Bytes {
-    std::size_t desk{};
+    std::size_t index{};
     std::string bytes;
   };
-  // Many events at once, so that looking at the clock costs little beside them.
-  void to_announcer(const std::vector<net::Event>& events) {
+  // Takes events in batches, so that reading the clock costs little in comparison.
+  void step_publisher(const std::vector<net::Event>& events) {
     const double cpu = cpu_us();
     net::Effects all;
     for (const net::Event& event : events) {
       net::Effects effects;
-      announcer_->step(now_, event, effects);
+      publisher_->step(now_, event, effects);
       std::move(effects.begin(), effects.end(), std::back_inserter(all));
     }
     announcer_cpu += cpu_us() - cpu;
     for (net::Effect& effect : all) {
       if (const auto* c = std::get_if<net::Connect>(&effect)) {
-        const std::size_t desk = c->conn.number - 1;  // numbered in the order of its list, none is ever lost
+        // Connections are numbered in list order, and none is ever lost.
+        const std::size_t index = c->conn.number - 1;
         ++connections;
         Outbox out;
-        desks_.at(desk)->on(now_, net::Accepted{desk_conn()}, out);
-        from_desk(desk, out.net);
+        controls_.at(index)->on(now_, net::Accepted{control_conn()}, out);
+        queue_responses(index, out.net);
         connected_.push_back(net::Connected{c->conn});
       } else if (auto* s = std::get_if<net::Send>(&effect);
                  s && s->conn.concern == net::Concern::control_client) {
         ++out_lines;
         out_bytes += s->bytes.size();
         longest_line = std::max(longest_line, s->bytes.size());
-        to_desks_.push_back({s->conn.number - 1, std::move(s->bytes)});
+        to_controls_.push_back({s->conn.number - 1, std::move(s->bytes)});
       }
     }
   }
-  void from_desk(std::size_t desk, net::Effects& effects) {
+  void queue_responses(std::size_t index, net::Effects& effects) {
     for (net::Effect& effect : effects) {
       if (auto* s = std::get_if<net::Send>(&effect)) {
         ++in_lines;
         in_bytes += s->bytes.size();
-        from_desks_.push_back({desk, std::move(s->bytes)});
+        from_controls_.push_back({index, std::move(s->bytes)});
       }
     }
   }
-  void pump() {
-    while (!connected_.empty() || !to_desks_.empty() || !from_desks_.empty()) {
-      to_announcer(std::exchange(connected_, {}));
-      const std::vector<Bytes> heard = std::exchange(from_desks_, {});
+  void deliver_all() {
+    while (!connected_.empty() || !to_controls_.empty() || !from_controls_.empty()) {
+      step_publisher(std::exchange(connected_, {}));
+      const std::vector<Bytes> responses = std::exchange(from_controls_, {});
       std::vector<net::Event> events;
-      for (const Bytes& b : heard)
+      for (const Bytes& b : responses)
         events.push_back(
-            net::Received{{net::Concern::control_client, static_cast<std::uint32_t>(b.desk + 1)}, b.bytes});
-      to_announcer(events);
+            net::Received{{net::Concern::control_client, static_cast<std::uint32_t>(b.index + 1)}, b.bytes});
+      step_publisher(events);
       const double cpu = cpu_us();
-      for (const Bytes& b : std::exchange(to_desks_, {})) {
+      for (const Bytes& b : std::exchange(to_controls_, {})) {
         Outbox out;
-        desks_[b.desk]->on(now_, net::Received{desk_conn(), b.bytes}, out);
-        from_desk(b.desk, out.net);
+        controls_[b.index]->on(now_, net::Received{control_conn(), b.bytes}, out);
+        queue_responses(b.index, out.net);
       }
       control_cpu += cpu_us() - cpu;
     }
   }
-  static net::ConnId desk_conn() { return {net::Concern::control, 1}; }
+  static net::ConnId control_conn() { return {net::Concern::control, 1}; }
 
   Time now_ = kStart;
   std::vector<std::unique_ptr<Counters>> counters_;
-  std::vector<std::unique_ptr<control::Control>> desks_;
-  std::unique_ptr<control::GapPublisher> announcer_;
+  std::vector<std::unique_ptr<control::Control>> controls_;
+  std::unique_ptr<control::GapPublisher> publisher_;
   std::vector<net::Event> connected_;
-  std::vector<Bytes> to_desks_;
-  std::vector<Bytes> from_desks_;
-  bool operator_here_ = false;
+  std::vector<Bytes> to_controls_;
+  std::vector<Bytes> from_controls_;
+  bool operator_connected_ = false;
 };
 
 void announcer_at(std::size_t size) {
   const auto n = static_cast<double>(size);
-  Announced fleet(size);
+  PublisherFleet fleet(size);
   fleet.run(1s);
   figure("announcer_connections", size, static_cast<double>(fleet.connections), "connections");
   const Duration quiet = size > 300 ? 1s : 4s;
@@ -409,12 +415,12 @@
   figure("control_quiet_cpu", size, fleet.control_cpu / s / n, "us/s");
   constexpr std::size_t kChanges = 10;
   fleet.reset();
-  for (std::size_t i = 0; i < kChanges; ++i) fleet.announce(gap_of(i, 1, fleet.now()));
-  if (!fleet.all_hold()) std::printf("# not all of %zu hold what was announced\n", size);
+  for (std::size_t i = 0; i < kChanges; ++i) fleet.announce(gap_announcement(i, 1, fleet.now()));
+  if (!fleet.all_have_gaps()) std::printf("# not all of %zu hold what was announced\n", size);
   figure("announcer_change_cpu", size, fleet.announcer_cpu / kChanges / n, "us");
   figure("announcer_change_bytes", size, static_cast<double>(fleet.out_bytes + fleet.in_bytes) / kChanges / n,
          "B");
-  // One gap that every gatekeeper is asked about: demands are told to all, slots are dealt.
+  // One gap that is checked at every gatekeeper: demands go to all of them and slots are allocated.
   fleet.run(500ms, 2);
   fleet.reset();
   const Duration dealt = size > 300 ? 200ms : 1s;
@@ -426,20 +432,20 @@
   figure("announcer_line", size, static_cast<double>(fleet.longest_line), "B");
 }
 
-// ---- the reading of a configuration
+// ---- reading a configuration
 
 void configuration_at(std::size_t classes) {
-  const std::string text = configuration_of(classes).dump(2);
+  const std::string text = configuration_with_classes(classes).dump(2);
   const PlatformConfig before = read_platform_config(text);
-  constexpr int kTimes = 200;
+  constexpr int kRepeats = 200;
   const double cpu = cpu_us();
-  for (int i = 0; i < kTimes; ++i) check_keys(before, read_platform_config(text));
-  figure("config_read_cpu", text.size(), (cpu_us() - cpu) / kTimes, "us");
+  for (int i = 0; i < kRepeats; ++i) check_keys(before, read_platform_config(text));
+  figure("config_read_cpu", text.size(), (cpu_us() - cpu) / kRepeats, "us");
 }
 
-// ---- figures and traces
+// ---- metrics and traces
 
-otlp::ExporterSettings exporting() {
+otlp::ExporterSettings exporter_settings() {
   otlp::ExporterSettings s;
   s.collector = "127.0.0.1:4318";
   s.host = "127.0.0.1:4318";
@@ -449,8 +455,8 @@
   return s;
 }
 
-// Bytes of the first post that goes out.
-double first_post(otlp::Exporter& exporter, Time now, const Counters& counters) {
+// Size in bytes of the first export request.
+double first_export_bytes(otlp::Exporter& exporter, Time now, const Counters& counters) {
   Outbox out;
   exporter.on(now, net::TimerFired{{net::Concern::collector, 0}}, counters, {}, out);
   for (const net::Effect& effect : net::Effects(out.net)) {
@@ -463,13 +469,13 @@
 }
 
 void traces_at(std::size_t attempts) {
-  constexpr std::size_t kBatch = 128;  // of one post
-  constexpr int kTimes = 20;
+  constexpr std::size_t kBatch = 128;  // spans of one export request
+  constexpr int kRepeats = 20;
   double bytes = 0.0;
   const double cpu = cpu_us();
-  for (int t = 0; t < kTimes; ++t) {
+  for (int t = 0; t < kRepeats; ++t) {
     Counters counters;
-    otlp::Exporter exporter(exporting(), counters);
+    otlp::Exporter exporter(exporter_settings(), counters);
     Outbox out;
     Time now = kStart;
     exporter.start(now, out);
@@ -489,9 +495,9 @@
       }
       exporter.record_request(now + 2ms, e, [](ServerId) { return std::string("setup-100000"); });
     }
-    bytes = first_post(exporter, now + 5s, counters);
+    bytes = first_export_bytes(exporter, now + 5s, counters);
   }
-  figure("trace_cpu", attempts, (cpu_us() - cpu) / kTimes / kBatch, "us");
+  figure("trace_cpu", attempts, (cpu_us() - cpu) / kRepeats / kBatch, "us");
   figure("trace_bytes", attempts, bytes / kBatch, "B");
 }
 
@@ -499,31 +505,31 @@
   Counters counters;
   for (std::size_t i = 0; i < names; ++i)
     counters.add("servers.messages_of_kind_" + std::to_string(1000 + i), 1'000'000 + i);
-  constexpr int kTimes = 50;
+  constexpr int kRepeats = 50;
   double bytes = 0.0;
   const double cpu = cpu_us();
-  for (int t = 0; t < kTimes; ++t) {
+  for (int t = 0; t < kRepeats; ++t) {
     Counters own;
-    otlp::Exporter exporter(exporting(), own);
+    otlp::Exporter exporter(exporter_settings(), own);
     Outbox out;
     exporter.start(kStart, out);
-    bytes = first_post(exporter, kStart + 5s, counters);
+    bytes = first_export_bytes(exporter, kStart + 5s, counters);
   }
-  figure("metrics_cpu", names, (cpu_us() - cpu) / kTimes, "us");
+  figure("metrics_cpu", names, (cpu_us() - cpu) / kRepeats, "us");
   figure("metrics_bytes", names, bytes, "B");
 }
 
 void telemetry_at(std::size_t classes) {
-  core::RequestMetrics tallies;
+  core::RequestMetrics metrics;
   std::vector<std::string> names;
   for (std::size_t i = 0; i < classes; ++i) names.push_back("class-" + std::to_string(i));
-  tallies.name(names);
-  const management::Figures f{tallies, 1'000'000, 400, 65, 2, 12, 0, {}};
-  constexpr int kTimes = 1000;
+  metrics.name(names);
+  const management::Figures f{metrics, 1'000'000, 400, 65, 2, 12, 0, {}};
+  constexpr int kRepeats = 1000;
   std::size_t bytes = 0;
   const double cpu = cpu_us();
-  for (int t = 0; t < kTimes; ++t) bytes = management::statsd_text(f).size();
-  figure("telemetry_cpu", classes, (cpu_us() - cpu) / kTimes, "us");
+  for (int t = 0; t < kRepeats; ++t) bytes = management::statsd_text(f).size();
+  figure("telemetry_cpu", classes, (cpu_us() - cpu) / kRepeats, "us");
   figure("telemetry_bytes", classes, static_cast<double>(bytes), "B");
 }
 
@@ -535,7 +541,7 @@
                                     "announcer",  "configuration",   "figures"};
   for (const std::string& part : parts) {
     if (known.contains(part)) continue;
-    std::fprintf(stderr, "there is no part '%s'\n", part.c_str());
+    std::fprintf(stderr, "control_bench: unknown part '%s'\n", part.c_str());
     return 2;
   }
   if (parts.empty()) {
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,6 +1,7 @@
-// Twelve real gatekeepers with a relay between them: how soon joins, deaths and leaves are known everywhere,
-// how soon all agree after a cut, deaths of live ones in bad weather; and what a call costs with the fleet on
-// and off. Usage: fleet_bench GATEKEEPER [SECONDS of bad weather]. Exits with 1 where an aim is missed.
+// Measures the membership of twelve real gatekeepers with a fault-injecting relay between them: time until
+// joins, deaths and leaves are known everywhere, time until all agree after a partition, false deaths under
+// packet loss, stops and one-way cuts ("bad weather" in the figures' names); and the answer latency with the
+// fleet on and off. Usage: fleet_bench GATEKEEPER [SECONDS of faults]. Exits with 1 if a limit is missed.
 #include <csignal>
 #include <cstdio>
 
@@ -16,23 +17,24 @@
 namespace {
 
 constexpr std::size_t kFleet = 12;
-bool good = true;
+bool passed = true;
 
-void figure(const std::string& name, double value, const char* unit, bool holds = true) {
-  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, holds ? "" : " SHORT");
+void print_figure(const std::string& name, double value, const char* unit, bool within_limit = true) {
+  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && holds;
+  passed = passed && within_limit;
 }
 double ms(Steady::duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
 
-// Until the last of the others has told it; -1: not all have within 10 s.
-double known_everywhere(Rig& rig, std::size_t of, const std::string& what, Steady::time_point began) {
-  const std::string name = "n" + std::to_string(of);
+// Milliseconds from `began` until the last of the other members has reported the event; -1 if not all did
+// within 10 s.
+double known_everywhere(Rig& rig, std::size_t subject, const std::string& kind, Steady::time_point began) {
+  const std::string name = "n" + std::to_string(subject);
   double last = -1.0;
   const bool all = Rig::until(10s, [&] {
     std::map<std::size_t, Steady::time_point> by;
     for (const lab::Event& e : rig.events()) {
-      if (e.what == what && e.member == name && e.by != of && e.at >= began) by.emplace(e.by, e.at);
+      if (e.what == kind && e.member == name && e.by != subject && e.at >= began) by.emplace(e.by, e.at);
     }
     if (by.size() < kFleet - 1) return false;
     for (const auto& [i, at] : by) last = std::max(last, ms(at - began));
@@ -41,18 +43,19 @@
   return all ? last : -1.0;
 }
 
-void tell(const std::string& name, const std::vector<double>& values, double most) {
-  const bool whole = std::find(values.begin(), values.end(), -1.0) == values.end();
-  figure(name + "_median", lab::percentile(values, 0.5), "ms");
-  figure(name + "_p99", lab::percentile(values, 0.99), "ms", whole && lab::percentile(values, 0.99) < most);
+void print_percentiles(const std::string& name, const std::vector<double>& values, double max_p99) {
+  const bool complete = std::find(values.begin(), values.end(), -1.0) == values.end();
+  print_figure(name + "_median", lab::percentile(values, 0.5), "ms");
+  print_figure(name + "_p99", lab::percentile(values, 0.99), "ms",
+               complete && lab::percentile(values, 0.99) < max_p99);
 }
 
-void fleet(const std::string& binary, int weather_s) {
+void measure_fleet(const std::string& binary, int fault_seconds) {
   Rig rig(binary, kFleet, 1);
   rig.start_all();
   const auto began = Steady::now();
   const bool agreed = Rig::until(10s, [&] { return rig.agree(); });
-  figure("all_agree_after_start", ms(Steady::now() - began), "ms", agreed);
+  print_figure("all_agree_after_start", ms(Steady::now() - began), "ms", agreed);
 
   std::vector<double> killed;
   std::vector<double> joined;
@@ -74,33 +77,34 @@
     rig.start(i);
     Rig::until(10s, [&] { return rig.state((i + 1) % kFleet, "n" + std::to_string(i)) == "alive"; });
   }
-  tell("killed_known_everywhere", killed, 1500);
-  tell("start_to_joined_everywhere", joined, 500);
-  tell("left_known_everywhere", left, 300);
+  print_percentiles("killed_known_everywhere", killed, 1500);
+  print_percentiles("start_to_joined_everywhere", joined, 500);
+  print_percentiles("left_known_everywhere", left, 300);
 
   Rig::until(10s, [&] { return rig.agree(); });
   rig.relay().cut({0, 3, 6, 9});
-  const bool apart = Rig::until(15s, [&] {  // each side holds the other dead
+  const bool partitioned = Rig::until(15s, [&] {  // until each side considers the other dead
     return rig.ask(0, "view")["size"] == 4 && rig.ask(1, "view")["size"] == 8;
   });
-  figure("cut_datagrams", static_cast<double>(rig.relay().counts().cut), "datagrams",
-         rig.relay().counts().cut > 0);
+  print_figure("cut_datagrams", static_cast<double>(rig.relay().counts().cut), "datagrams",
+               rig.relay().counts().cut > 0);
   const auto healed = Steady::now();
   rig.relay().heal();
-  const bool again = Rig::until(10s, [&] { return rig.agree(); });
-  figure("agree_after_heal", ms(Steady::now() - healed), "ms", apart && again && Steady::now() - healed < 2s);
+  const bool agreed_again = Rig::until(10s, [&] { return rig.agree(); });
+  print_figure("agree_after_heal", ms(Steady::now() - healed), "ms",
+               partitioned && agreed_again && Steady::now() - healed < 2s);
 
   rig.forget_events();
-  lab::RealLink bad;
-  bad.loss = 0.2;
-  bad.most = 10ms;
-  rig.relay().all_links(bad);
+  lab::RealLink faulty_link;
+  faulty_link.loss = 0.2;
+  faulty_link.most = 10ms;
+  rig.relay().all_links(faulty_link);
   std::mt19937_64 random(3);
-  const auto end = Steady::now() + std::chrono::seconds(weather_s);
+  const auto end = Steady::now() + std::chrono::seconds(fault_seconds);
   int stops = 0;
   while (Steady::now() < end) {
     const std::size_t a = random() % kFleet;
-    lab::RealLink cut = bad;
+    lab::RealLink cut = faulty_link;
     cut.cut = true;
     rig.relay().link(random() % kFleet, random() % kFleet, cut);
     rig.stop(a);
@@ -110,21 +114,21 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(random() % 500));
   }
   rig.relay().heal();
-  std::this_thread::sleep_for(5s);  // what is doubted has its time to end
+  std::this_thread::sleep_for(5s);  // lets pending suspicions expire or be refuted
   std::size_t deaths = 0;
   for (const lab::Event& e : rig.events()) deaths += e.what == "died" ? 1 : 0;
   std::uint64_t pauses = 0;
   for (std::size_t i = 0; i < kFleet; ++i) pauses += rig.counter(i, "fleet.own_pauses");
-  figure("bad_weather", weather_s, "s");
-  figure("stops_in_bad_weather", stops, "stops", stops > 0);
-  figure("own_pauses_noticed", static_cast<double>(pauses), "pauses", pauses > 0);
-  figure("lost_in_bad_weather", static_cast<double>(rig.relay().counts().lost), "datagrams",
-         rig.relay().counts().lost > 0);
-  figure("false_deaths", static_cast<double>(deaths), "deaths", deaths == 0);
+  print_figure("bad_weather", fault_seconds, "s");
+  print_figure("stops_in_bad_weather", stops, "stops", stops > 0);
+  print_figure("own_pauses_noticed", static_cast<double>(pauses), "pauses", pauses > 0);
+  print_figure("lost_in_bad_weather", static_cast<double>(rig.relay().counts().lost), "datagrams",
+               rig.relay().counts().lost > 0);
+  print_figure("false_deaths", static_cast<double>(deaths), "deaths", deaths == 0);
 }
 
-// The answer's 99th percentile at one of three gatekeepers, with the fleet on and off, in turn.
-void service(const std::string& binary) {
+// 99th percentile of answer latency through three gatekeepers, alternating between fleet on and off.
+void measure_service(const std::string& binary) {
   std::vector<double> p99[2];
   for (int round = 0; round < 6; ++round) {
     const bool on = round % 2 == 1;
@@ -155,28 +159,28 @@
       test::Socket::connected(std::stoi(address.substr(address.rfind(':') + 1)));
     lab::Load load(plan);
     load.run();
-    std::vector<double> waits;
+    std::vector<double> latencies;
     for (const lab::CallRecord& c : load.calls()) {
       if (c.finals == 1)
-        waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
+        latencies.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
     }
-    p99[on].push_back(lab::percentile(waits, 0.99));
+    p99[on].push_back(lab::percentile(latencies, 0.99));
     ::unlink(key.c_str());
   }
   const double off = lab::percentile(p99[0], 0.5);
   const double on = lab::percentile(p99[1], 0.5);
-  figure("answer_p99_fleet_off", off, "us");
-  figure("answer_p99_fleet_on", on, "us");
-  figure("answer_p99_spread_off", *std::max_element(p99[0].begin(), p99[0].end()) / std::max(1.0, off),
-         "times");
-  figure("answer_p99_on_by_off", on / std::max(1.0, off), "times");
+  print_figure("answer_p99_fleet_off", off, "us");
+  print_figure("answer_p99_fleet_on", on, "us");
+  print_figure("answer_p99_spread_off", *std::max_element(p99[0].begin(), p99[0].end()) / std::max(1.0, off),
+               "times");
+  print_figure("answer_p99_on_by_off", on / std::max(1.0, off), "times");
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  fleet(argv[1], argc > 2 ? std::atoi(argv[2]) : 6);
-  service(argv[1]);
-  return good ? 0 : 1;
+  measure_fleet(argv[1], argc > 2 ? std::atoi(argv[2]) : 6);
+  measure_service(argv[1]);
+  return passed ? 0 : 1;
 }
--- a/bench/fleet_sim_bench.cpp
+++ b/bench/fleet_sim_bench.cpp
@@ -1,8 +1,9 @@
-// Membership at 10 to 1,000 members, simulated: how soon joins, deaths and leaves are known everywhere, what
-// it costs each member, and how many live ones are found dead in bad weather; beside a baseline of heartbeats
-// from all to all, and with each refinement taken out once. Exits with 1 where an aim is missed.
+// Measures simulated membership of 10 to 1,000 members: time until joins, deaths and leaves are known
+// everywhere, the cost per member, and false deaths under faults. Compares with all-to-all heartbeats, and
+// with each refinement of the protocol disabled in turn. Exits with 1 if a limit is missed.
+//
 // Usage: fleet_sim_bench [SEEDS]
-//        fleet_sim_bench --quiet [--seed=N] [--met] [SIZE...]   what a member costs while nothing happens
+//        fleet_sim_bench --quiet [--seed=N] [--met] [SIZE...]   cost per member while nothing changes
 #include <algorithm>
 #include <cstdio>
 #include <ctime>
@@ -19,46 +20,46 @@
 
 namespace {
 
-bool good = true;
+bool passed = true;
 
-void figure(const std::string& name, double value, const char* unit, bool holds = true) {
-  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, holds ? "" : " SHORT");
+void print_figure(const std::string& name, double value, const char* unit, bool within_limit = true) {
+  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && holds;
+  passed = passed && within_limit;
 }
 
 double ms(Duration duration) { return std::chrono::duration<double, std::milli>(duration).count(); }
 double cpu_s() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
-double middle(std::vector<double> v, double part) {
+double percentile(std::vector<double> v, double fraction) {
   if (v.empty()) return -1.0;
   std::sort(v.begin(), v.end());
-  return v[std::min(v.size() - 1, static_cast<std::size_t>(part * static_cast<double>(v.size())))];
+  return v[std::min(v.size() - 1, static_cast<std::size_t>(fraction * static_cast<double>(v.size())))];
 }
 
-// Bytes on the wire, the tag and the array's frame with them; measured against the encoder on the first ones.
+// Encoded size of a datagram, with its authentication tag and the frame of its array.
 std::size_t bytes_on_wire(const membership::Datagram& datagram) {
   static const fleet::Key key{};
   return fleet::encode(datagram, "trail", key).size();
 }
 
-// The last of those who are up to find it, from now on; nothing: not all did within `most`.
+// Time until every running member but `of` has observed the event; none if not all did within `most`.
 std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, MemberEventKind what, Duration most) {
   const std::string name = FleetSim::name_of(of);
   std::set<std::size_t> by;
-  std::size_t looked = sim.found().size();
-  std::size_t there = 0;
-  for (std::size_t i = 0; i < sim.size(); ++i) there += i != of && sim.up(i) ? 1 : 0;
+  std::size_t next_event = sim.found().size();
+  std::size_t observers = 0;
+  for (std::size_t i = 0; i < sim.size(); ++i) observers += i != of && sim.up(i) ? 1 : 0;
   return sim.until(most, [&] {
-    for (; looked < sim.found().size(); ++looked) {
-      const auto& f = sim.found()[looked];
+    for (; next_event < sim.found().size(); ++next_event) {
+      const auto& f = sim.found()[next_event];
       if (f.what.kind == what && f.what.record.name == name && f.by != of) by.insert(f.by);
     }
-    return by.size() >= there;
+    return by.size() >= observers;
   });
 }
 
-// The first ones together, the rest in the order that an operator's tool would start them. How long after
-// that all agree; nothing: not within 30 s.
+// Starts all members, in fleets over 100 in steps of ten as an operator's tool would. Returns the time from
+// the last start until all agree; none if they do not within 30 s.
 std::optional<Duration> start_fleet(FleetSim& sim) {
   for (std::size_t i = 0; i < sim.size(); ++i) {
     sim.start(i);
@@ -71,7 +72,7 @@
   });
 }
 
-// Datagrams and processor time of a member a second for `span`, then bytes for a fifth of it.
+// Prints datagrams and processor time per member and second over `span`, then bytes over a fifth of it.
 void quiet_figures(FleetSim& sim, const std::string& kind, Duration span) {
   const std::string at = kind + "_at_" + std::to_string(sim.size());
   const double member_seconds = std::chrono::duration<double>(span).count() * static_cast<double>(sim.size());
@@ -80,7 +81,7 @@
   sim.run(span);
   const double spent = cpu_s() - cpu;
   const double datagrams = static_cast<double>(sim.counts().sent - sent) / member_seconds;
-  // One in so many is encoded: the encoder's own time is none of the membership's.
+  // Encodes one datagram in 16, after the timed span: the encoder's time does not belong to the membership.
   const auto counts = sim.counts();
   std::uint64_t seen = 0;
   std::uint64_t sampled = 0;
@@ -93,49 +94,49 @@
   sim.size_of = {};
   const double each = static_cast<double>(sim.counts().bytes - counts.bytes) /
                       static_cast<double>(std::max<std::uint64_t>(1, sampled));
-  figure("datagrams" + at, datagrams, "a_second");
-  figure("bytes" + at, datagrams * each, "a_second", datagrams * each < 10'000);
-  figure("cpu" + at, spent * 1e6 / member_seconds, "us_a_second");
+  print_figure("datagrams" + at, datagrams, "a_second");
+  print_figure("bytes" + at, datagrams * each, "a_second", datagrams * each < 10'000);
+  print_figure("cpu" + at, spent * 1e6 / member_seconds, "us_a_second");
 }
 
-// What a member costs while nothing happens: soon after the start, while many of the members have not spoken
-// with each other yet and each first word is checked by a ping of its own, and when all have met.
+// Measures the cost per member while nothing changes: soon after the start, when many members have not
+// exchanged a message yet and each first message is verified by a ping, and, with `met`, after all have met.
 void quiet_at_size(std::size_t size, std::uint64_t seed, bool met) {
   const std::string at = "_at_" + std::to_string(size);
   FleetSim sim(size, seed);
   const auto settled = start_fleet(sim);
   if (settled) {
-    figure("settled_after_start" + at, ms(*settled), "ms");
+    print_figure("settled_after_start" + at, ms(*settled), "ms");
   } else {
-    figure("not_settled" + at, 1.0, "runs", false);
+    print_figure("not_settled" + at, 1.0, "runs", false);
   }
-  // The last rumours of the start are told on for a while by members that agree already.
+  // Members that already agree still pass on the last broadcast entries of the start for a while.
   const Time began = sim.now();
-  std::uint64_t told = 1;
+  std::uint64_t records_sent = 1;
   sim.tap = [&](std::size_t, std::size_t, const membership::Datagram& datagram) {
-    told += datagram.records.size();
+    records_sent += datagram.records.size();
   };
-  while (told > 0 && sim.now() - began < 30s) {
-    told = 0;
+  while (records_sent > 0 && sim.now() - began < 30s) {
+    records_sent = 0;
     sim.run(500ms);
   }
   sim.tap = {};
-  figure("rumours_told_after_settled" + at, ms(sim.now() - began), "ms", told == 0);
+  print_figure("rumours_told_after_settled" + at, ms(sim.now() - began), "ms", records_sent == 0);
   quiet_figures(sim, "_quiet", size > 300 ? 5s : 10s);
   if (met) {
-    // By then each has probed each.
+    // Long enough for each member to have probed every other.
     sim.run(size * 250ms);
     quiet_figures(sim, "_met", size > 300 ? 5s : 10s);
   }
-  figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
+  print_figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
 }
 
 void at_size(std::size_t size, std::uint64_t seed) {
   const std::string at = "_at_" + std::to_string(size);
   FleetSim sim(size, seed);
   const auto agreed = start_fleet(sim);
-  figure("all_agree_after_start" + at, ms(agreed.value_or(30s)), "ms", agreed.has_value());
-  // Quiet: nothing changes.
+  print_figure("all_agree_after_start" + at, ms(agreed.value_or(30s)), "ms", agreed.has_value());
+  // Cost while nothing changes.
   const auto counts = sim.counts();
   const double cpu = cpu_s();
   std::size_t sampled = 0;
@@ -155,10 +156,10 @@
   const double member_seconds = std::chrono::duration<double>(quiet).count() * static_cast<double>(size);
   const double datagrams = static_cast<double>(sim.counts().sent - counts.sent) / member_seconds;
   const double each = sampled == 0 ? 0.0 : static_cast<double>(sampled_bytes) / static_cast<double>(sampled);
-  figure("datagrams_quiet" + at, datagrams, "a_second");
-  figure("bytes_quiet" + at, datagrams * each, "a_second", datagrams * each < 10'000);
-  figure("cpu_quiet" + at, spent * 1e6 / member_seconds, "us_a_second");
-  figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
+  print_figure("datagrams_quiet" + at, datagrams, "a_second");
+  print_figure("bytes_quiet" + at, datagrams * each, "a_second", datagrams * each < 10'000);
+  print_figure("cpu_quiet" + at, spent * 1e6 / member_seconds, "us_a_second");
+  print_figure("memory" + at, static_cast<double>(sim.member(0).memory()) / 1024.0, "KiB");
 
   std::vector<double> killed;
   std::vector<double> vanished;
@@ -198,20 +199,20 @@
       std::chrono::duration<double>(sim.now() - changes_began).count() * static_cast<double>(size);
   sim.size_of = {};
   const auto all = static_cast<std::size_t>(rounds);
-  figure("killed_known_median" + at, middle(killed, 0.5), "ms");
-  figure("killed_known_p99" + at, middle(killed, 0.99), "ms",
-         killed.size() == all && middle(killed, 0.99) < 1500);
-  figure("vanished_known_median" + at, middle(vanished, 0.5), "ms");
-  figure("vanished_known_p99" + at, middle(vanished, 0.99), "ms",
-         vanished.size() == static_cast<std::size_t>(std::min(rounds, 4)));
-  figure("left_known_p99" + at, middle(left, 0.99), "ms", left.size() == all);
-  figure("joined_known_p99" + at, middle(joined, 0.99), "ms", joined.size() == all);
-  figure("datagrams_changing" + at, static_cast<double>(sim.counts().sent - before.sent) / changing,
-         "a_second");
-  figure("bytes_changing" + at, static_cast<double>(bytes) / changing, "a_second",
-         static_cast<double>(bytes) / changing < 10'000);
+  print_figure("killed_known_median" + at, percentile(killed, 0.5), "ms");
+  print_figure("killed_known_p99" + at, percentile(killed, 0.99), "ms",
+               killed.size() == all && percentile(killed, 0.99) < 1500);
+  print_figure("vanished_known_median" + at, percentile(vanished, 0.5), "ms");
+  print_figure("vanished_known_p99" + at, percentile(vanished, 0.99), "ms",
+               vanished.size() == static_cast<std::size_t>(std::min(rounds, 4)));
+  print_figure("left_known_p99" + at, percentile(left, 0.99), "ms", left.size() == all);
+  print_figure("joined_known_p99" + at, percentile(joined, 0.99), "ms", joined.size() == all);
+  print_figure("datagrams_changing" + at, static_cast<double>(sim.counts().sent - before.sent) / changing,
+               "a_second");
+  print_figure("bytes_changing" + at, static_cast<double>(bytes) / changing, "a_second",
+               static_cast<double>(bytes) / changing < 10'000);
 
-  // A third cut off for so long that each side holds the other dead, then healed.
+  // Partitions a third of the members until each side considers the other dead, then heals the partition.
   if (size > 300) return;
   std::set<std::size_t> side;
   for (std::size_t i = 0; i < size; i += 3) side.insert(i);
@@ -223,29 +224,30 @@
     next = sim.now() + 50ms;
     return sim.all_agree();
   });
-  figure("agree_after_heal" + at, healed ? ms(*healed) : -1.0, "ms", healed && (size > 12 || *healed < 2s));
+  print_figure("agree_after_heal" + at, healed ? ms(*healed) : -1.0, "ms",
+               healed && (size > 12 || *healed < 2s));
 }
 
-// ---- bad weather: stops of up to 2 s, a fifth of all datagrams lost, one-way cuts. Nobody is really gone.
+// ---- bad weather: stops of up to 2 s, a fifth of all datagrams lost, one-way cuts; no member really fails.
 
-struct Weather {
+struct FaultResults {
   std::size_t false_deaths = 0;
   std::size_t suspicions = 0;
   std::uint64_t stops = 0;
   std::uint64_t cuts = 0;
   std::uint64_t lost = 0;
-  double detection_ms = 0.0;  // of a kill in it
+  double detection_ms = 0.0;  // of a member killed under these faults
 };
 
-// What happens in it, the same for whoever lives in it.
+// A fault of the schedule, which depends only on the seed and is the same for every protocol under test.
 struct Fault {
   Duration at{};
   std::size_t a{};
   std::size_t b{};
   Duration lasts{};
-  bool stop = false;  // of a; else from a to b nothing passes
+  bool stop = false;  // a is stopped; else nothing passes from a to b
 };
-std::vector<Fault> forecast(std::size_t size, std::uint64_t seed, Duration span) {
+std::vector<Fault> fault_schedule(std::size_t size, std::uint64_t seed, Duration span) {
   std::mt19937_64 random(seed);
   std::vector<Fault> all;
   for (Duration at = 1s; at < span; at += std::chrono::milliseconds(500 + random() % 2500)) {
@@ -258,8 +260,8 @@
   return all;
 }
 
-Weather in_bad_weather(const Refinements& refinements, std::uint64_t seed, Duration span,
-                       std::size_t size = 12) {
+FaultResults run_under_faults(const Refinements& refinements, std::uint64_t seed, Duration span,
+                              std::size_t size = 12) {
   FleetSim sim(size, seed,
                [&](std::size_t, membership::Settings& settings) { settings.refinements = refinements; });
   sim.start_all();
@@ -269,11 +271,11 @@
   bad.loss = 0.2;
   bad.most = 10ms;
   sim.all_links(bad);
-  Weather w;
+  FaultResults results;
   const Time began = sim.now();
   std::map<Time, std::vector<std::function<void()>>> ends;
   std::set<std::size_t> stopped;
-  const auto pass = [&](Time until) {
+  const auto run_until = [&](Time until) {
     while (!ends.empty() && ends.begin()->first <= until) {
       sim.run(std::max(Duration{}, ends.begin()->first - sim.now()));
       for (const auto& act : ends.begin()->second) act();
@@ -281,12 +283,12 @@
     }
     sim.run(std::max(Duration{}, until - sim.now()));
   };
-  for (const Fault& f : forecast(size, seed, span)) {
-    pass(began + f.at);
+  for (const Fault& f : fault_schedule(size, seed, span)) {
+    run_until(began + f.at);
     if (f.stop) {
       if (!stopped.insert(f.a).second) continue;
       sim.pause(f.a);
-      ++w.stops;
+      ++results.stops;
       ends[sim.now() + f.lasts].push_back([&sim, &stopped, a = f.a] {
         sim.resume(a);
         stopped.erase(a);
@@ -295,55 +297,55 @@
       Link cut = bad;
       cut.cut = true;
       sim.link(f.a, f.b, cut);
-      ++w.cuts;
+      ++results.cuts;
       ends[sim.now() + f.lasts].push_back([&sim, bad, a = f.a, b = f.b] { sim.link(a, b, bad); });
     }
   }
-  pass(began + span + 15s);
-  w.false_deaths = sim.false_deaths();
-  for (const auto& f : sim.found()) w.suspicions += f.what.kind == MemberEventKind::suspected ? 1 : 0;
-  w.lost = sim.counts().lost;
+  run_until(began + span + 15s);
+  results.false_deaths = sim.false_deaths();
+  for (const auto& f : sim.found()) results.suspicions += f.what.kind == MemberEventKind::suspected ? 1 : 0;
+  results.lost = sim.counts().lost;
   sim.kill(4);
   const auto known = known_everywhere(sim, 4, MemberEventKind::died, 30s);
-  w.detection_ms = known ? ms(*known) : -1.0;
-  return w;
+  results.detection_ms = known ? ms(*known) : -1.0;
+  return results;
 }
 
-// The simplest thing: everybody tells everybody every 250 ms, and who was not heard for `dead_after` is dead.
-// The same weather; nothing is noticed or refuted.
-Weather heartbeats(std::uint64_t seed, Duration span, Duration dead_after, std::size_t size = 12) {
+// Baseline under the same faults: each member sends a heartbeat to all others every 250 ms, and a member not
+// heard from for `dead_after` is declared dead. There is no suspicion, refutation or pause detection.
+FaultResults heartbeats(std::uint64_t seed, Duration span, Duration dead_after, std::size_t size = 12) {
   std::mt19937_64 random(seed);
-  const auto faults = forecast(size, seed, span);
-  std::vector<std::vector<Duration>> heard(size, std::vector<Duration>(size, Duration{}));
+  const auto faults = fault_schedule(size, seed, span);
+  std::vector<std::vector<Duration>> last_heartbeat_at(size, std::vector<Duration>(size, Duration{}));
   std::vector<std::vector<bool>> dead(size, std::vector<bool>(size, false));
-  Weather w;
-  const auto holds = [&](std::size_t a, std::size_t b, Duration at, bool stop) {
+  FaultResults results;
+  const auto is_active = [&](std::size_t a, std::size_t b, Duration at, bool stop) {
     return std::any_of(faults.begin(), faults.end(), [&](const Fault& f) {
       return f.stop == stop && f.a == a && (stop || f.b == b) && f.at <= at && at < f.at + f.lasts;
     });
   };
   for (Duration at{}; at < span + 15s; at += 250ms) {
     for (std::size_t a = 0; a < size; ++a) {
-      if (holds(a, 0, at, true)) continue;
+      if (is_active(a, 0, at, true)) continue;
       for (std::size_t b = 0; b < size; ++b) {
         if (a == b) continue;
         const bool lost = random() % 5 == 0;
-        // What comes to one that is stopped waits in its socket.
-        if (!lost && !holds(a, b, at, false)) heard[b][a] = at;
+        // Datagrams to a stopped member wait in its socket.
+        if (!lost && !is_active(a, b, at, false)) last_heartbeat_at[b][a] = at;
       }
     }
     for (std::size_t a = 0; a < size; ++a) {
-      if (holds(a, 0, at, true)) continue;
+      if (is_active(a, 0, at, true)) continue;
       for (std::size_t b = 0; b < size; ++b) {
         if (a == b) continue;
-        const bool gone = at - heard[a][b] > dead_after;
-        w.false_deaths += gone && !dead[a][b] ? 1 : 0;
-        dead[a][b] = gone;
+        const bool expired = at - last_heartbeat_at[a][b] > dead_after;
+        results.false_deaths += expired && !dead[a][b] ? 1 : 0;
+        dead[a][b] = expired;
       }
     }
   }
-  w.detection_ms = ms(dead_after) + 250.0;
-  return w;
+  results.detection_ms = ms(dead_after) + 250.0;
+  return results;
 }
 
 }  // namespace
@@ -364,9 +366,9 @@
       }
     }
     if (sizes.empty()) sizes = {30, 100, 300, 1000};
-    // A thousand take minutes until all have met.
+    // With 1,000 members it takes minutes until all have met.
     for (const std::size_t size : sizes) quiet_at_size(size, seed, all_met || size <= 300);
-    return good ? 0 : 1;
+    return passed ? 0 : 1;
   }
   const std::uint64_t seeds = argc > 1 ? std::stoull(argv[1]) : 1;
   const double began = cpu_s();
@@ -374,30 +376,30 @@
   std::printf("# sizes took %.1f s\n", cpu_s() - began);
 
   constexpr Duration kSpan = 5min;
-  const auto weather = [&](const std::string& name, const Refinements& r, bool all_in) {
-    Weather sum;
+  const auto measure_under_faults = [&](const std::string& name, const Refinements& r, bool all_refinements) {
+    FaultResults sum;
     std::vector<double> detection;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-      const Weather w = in_bad_weather(r, seed, kSpan);
-      sum.false_deaths += w.false_deaths;
-      sum.suspicions += w.suspicions;
-      sum.stops += w.stops;
-      sum.cuts += w.cuts;
-      sum.lost += w.lost;
-      detection.push_back(w.detection_ms);
+      const FaultResults results = run_under_faults(r, seed, kSpan);
+      sum.false_deaths += results.false_deaths;
+      sum.suspicions += results.suspicions;
+      sum.stops += results.stops;
+      sum.cuts += results.cuts;
+      sum.lost += results.lost;
+      detection.push_back(results.detection_ms);
     }
-    figure("false_deaths_" + name, static_cast<double>(sum.false_deaths), "deaths",
-           !all_in || sum.false_deaths == 0);
-    figure("suspicions_" + name, static_cast<double>(sum.suspicions), "suspicions");
-    figure("killed_known_" + name, middle(detection, 0.5), "ms");
-    if (all_in) {
-      figure("stops_in_bad_weather", static_cast<double>(sum.stops), "stops", sum.stops > 0);
-      figure("cuts_in_bad_weather", static_cast<double>(sum.cuts), "cuts", sum.cuts > 0);
-      figure("lost_in_bad_weather", static_cast<double>(sum.lost), "datagrams", sum.lost > 0);
+    print_figure("false_deaths_" + name, static_cast<double>(sum.false_deaths), "deaths",
+                 !all_refinements || sum.false_deaths == 0);
+    print_figure("suspicions_" + name, static_cast<double>(sum.suspicions), "suspicions");
+    print_figure("killed_known_" + name, percentile(detection, 0.5), "ms");
+    if (all_refinements) {
+      print_figure("stops_in_bad_weather", static_cast<double>(sum.stops), "stops", sum.stops > 0);
+      print_figure("cuts_in_bad_weather", static_cast<double>(sum.cuts), "cuts", sum.cuts > 0);
+      print_figure("lost_in_bad_weather", static_cast<double>(sum.lost), "datagrams", sum.lost > 0);
     }
   };
-  weather("with_all", {}, true);
-  const std::pair<const char*, bool Refinements::*> kEach[] = {
+  measure_under_faults("with_all", {}, true);
+  const std::pair<const char*, bool Refinements::*> kRefinements[] = {
       {"indirect", &Refinements::indirect_probing},
       {"local_health", &Refinements::local_health},
       {"shrinking", &Refinements::shrinking_suspicion},
@@ -406,18 +408,18 @@
       {"pauses", &Refinements::pause_detection},
       {"checks", &Refinements::verify_reported_deaths},
       {"anti_entropy", &Refinements::anti_entropy}};
-  for (const auto& [name, part] : kEach) {
+  for (const auto& [name, member] : kRefinements) {
     Refinements r;
-    r.*part = false;
-    weather(std::string("without_") + name, r, false);
+    r.*member = false;
+    measure_under_faults(std::string("without_") + name, r, false);
   }
   for (const Duration dead_after : {Duration(1s), Duration(2s), Duration(4s)}) {
-    Weather sum;
+    FaultResults sum;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
       sum.false_deaths += heartbeats(seed, kSpan, dead_after).false_deaths;
     const std::string name = "heartbeats_" + std::to_string(static_cast<int>(ms(dead_after))) + "ms";
-    figure("false_deaths_" + name, static_cast<double>(sum.false_deaths), "deaths");
-    figure("killed_known_" + name, ms(dead_after) + 250.0, "ms");
+    print_figure("false_deaths_" + name, static_cast<double>(sum.false_deaths), "deaths");
+    print_figure("killed_known_" + name, ms(dead_after) + 250.0, "ms");
   }
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/bench/gap_bench.cpp
+++ b/bench/gap_bench.cpp
@@ -1,6 +1,6 @@
-// Call gaps: what a check costs, what a gap holds in memory, and a fleet of eight gatekeepers under a flood
-// on one number at 20 times its interval. Usage: gap_bench GATEKEEPER ANNOUNCER CTL. Exits with 1 where an
-// aim is missed.
+// Measures call gaps: the cost of a check, the memory of a gap, and a fleet of eight gatekeepers under a
+// flood of calls to one number at 20 times the rate that its gap passes. Usage: gap_bench GATEKEEPER
+// ANNOUNCER CTL. Exits with 1 if a limit is missed.
 #include <malloc.h>
 
 #include <atomic>
@@ -18,12 +18,12 @@
 
 namespace {
 
-bool good = true;
+bool passed = true;
 
-void tell(const char* name, double value, const char* unit, bool reached = true) {
-  std::printf("%s %.4g %s%s\n", name, value, unit, reached ? "" : " SHORT");
+void print_figure(const char* name, double value, const char* unit, bool within_limit = true) {
+  std::printf("%s %.4g %s%s\n", name, value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && reached;
+  passed = passed && within_limit;
 }
 
 // ---- the check
@@ -39,7 +39,7 @@
     announcement.created_at = announcement.start = kStart;
     announcement.end = kStart + 1h;
     announcement.gap.emplace();
-    // Numbers, and prefixes of some lengths: each length that is there costs a look-up.
+    // Mixes numbers with prefixes of several lengths: each prefix length in use costs one lookup per check.
     const std::string digits = std::to_string(1'000'000'000 + i * 7919);
     if (i % 4 == 0) {
       announcement.gap->criteria.prefixes = {digits.substr(0, 6 + i % 3)};
@@ -50,37 +50,37 @@
     reg.announce(kStart, announcement);
   }
   if (gaps == 100'000)
-    tell("memory_a_gap", static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(gaps),
-         "bytes");
+    print_figure("memory_a_gap",
+                 static_cast<double>(mallinfo2().uordblks - before) / static_cast<double>(gaps), "bytes");
   std::vector<std::string> numbers;
   for (std::size_t i = 0; i < 4096; ++i) numbers.push_back(std::to_string(5'000'000'000 + i * 104'729));
   std::vector<double> runs;
-  std::size_t passed = 0;
+  std::size_t passed_checks = 0;
   for (int run = 0; run < 15; ++run) {
     const auto began = std::chrono::steady_clock::now();
     for (int i = 0; i < 100'000; ++i)
-      passed += reg.check(kStart + std::chrono::microseconds(i), numbers[static_cast<std::size_t>(i) % 4096],
-                          "voice")
-                    .passes;
+      passed_checks += reg.check(kStart + std::chrono::microseconds(i),
+                                 numbers[static_cast<std::size_t>(i) % 4096], "voice")
+                           .passes;
     const auto took = std::chrono::steady_clock::now() - began;
     runs.push_back(std::chrono::duration<double, std::nano>(took).count() / 100'000);
   }
-  if (passed != 1'500'000) tell("checks_wrong", 1, "checks", false);
+  if (passed_checks != 1'500'000) print_figure("checks_wrong", 1, "checks", false);
   return lab::percentile(runs, 0.5);
 }
 
 // ---- the fleet
 
-// A program that is ended with its owner.
+// Child process, killed by the destructor.
 class Child {
  public:
-  explicit Child(const std::vector<std::string>& words) {
+  explicit Child(const std::vector<std::string>& arguments) {
     pid_ = ::fork();
     if (pid_ != 0) return;
-    const int nowhere = ::open("/dev/null", O_WRONLY);
-    ::dup2(nowhere, 2);
+    const int null_device = ::open("/dev/null", O_WRONLY);
+    ::dup2(null_device, 2);
     std::vector<char*> argv;
-    for (const std::string& w : words) argv.push_back(const_cast<char*>(w.c_str()));
+    for (const std::string& argument : arguments) argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
     ::execv(argv[0], argv.data());
     ::_exit(127);
@@ -103,17 +103,17 @@
   return json::parse(text, nullptr, false);
 }
 
-struct Passed {
-  std::size_t slots = 0;     // used
-  std::size_t too_many = 0;  // calls that no slot is left for
+struct SlotUsage {
+  std::size_t slots = 0;     // slots used
+  std::size_t too_many = 0;  // passed calls without a slot of their own
   double share = 0.0;
 };
 
-// Each call that passed was decided on between its sending and its answer: whether every one has a slot of
-// its own, and how many of the slots from `begins` to `ends` are used.
-Passed slots_of(const std::vector<lab::CallRecord>& calls, std::size_t flow, Time start, Duration interval,
-                Time begins, Time ends) {
-  Passed result;
+// Assigns a slot to each passed call. A call is decided between its sending and its answer, so any free slot
+// in that span may be its own. Counts the calls without one and the slots used from `begins` to `ends`.
+SlotUsage assign_slots(const std::vector<lab::CallRecord>& calls, std::size_t flow, Time start,
+                       Duration interval, Time begins, Time ends) {
+  SlotUsage result;
   std::map<std::int64_t, std::size_t> used;
   const auto slot_at = [&](Time time) { return (time - start) / interval; };
   for (const lab::CallRecord& c : calls) {
@@ -128,7 +128,7 @@
   return result;
 }
 
-void play_fleet(char** argv) {
+void measure_fleet(char** argv) {
   constexpr std::size_t kFleet = 8;
   constexpr Duration kInterval = 50ms;
   const std::vector<std::string> servers{at(free_port()), at(free_port())};
@@ -146,11 +146,12 @@
   }
   for (const std::string& address : plan.gatekeepers)
     test::Socket::connected(std::stoi(address.substr(address.rfind(':') + 1)));
-  const Child holder({argv[2], "--listen", announcer, "--gatekeeper", controls});
+  const Child publisher({argv[2], "--listen", announcer, "--gatekeeper", controls});
 
-  // Calls to other numbers all along; the flood evenly, then all of it at one gatekeeper, then none, with as
-  // many calls to any number as the gap had let through: what the servers' own load costs the others shows
-  // there. The servers can do 160 set-ups a second: without the gap the flood of 400 is too much for them.
+  // Calls to other numbers run throughout. The flood goes evenly to all gatekeepers, then to one only; then
+  // it is replaced by as many calls to any number as the gap had passed, which shows what the servers' own
+  // load costs the other calls. The servers handle 160 setups per second, so without the gap a flood of 400
+  // overloads them.
   plan.work = 12ms;
   plan.flows.resize(4);
   plan.flows[0].per_second = 80;
@@ -163,85 +164,88 @@
     if (began == Time{}) began = now;
   };
   std::atomic<std::int64_t> started{0};
-  std::vector<double> obeyed;
-  std::vector<double> lifted;
-  std::thread desk([&] {
+  std::vector<double> announce_delays;
+  std::vector<double> lift_delays;
+  std::thread operator_thread([&] {
     std::this_thread::sleep_for(4500ms);
     const std::string to = " --to " + announcer;
-    const json told =
+    const json response =
         ctl(std::string(argv[3]) + " gap announce hiker --number 4711 --one-in 50ms --words gapped" + to);
-    if (told.is_object()) started = told.value("version", std::int64_t{0});
+    if (response.is_object()) started = response.value("version", std::int64_t{0});
     for (int i = 0; i < 40; ++i) {
       const std::string id = "probe" + std::to_string(i);
-      for (const bool up : {true, false}) {
-        const json one =
+      for (const bool announce : {true, false}) {
+        const json reply =
             ctl(std::string(argv[3]) +
-                (up ? " gap announce " + id + " --number 99 --one-in none" : " gap lift " + id) + to);
-        if (!one.is_object()) continue;
-        for (const json& object : one["targets"][0].value("obeyed", json::array()))
-          (up ? obeyed : lifted).push_back(object["after_ms"].get<double>());
+                (announce ? " gap announce " + id + " --number 99 --one-in none" : " gap lift " + id) + to);
+        if (!reply.is_object()) continue;
+        for (const json& object : reply["targets"][0].value("obeyed", json::array()))
+          (announce ? announce_delays : lift_delays).push_back(object["after_ms"].get<double>());
       }
       std::this_thread::sleep_for(200ms);
     }
   });
   lab::Load load(plan);
   load.run();
-  desk.join();
+  operator_thread.join();
 
   const Time start{std::chrono::milliseconds(started.load())};
   const auto& calls = load.calls();
-  const Passed evenly = slots_of(calls, 1, start, kInterval, start + 1s, began + 19500ms);
-  const Passed at_one = slots_of(calls, 2, start, kInterval, began + 23s, began + 30500ms);
-  const Passed all = slots_of(calls, 1, start, kInterval, start + 1s, began + 20s);
-  tell("gap_taken", started > 0 ? 1 : 0, "gaps", started > 0);
-  tell("passed_over_one_in_a_slot", static_cast<double>(evenly.too_many + at_one.too_many + all.too_many),
-       "calls", evenly.too_many + at_one.too_many + all.too_many == 0);
-  // At best 1 - e^-2.5: calls are Poisson, and each gatekeeper has 2.5 of them in a slot.
-  tell("slots_used_evenly", evenly.share, "share", evenly.share > 0.9);
-  tell("slots_used_at_one_gatekeeper", at_one.share, "share", at_one.share > 0.8);
+  const SlotUsage evenly = assign_slots(calls, 1, start, kInterval, start + 1s, began + 19500ms);
+  const SlotUsage at_one = assign_slots(calls, 2, start, kInterval, began + 23s, began + 30500ms);
+  const SlotUsage all = assign_slots(calls, 1, start, kInterval, start + 1s, began + 20s);
+  print_figure("gap_taken", started > 0 ? 1 : 0, "gaps", started > 0);
+  print_figure("passed_over_one_in_a_slot",
+               static_cast<double>(evenly.too_many + at_one.too_many + all.too_many), "calls",
+               evenly.too_many + at_one.too_many + all.too_many == 0);
+  // At most 1 - e^-2.5: arrivals are Poisson, with 2.5 calls per slot at each gatekeeper.
+  print_figure("slots_used_evenly", evenly.share, "share", evenly.share > 0.9);
+  print_figure("slots_used_at_one_gatekeeper", at_one.share, "share", at_one.share > 0.8);
   for (const auto& [name, values] :
-       {std::pair{"announce_to_obey_p99", &obeyed}, std::pair{"lift_to_obey_p99", &lifted}}) {
+       {std::pair{"announce_to_obey_p99", &announce_delays}, std::pair{"lift_to_obey_p99", &lift_delays}}) {
     const double p99 = lab::percentile(*values, 0.99);
-    tell(name, p99, "ms", p99 < 200 && values->size() == 40 * kFleet);
+    print_figure(name, p99, "ms", p99 < 200 && values->size() == 40 * kFleet);
   }
-  // Without the gap, with it, and with no flood.
-  std::size_t other_stood[3] = {};
+  // Indexed by phase: without the gap, with the gap, without the flood.
+  std::size_t others_established[3] = {};
   std::size_t others[3] = {};
-  std::size_t other_late[3] = {};
-  std::map<int, std::size_t> other_refused[3];  // by cause
-  std::size_t not_once = 0;
+  std::size_t others_late[3] = {};
+  std::map<int, std::size_t> others_rejected[3];  // count by cause
+  std::size_t not_answered_once = 0;
   std::size_t gapped = 0;
   for (const lab::CallRecord& c : calls) {
-    if (c.finals != 1) ++not_once;
+    if (c.finals != 1) ++not_answered_once;
     if (c.flow != 0 && c.worded) ++gapped;
     if (c.flow != 0) continue;
-    const int with = c.sent < start ? 0 : c.sent < began + 31s ? 1 : 2;
-    const bool changing = (with == 0 && c.sent < began + 1s) || (with == 1 && c.sent < start + 2s) ||
-                          (with == 2 && c.sent < began + 32s);
+    const int phase = c.sent < start ? 0 : c.sent < began + 31s ? 1 : 2;
+    const bool changing = (phase == 0 && c.sent < began + 1s) || (phase == 1 && c.sent < start + 2s) ||
+                          (phase == 2 && c.sent < began + 32s);
     if (changing) continue;
-    ++others[with];
+    ++others[phase];
     const bool in_time = c.stood && c.answered - c.sent <= 1500ms;
-    other_stood[with] += in_time ? 1 : 0;
-    other_late[with] += c.stood && !in_time ? 1 : 0;
-    if (!c.stood) ++other_refused[with][c.cause];
+    others_established[phase] += in_time ? 1 : 0;
+    others_late[phase] += c.stood && !in_time ? 1 : 0;
+    if (!c.stood) ++others_rejected[phase][c.cause];
   }
-  const auto share = [&](int with) {
-    return others[with] == 0 ? 0.0
-                             : static_cast<double>(other_stood[with]) / static_cast<double>(others[with]);
+  const auto share = [&](int phase) {
+    return others[phase] == 0
+               ? 0.0
+               : static_cast<double>(others_established[phase]) / static_cast<double>(others[phase]);
   };
-  tell("others_served_without_the_gap", share(0), "share");
-  tell("others_served_with_no_flood", share(2), "share");
-  tell("others_served_with_the_gap", share(1), "share", share(1) > 0.99);
-  for (const int with : {1, 2}) {
-    const std::string when = with == 1 ? "_with_the_gap" : "_with_no_flood";
-    tell(("others" + when).c_str(), static_cast<double>(others[with]), "calls");
-    tell(("others_late" + when).c_str(), static_cast<double>(other_late[with]), "calls");
-    for (const auto& [cause, count] : other_refused[with])
-      tell(("others_refused_by_cause_" + std::to_string(cause) + when).c_str(), static_cast<double>(count),
-           "calls");
+  print_figure("others_served_without_the_gap", share(0), "share");
+  print_figure("others_served_with_no_flood", share(2), "share");
+  print_figure("others_served_with_the_gap", share(1), "share", share(1) > 0.99);
+  for (const int phase : {1, 2}) {
+    const std::string suffix = phase == 1 ? "_with_the_gap" : "_with_no_flood";
+    print_figure(("others" + suffix).c_str(), static_cast<double>(others[phase]), "calls");
+    print_figure(("others_late" + suffix).c_str(), static_cast<double>(others_late[phase]), "calls");
+    for (const auto& [cause, count] : others_rejected[phase])
+      print_figure(("others_refused_by_cause_" + std::to_string(cause) + suffix).c_str(),
+                   static_cast<double>(count), "calls");
   }
-  tell("calls_gapped", static_cast<double>(gapped), "calls", gapped > 1000);
-  tell("calls_not_answered_once", static_cast<double>(not_once), "calls", not_once == 0);
+  print_figure("calls_gapped", static_cast<double>(gapped), "calls", gapped > 1000);
+  print_figure("calls_not_answered_once", static_cast<double>(not_answered_once), "calls",
+               not_answered_once == 0);
 }
 
 }  // namespace
@@ -251,9 +255,9 @@
   const double none = check_ns(0);
   const double few = check_ns(100);
   const double many = check_ns(100'000);
-  tell("check_at_0_gaps", none, "ns");
-  tell("check_at_100_gaps", few, "ns");
-  tell("check_at_100000_gaps", many, "ns", many < 200 && many < 3 * few);
-  play_fleet(argv);
-  return good ? 0 : 1;
+  print_figure("check_at_0_gaps", none, "ns");
+  print_figure("check_at_100_gaps", few, "ns");
+  print_figure("check_at_100000_gaps", many, "ns", many < 200 && many < 3 * few);
+  measure_fleet(argv);
+  return passed ? 0 : 1;
 }
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -1,5 +1,6 @@
-// What a call costs a gatekeeper's processor, from 500 to 4,000 calls a second, where calls are released by
-// callers and by servers alike. Usage: load_bench GATEKEEPER. Exits with 1 where the aim is missed.
+// Measures a gatekeeper's processor time per call at 500 to 4,000 calls per second, with calls released by
+// callers and by servers. Usage: load_bench GATEKEEPER. Exits with 1 if a call costs 100 us or more, or if a
+// call does not get exactly one final answer.
 #include <cstdio>
 
 #include "lab/load.h"
@@ -10,14 +11,14 @@
 using namespace std::chrono_literals;
 
 int main(int, char** argv) {
-  double least = 1e9;
-  double most = 0.0;
-  bool whole = true;
+  double min_per_call = 1e9;
+  double max_per_call = 0.0;
+  bool all_answered_once = true;
   for (const int rate : {500, 1000, 2000, 4000}) {
     const std::vector<std::string> servers{at(free_port()), at(free_port())};
     const std::string listen = at(free_port());
     const auto program = gatekeeper(argv[1], listen, servers, 0, 1);
-    test::Socket::connected(std::stoi(listen.substr(listen.rfind(':') + 1)));  // it listens
+    test::Socket::connected(std::stoi(listen.substr(listen.rfind(':') + 1)));  // waits until it listens
     lab::Plan plan;
     plan.gatekeepers = {listen};
     plan.servers = servers;
@@ -31,26 +32,26 @@
     lab::Load load(plan);
     load.run();
     const double used = static_cast<double>(lab::cpu_ns(program->pid()) - before) / 1e3;
-    std::vector<double> waits;
-    std::size_t stood = 0;
-    std::size_t one = 0;
+    std::vector<double> latencies;
+    std::size_t established = 0;
+    std::size_t answered_once = 0;
     for (const lab::CallRecord& c : load.calls()) {
-      if (c.finals == 1) ++one;
-      if (c.stood) ++stood;
-      waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
+      if (c.finals == 1) ++answered_once;
+      if (c.stood) ++established;
+      latencies.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
     }
     const auto all = static_cast<double>(load.calls().size());
     const double per_call = used / all;
-    least = std::min(least, per_call);
-    most = std::max(most, per_call);
-    whole = whole && one == load.calls().size();
+    min_per_call = std::min(min_per_call, per_call);
+    max_per_call = std::max(max_per_call, per_call);
+    all_answered_once = all_answered_once && answered_once == load.calls().size();
     std::printf("cpu_per_call_at_%d %.1f us%s\n", rate, per_call, per_call < 100.0 ? "" : " SHORT");
-    std::printf("answer_median_at_%d %.0f us\n", rate, lab::percentile(waits, 0.5));
-    std::printf("answer_p99_at_%d %.0f us\n", rate, lab::percentile(waits, 0.99));
-    std::printf("stood_at_%d %.4f share\n", rate, static_cast<double>(stood) / all);
-    std::printf("not_answered_once_at_%d %zu calls\n", rate, load.calls().size() - one);
+    std::printf("answer_median_at_%d %.0f us\n", rate, lab::percentile(latencies, 0.5));
+    std::printf("answer_p99_at_%d %.0f us\n", rate, lab::percentile(latencies, 0.99));
+    std::printf("stood_at_%d %.4f share\n", rate, static_cast<double>(established) / all);
+    std::printf("not_answered_once_at_%d %zu calls\n", rate, load.calls().size() - answered_once);
     std::fflush(stdout);
   }
-  std::printf("most_by_least %.2f times\n", most / least);
-  return most < 100.0 && whole ? 0 : 1;
+  std::printf("most_by_least %.2f times\n", max_per_call / min_per_call);
+  return max_per_call < 100.0 && all_answered_once ? 0 : 1;
 }
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -1,6 +1,6 @@
-// Days of operation with real programs: management calls beside silent callers at full load, the figures
-// against the stand-ins' own count, reloads and twenty upgrades under load. Usage: ops_bench GATEKEEPER.
-// Exits with 1 where an aim is missed.
+// Measures operations on real gatekeepers under load: management requests beside 200 silent management
+// connections, the exported figures against the stand-ins' own counts, configuration reloads and twenty
+// upgrades. Usage: ops_bench GATEKEEPER. Exits with 1 if a limit is missed.
 #include <cstdio>
 #include <thread>
 
@@ -14,21 +14,22 @@
 
 namespace {
 
-bool good = true;
+bool passed = true;
 
-void figure(const char* name, double value, const char* unit, bool holds) {
-  std::printf("%s %.2f %s%s\n", name, value, unit, holds ? "" : " SHORT");
+void print_figure(const char* name, double value, const char* unit, bool within_limit) {
+  std::printf("%s %.2f %s%s\n", name, value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && holds;
+  passed = passed && within_limit;
 }
 
-std::string ask(int port, const std::string& call, double* took_ms = nullptr) {
+std::string send_command(int port, const std::string& command, double* duration_ms = nullptr) {
   const auto began = Clock::now();
   test::Socket socket = test::Socket::connected(port);
-  socket.send(call + "\n");
+  socket.send(command + "\n");
   std::string text = socket.line();
-  if (call == "telemetry") text += socket.until("END\n");
-  if (took_ms != nullptr) *took_ms = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
+  if (command == "telemetry") text += socket.until("END\n");
+  if (duration_ms != nullptr)
+    *duration_ms = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
   return text;
 }
 
@@ -37,24 +38,25 @@
   return at == std::string::npos ? -1.0 : std::atof(telemetry.c_str() + at + name.size() + 2);
 }
 
-struct Ends {
+struct CallOutcomes {
   std::size_t unanswered = 0;
   std::size_t twice = 0;
-  std::size_t stood = 0;
+  std::size_t established = 0;
 };
-Ends ends_of(const lab::Load& load) {
-  Ends ends;
+CallOutcomes count_outcomes(const lab::Load& load) {
+  CallOutcomes outcomes;
   for (const lab::CallRecord& c : load.calls()) {
-    ends.unanswered += c.finals == 0 ? 1 : 0;
-    ends.twice += c.finals > 1 ? 1 : 0;
-    ends.stood += c.stood ? 1 : 0;
+    outcomes.unanswered += c.finals == 0 ? 1 : 0;
+    outcomes.twice += c.finals > 1 ? 1 : 0;
+    outcomes.established += c.stood ? 1 : 0;
   }
-  return ends;
+  return outcomes;
 }
 
 struct Site {
   std::vector<std::string> servers{at(free_port()), at(free_port())};
-  test::Socket listener = test::Socket::bound(SOCK_STREAM);  // held for all processes, as the platform does
+  test::Socket listener =
+      test::Socket::bound(SOCK_STREAM);  // kept open across all processes, as the platform does
   std::string listen = at(listener.port());
   lab::Plan plan(double per_second, Duration lasts) const {
     lab::Plan p;
@@ -75,7 +77,8 @@
   }
 };
 
-// Scraped in its second half, with 200 callers beside that say nothing or half a call.
+// Scrapes management in the second half of the load, beside 200 connections that send nothing or half a
+// command.
 void management_at_full_load(const std::string& binary) {
   const Site site;
   const int management = free_port();
@@ -93,25 +96,26 @@
           if (n % 2 == 0) silent.back().send("telem");
         }
       }
-      double took = 0.0;
-      ask(management, i % 2 == 0 ? "telemetry" : "readyz", &took);
-      longest = std::max(longest, took);
+      double duration = 0.0;
+      send_command(management, i % 2 == 0 ? "telemetry" : "readyz", &duration);
+      longest = std::max(longest, duration);
       std::this_thread::sleep_for(40ms);
     }
   });
   load.run();
   operators.join();
-  figure("management_longest_with_200_silent", longest, "ms", longest < 100.0);
-  const Ends ends = ends_of(load);
-  const std::string text = ask(management, "telemetry");
+  print_figure("management_longest_with_200_silent", longest, "ms", longest < 100.0);
+  const CallOutcomes outcomes = count_outcomes(load);
+  const std::string text = send_command(management, "telemetry");
   const double ok = value_of(text, "ok.voice");
-  const double tries = value_of(text, "tries");
-  const double stood = static_cast<double>(ends.stood);
+  const double attempts = value_of(text, "tries");
+  const double established = static_cast<double>(outcomes.established);
   const double invites = static_cast<double>(load.invites());
-  figure("ok_told_less_counted", ok - stood, "calls", std::abs(ok - stood) <= std::max(3.0, 0.01 * stood));
-  figure("tries_told_less_counted", tries - invites, "set-ups",
-         std::abs(tries - invites) <= std::max(3.0, 0.02 * invites));
-  figure("active_at_the_end", value_of(text, "active"), "calls", value_of(text, "active") <= 3.0);
+  print_figure("ok_told_less_counted", ok - established, "calls",
+               std::abs(ok - established) <= std::max(3.0, 0.01 * established));
+  print_figure("tries_told_less_counted", attempts - invites, "set-ups",
+               std::abs(attempts - invites) <= std::max(3.0, 0.02 * invites));
+  print_figure("active_at_the_end", value_of(text, "active"), "calls", value_of(text, "active") <= 3.0);
   std::vector<double> before;
   std::vector<double> during;
   const std::size_t half = load.calls().size() / 2;
@@ -121,8 +125,8 @@
       (i < half ? before : during)
           .push_back(std::chrono::duration<double, std::milli>(c.answered - c.sent).count());
   }
-  figure("answer_p99_unscraped", lab::percentile(before, 0.99), "ms", true);
-  figure("answer_p99_scraped", lab::percentile(during, 0.99), "ms", true);
+  print_figure("answer_p99_unscraped", lab::percentile(before, 0.99), "ms", true);
+  print_figure("answer_p99_scraped", lab::percentile(during, 0.99), "ms", true);
 }
 
 void reloads_under_load(const std::string& binary) {
@@ -144,14 +148,14 @@
   });
   load.run();
   operators.join();
-  const Ends ends = ends_of(load);
-  const std::string text = ask(management, "telemetry");
-  figure("reloads_taken_of_15", value_of(text, "config_applied"), "files",
-         value_of(text, "config_applied") == 15);
-  figure("reloads_turned_down_of_5", value_of(text, "config_rejected"), "files",
-         value_of(text, "config_rejected") == 5);
-  const std::size_t lost = load.calls().size() - ends.stood;
-  figure("reload_calls_lost", static_cast<double>(lost), "calls", lost == 0 && ends.twice == 0);
+  const CallOutcomes outcomes = count_outcomes(load);
+  const std::string text = send_command(management, "telemetry");
+  print_figure("reloads_taken_of_15", value_of(text, "config_applied"), "files",
+               value_of(text, "config_applied") == 15);
+  print_figure("reloads_turned_down_of_5", value_of(text, "config_rejected"), "files",
+               value_of(text, "config_rejected") == 5);
+  const std::size_t lost = load.calls().size() - outcomes.established;
+  print_figure("reload_calls_lost", static_cast<double>(lost), "calls", lost == 0 && outcomes.twice == 0);
 }
 
 void twenty_upgrades(const std::string& binary) {
@@ -167,7 +171,7 @@
       const auto began = Clock::now();
       management = free_port();
       programs.push_back(site.start(binary, management));
-      while (!ask(management, "readyz").starts_with("OK")) std::this_thread::sleep_for(5ms);
+      while (!send_command(management, "readyz").starts_with("OK")) std::this_thread::sleep_for(5ms);
       longest_start =
           std::max(longest_start, std::chrono::duration<double, std::milli>(Clock::now() - began).count());
       programs[programs.size() - 2]->signal(SIGTERM);
@@ -176,16 +180,18 @@
   });
   load.run();
   operators.join();
-  const Ends ends = ends_of(load);
-  int bad_ends = 0;
-  for (std::size_t i = 0; i + 1 < programs.size(); ++i) bad_ends += programs[i]->exit_status() == 0 ? 0 : 1;
-  figure("upgrade_longest_until_ready", longest_start, "ms", longest_start < 6000.0);
-  figure("upgrade_set_ups_sent_once_more", static_cast<double>(load.resent()), "calls", true);
-  figure("upgrade_ended_at_the_door", static_cast<double>(ends.unanswered), "calls", ends.unanswered == 0);
-  const std::size_t lost = load.calls().size() - ends.stood;
-  figure("upgrade_calls_lost", static_cast<double>(lost), "calls", lost == 0);
-  figure("upgrade_answered_twice", static_cast<double>(ends.twice), "calls", ends.twice == 0);
-  figure("upgrade_old_ones_that_ended_badly", bad_ends, "processes", bad_ends == 0);
+  const CallOutcomes outcomes = count_outcomes(load);
+  int failed_exits = 0;
+  for (std::size_t i = 0; i + 1 < programs.size(); ++i)
+    failed_exits += programs[i]->exit_status() == 0 ? 0 : 1;
+  print_figure("upgrade_longest_until_ready", longest_start, "ms", longest_start < 6000.0);
+  print_figure("upgrade_set_ups_sent_once_more", static_cast<double>(load.resent()), "calls", true);
+  print_figure("upgrade_ended_at_the_door", static_cast<double>(outcomes.unanswered), "calls",
+               outcomes.unanswered == 0);
+  const std::size_t lost = load.calls().size() - outcomes.established;
+  print_figure("upgrade_calls_lost", static_cast<double>(lost), "calls", lost == 0);
+  print_figure("upgrade_answered_twice", static_cast<double>(outcomes.twice), "calls", outcomes.twice == 0);
+  print_figure("upgrade_old_ones_that_ended_badly", failed_exits, "processes", failed_exits == 0);
 }
 
 }  // namespace
@@ -194,5 +200,5 @@
   management_at_full_load(argv[1]);
   reloads_under_load(argv[1]);
   twenty_upgrades(argv[1]);
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/bench/programs.h
+++ b/bench/programs.h
@@ -1,4 +1,4 @@
-// Gatekeepers as programs of their own, for the measurements.
+// Starts gatekeepers as separate processes for the benchmarks and process tests.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 inline std::string at(int port) { return "127.0.0.1:" + std::to_string(port); }
 inline int free_port() { return test::Socket::bound(SOCK_STREAM).port(); }
 
-// The configuration of `index` of `size` gatekeepers in front of the servers.
+// Configuration of gatekeeper `index` of `size`, with `servers` as its complete endpoint list.
 inline json config_of(const std::string& listen, const std::vector<std::string>& servers, int index,
                       int size) {
   json settings = test::settings();
@@ -41,7 +41,7 @@
           {"settings", settings}};
 }
 
-// `deploy`: its deploy file, or null.
+// Starts a gatekeeper process. `deploy` is the content of its deploy file, or null for none.
 inline std::unique_ptr<test::Program> gatekeeper(const std::string& binary, const std::string& listen,
                                                  const std::vector<std::string>& servers, int index, int size,
                                                  const json& deploy = {}) {
--- a/bench/stand_ins.h
+++ b/bench/stand_ins.h
@@ -1,5 +1,5 @@
-// Stand-in setup servers and a caller for measurements where the stand-in's own share must be small: epoll
-// instead of a loop that looks at every descriptor, no ticks, an answer goes out at once.
+// Stand-in setup servers and a call generator for measurements in which their own overhead must be small:
+// they use epoll instead of scanning every descriptor, run no ticks, and answer at once.
 #pragma once
 
 #include <netinet/tcp.h>
@@ -23,8 +23,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-// This process's own descriptors, up to its hard limit. Programs started later are given `programs_get`.
-inline rlim_t raise_descriptors() {
+// Raises this process's soft descriptor limit to its hard limit and returns the previous soft limit. Programs
+// started later inherit the raised limit unless set_descriptor_limit lowers it for them.
+inline rlim_t raise_descriptor_limit() {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
   const rlim_t before = limit.rlim_cur;
@@ -32,21 +33,26 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
   return before;
 }
-inline void set_descriptors(rlim_t most) {
+// Sets the soft descriptor limit, to the hard limit at most.
+inline void set_descriptor_limit(rlim_t descriptors) {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
-  limit.rlim_cur = std::min(most, limit.rlim_max);
+  limit.rlim_cur = std::min(descriptors, limit.rlim_max);
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Servers on ports of their own, in one thread. They speak the platform's SIP and RFC 3261 over TCP.
+// Setup servers, each on its own port, all served by one thread. They speak the platform's SIP and RFC 3261
+// over TCP.
 class StandIns {
  public:
-  enum class Way { serve, fault, full, silent };  // 200, 500, 503 or nothing to a set-up
+  enum class Behavior { serve, fault, full, silent };  // answer to a setup: 200, 500, 503 or none
 
-  explicit StandIns(std::size_t count, Way way = Way::serve)
-      : way_(way), used_(count), poll_(::epoll_create1(EPOLL_CLOEXEC)), end_(::eventfd(0, EFD_CLOEXEC)) {
-    watch(end_);
+  explicit StandIns(std::size_t count, Behavior behavior = Behavior::serve)
+      : behavior_(behavior),
+        received_setup_(count),
+        poll_(::epoll_create1(EPOLL_CLOEXEC)),
+        stop_event_(::eventfd(0, EFD_CLOEXEC)) {
+    watch(stop_event_);
     for (std::size_t i = 0; i < count; ++i) {
       listeners_.push_back(test::Socket::bound(SOCK_STREAM));
       ::listen(listeners_.back().descriptor(), 64);
@@ -57,9 +63,9 @@
   }
   ~StandIns() {
     const std::uint64_t one = 1;
-    if (::write(end_, &one, sizeof one) == sizeof one) thread_.join();
-    for (const auto& [fd, c] : connections_) ::close(fd);
-    ::close(end_);
+    if (::write(stop_event_, &one, sizeof one) == sizeof one) thread_.join();
+    for (const auto& [fd, connection] : connections_) ::close(fd);
+    ::close(stop_event_);
     ::close(poll_);
   }
   StandIns(const StandIns&) = delete;
@@ -72,7 +78,7 @@
   }
   std::size_t open() const { return open_; }
   std::uint64_t invites() const { return invites_; }
-  std::size_t used() const { return used_count_; }  // servers that were sent a set-up
+  std::size_t servers_used() const { return servers_used_; }  // servers that received a setup
 
  private:
   struct Connection {
@@ -91,7 +97,7 @@
       const int count = ::epoll_wait(poll_, events, 64, -1);
       for (int i = 0; i < count; ++i) {
         const int fd = events[i].data.fd;
-        if (fd == end_) return;
+        if (fd == stop_event_) return;
         if (const auto it = by_listener_.find(fd); it != by_listener_.end()) {
           const int conn = ::accept4(fd, nullptr, nullptr, SOCK_CLOEXEC);
           if (conn < 0) continue;
@@ -109,20 +115,20 @@
     }
   }
   bool read(int fd) {
-    Connection& c = connections_.at(fd);
+    Connection& connection = connections_.at(fd);
     char buffer[16384];
     const ssize_t got = ::recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
     if (got <= 0) return got < 0 && errno == EAGAIN;
-    c.in.append(buffer, static_cast<std::size_t>(got));
+    connection.in.append(buffer, static_cast<std::size_t>(got));
     std::size_t used = 0;
     std::string answers;
-    while (used < c.in.size()) {
-      const sip::ReadResult read = sip::read_stream(std::string_view(c.in).substr(used));
+    while (used < connection.in.size()) {
+      const sip::ReadResult read = sip::read_stream(std::string_view(connection.in).substr(used));
       if (read.state != sip::ReadState::message) break;
       used += read.used;
-      answer(c.server, read.message, answers);
+      answer(connection.server, read.message, answers);
     }
-    c.in.erase(0, used);
+    connection.in.erase(0, used);
     return answers.empty() || ::send(fd, answers.data(), answers.size(), MSG_NOSIGNAL) > 0;
   }
   void answer(std::size_t server, const sip::Message& m, std::string& out) {
@@ -137,55 +143,57 @@
     }
     if (m.method == "INVITE") {
       ++invites_;
-      if (std::exchange(used_[server], 1) == 0) ++used_count_;
-      if (way_ == Way::silent) return;
-      if (way_ == Way::serve) {
+      if (std::exchange(received_setup_[server], 1) == 0) ++servers_used_;
+      if (behavior_ == Behavior::silent) return;
+      if (behavior_ == Behavior::serve) {
         a.add("Contact", "<sip:s@" + at(listeners_[server].port()) + ";transport=tcp>");
         a.add("P-Load", "eps:0;latency_ms:1");
         a.body = "answer";
       } else {
-        a.status = way_ == Way::fault ? 500 : 503;
+        a.status = behavior_ == Behavior::fault ? 500 : 503;
         a.phrase = "No";
       }
-    } else if (way_ == Way::silent) {
+    } else if (behavior_ == Behavior::silent) {
       return;
     }
     out += a.text();
   }
 
-  Way way_;
+  Behavior behavior_;
   std::vector<test::Socket> listeners_;
   std::unordered_map<int, std::size_t> by_listener_;
   std::unordered_map<int, Connection> connections_;
-  std::vector<char> used_;
+  std::vector<char> received_setup_;
   std::atomic<std::size_t> open_ = 0;
-  std::atomic<std::size_t> used_count_ = 0;
+  std::atomic<std::size_t> servers_used_ = 0;
   std::atomic<std::uint64_t> invites_ = 0;
   int poll_;
-  int end_;
+  int stop_event_;
   std::thread thread_;
 };
 
-struct Placed {
-  Clock::time_point sent{};
-  Clock::time_point answered{};
-  int finals = 0;
-  int status = 0;  // of SIP; 0 on the platform's protocol, where it did not stand
-  bool stood = false;
-  double took_us() const { return std::chrono::duration<double, std::micro>(answered - sent).count(); }
+struct PlacedCall {
+  Clock::time_point sent_at{};
+  Clock::time_point answered_at{};
+  int final_answers = 0;
+  int status = 0;  // of SIP; on the platform's protocol 200 when established, else 0
+  bool established = false;
+  double latency_us() const {
+    return std::chrono::duration<double, std::micro>(answered_at - sent_at).count();
+  }
 };
 
-// Places calls on one connection and ends those that stand after a while.
+// Places calls on one connection and releases each established call after kHoldTime.
 class Caller {
  public:
-  enum class Speech { sip, lines };
-  Caller(int port, Speech speech) : speech_(speech), port_(port) { connect(); }
+  enum class Protocol { sip, platform };
+  Caller(int port, Protocol protocol) : protocol_(protocol), port_(port) { connect(); }
 
-  // Poisson arrivals; the same ones for the same seed. Back when all are answered and ended, or after 4 s. On
-  // a connection of its own: a gatekeeper closes one that is idle for long. The calls are those from the
-  // index returned on.
-  std::size_t spell(double per_second, Clock::duration lasts, std::uint64_t seed,
-                    std::size_t most = 100'000) {
+  // Places calls with Poisson arrivals, the same ones for the same seed. Returns when all are answered and
+  // released, at the latest 4 s after the end of `duration`. Opens a new connection, because a gatekeeper
+  // closes one that was idle for long. The new calls begin at the returned index of calls().
+  std::size_t place_calls(double per_second, Clock::duration duration, std::uint64_t seed,
+                          std::size_t max_calls = 100'000) {
     const std::size_t first = calls_.size();
     connect();
     std::mt19937_64 random(seed);
@@ -194,35 +202,36 @@
     auto next = begin;
     while (true) {
       const auto now = Clock::now();
-      const bool more = next < begin + lasts && calls_.size() - first < most;
-      if (more && next <= now) {
-        place(random());
+      const bool arriving = next < begin + duration && calls_.size() - first < max_calls;
+      if (arriving && next <= now) {
+        place_call(random());
         next += std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(gap(random)));
         continue;
       }
-      while (!holds_.empty() && holds_.front().first <= now) {
-        end(holds_.front().second);
-        holds_.pop_front();
+      while (!established_calls_.empty() && established_calls_.front().first <= now) {
+        release_call(established_calls_.front().second);
+        established_calls_.pop_front();
       }
-      if (!more && ((unanswered_ == 0 && holds_.empty()) || now > begin + lasts + std::chrono::seconds(4)))
+      if (!arriving && ((outstanding_ == 0 && established_calls_.empty()) ||
+                        now > begin + duration + std::chrono::seconds(4)))
         break;
-      auto until = more ? next : now + std::chrono::milliseconds(20);
-      if (!holds_.empty()) until = std::min(until, holds_.front().first);
-      listen_until(until);
+      auto until = arriving ? next : now + std::chrono::milliseconds(20);
+      if (!established_calls_.empty()) until = std::min(until, established_calls_.front().first);
+      receive_until(until);
     }
-    unanswered_ = 0;
-    listen_for(std::chrono::milliseconds(20));
+    outstanding_ = 0;
+    receive_for(std::chrono::milliseconds(20));
     return first;
   }
-  // What still comes is a second answer.
-  void listen_for(Clock::duration span) {
+  // Receives for `span`; after all calls have a final answer, any further one is a second answer.
+  void receive_for(Clock::duration span) {
     const auto end = Clock::now() + span;
-    while (Clock::now() < end) listen_until(end);
+    while (Clock::now() < end) receive_until(end);
   }
-  const std::vector<Placed>& calls() const { return calls_; }
+  const std::vector<PlacedCall>& calls() const { return calls_; }
 
  private:
-  static constexpr auto kHold = std::chrono::milliseconds(50);
+  static constexpr auto kHoldTime = std::chrono::milliseconds(50);
 
   std::string id_of(std::size_t index) const {
     char text[32];
@@ -244,12 +253,12 @@
   void write(const std::string& text) const {
     ::send(socket_.descriptor(), text.data(), text.size(), MSG_NOSIGNAL);
   }
-  void place(std::uint64_t draw) {
+  void place_call(std::uint64_t draw) {
     const std::string id = id_of(calls_.size());
     char number[32];
     std::snprintf(number, sizeof number, "%016llx", static_cast<unsigned long long>(draw));
     std::string text;
-    if (speech_ == Speech::sip) {
+    if (protocol_ == Protocol::sip) {
       const std::string uri = "sip:" + std::string(number) + "@127.0.0.1";
       text = "INVITE " + uri + " SIP/2.0\r\n" + head("INVITE", id, "<" + uri + ">", 1, "i") +
              "Contact: <sip:c@127.0.0.1:9;transport=tcp>\r\nPriority-Class: voice\r\nExpires: 3\r\n"
@@ -260,17 +269,17 @@
     }
     by_id_.emplace(id, calls_.size());
     calls_.emplace_back();
-    ++unanswered_;
-    calls_.back().sent = Clock::now();
+    ++outstanding_;
+    calls_.back().sent_at = Clock::now();
     write(text);
   }
-  void end(const std::pair<std::string, std::string>& call) {
+  void release_call(const std::pair<std::string, std::string>& call) {
     const auto& [id, to] = call;
-    write(speech_ == Speech::sip
+    write(protocol_ == Protocol::sip
               ? "BYE sip:s@127.0.0.1 SIP/2.0\r\n" + head("BYE", id, to, 2, "b") + "Content-Length: 0\r\n\r\n"
               : R"({"type":"release","id":")" + id + R"(","fields":{},"cause":16})" + "\n");
   }
-  void listen_until(Clock::time_point until) {
+  void receive_until(Clock::time_point until) {
     const auto left = std::max(std::chrono::nanoseconds(0),
                                std::chrono::duration_cast<std::chrono::nanoseconds>(until - Clock::now()));
     const timespec wait{left.count() / 1'000'000'000, left.count() % 1'000'000'000};
@@ -285,56 +294,58 @@
     std::size_t used = 0;
     while (used < in_.size()) {
       const std::string_view rest = std::string_view(in_).substr(used);
-      if (speech_ == Speech::sip) {
+      if (protocol_ == Protocol::sip) {
         const sip::ReadResult read = sip::read_stream(rest);
         if (read.state != sip::ReadState::message) break;
         used += read.used;
-        heard(now, read.message);
+        handle_response(now, read.message);
       } else {
         const jsonl::ReadResult read = jsonl::read(rest);
         if (read.state != jsonl::ReadState::message) break;
         used += read.used;
-        heard(now, read.message);
+        handle_response(now, read.message);
       }
     }
     in_.erase(0, used);
   }
-  void heard(Clock::time_point now, const sip::Message& m) {
+  void handle_response(Clock::time_point now, const sip::Message& m) {
     const auto cseq = sip::cseq_of(m);
     if (m.is_request() || m.status < 200 || !cseq || cseq->method != "INVITE") return;
     const std::string id(m.header("Call-ID"));
-    const bool stood = m.status < 300;
+    const bool established = m.status < 300;
     const std::string to(m.header("To"));
-    write("ACK sip:s@127.0.0.1 SIP/2.0\r\n" + head("ACK", id, to, 1, stood ? "a" : "i") +
+    write("ACK sip:s@127.0.0.1 SIP/2.0\r\n" + head("ACK", id, to, 1, established ? "a" : "i") +
           "Content-Length: 0\r\n\r\n");
-    final(now, id, to, stood, m.status);
+    record_final_answer(now, id, to, established, m.status);
   }
-  void heard(Clock::time_point now, const jsonl::Message& m) {
-    const bool stood = m.type == "answer";
+  void handle_response(Clock::time_point now, const jsonl::Message& m) {
+    const bool established = m.type == "answer";
     const auto it = by_id_.find(m.id);
-    if (it == by_id_.end() || (!stood && (m.type != "release" || calls_[it->second].stood))) return;
-    final(now, m.id, {}, stood, stood ? 200 : 0);
+    if (it == by_id_.end() || (!established && (m.type != "release" || calls_[it->second].established)))
+      return;
+    record_final_answer(now, m.id, {}, established, established ? 200 : 0);
   }
-  void final(Clock::time_point now, const std::string& id, const std::string& to, bool stood, int status) {
+  void record_final_answer(Clock::time_point now, const std::string& id, const std::string& to,
+                           bool established, int status) {
     const auto it = by_id_.find(id);
     if (it == by_id_.end()) return;
-    Placed& call = calls_[it->second];
-    if (++call.finals > 1) return;
-    call.answered = now;
+    PlacedCall& call = calls_[it->second];
+    if (++call.final_answers > 1) return;
+    call.answered_at = now;
     call.status = status;
-    call.stood = stood;
-    if (unanswered_ > 0) --unanswered_;
-    if (stood) holds_.emplace_back(now + kHold, std::pair(id, to));
+    call.established = established;
+    if (outstanding_ > 0) --outstanding_;
+    if (established) established_calls_.emplace_back(now + kHoldTime, std::pair(id, to));
   }
 
   test::Socket socket_;
-  Speech speech_;
+  Protocol protocol_;
   int port_;
   std::string in_;
-  std::vector<Placed> calls_;
+  std::vector<PlacedCall> calls_;
   std::unordered_map<std::string, std::size_t> by_id_;
-  std::deque<std::pair<Clock::time_point, std::pair<std::string, std::string>>> holds_;
-  std::size_t unanswered_ = 0;
+  std::deque<std::pair<Clock::time_point, std::pair<std::string, std::string>>> established_calls_;
+  std::size_t outstanding_ = 0;
 };
 
 inline int port_of(const std::string& address) { return std::stoi(address.substr(address.rfind(':') + 1)); }
