--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The tasks of this project; CI runs .ci/run.
+# Development tasks of this project. CI runs .ci/run.
 BUILD ?= build
 TESTS ?= build-tests
 TIDY ?= build-tidy
@@ -16,11 +16,11 @@
 	cmake -S . -B $(TESTS) -DGRANITERUN_BUILD_TESTS=ON -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS="$(SANITIZE)"
 	cmake --build $(TESTS) -j4
 
-# PASS_OVER: a pattern of tests that are known to fail; CI takes it from KNOWN-RED.txt.
+# PASS_OVER: regular expression of tests to skip, which are known to fail; CI builds it from KNOWN-RED.txt.
 test: test-build
 	ctest --test-dir $(TESTS) --output-on-failure -j4 $(if $(PASS_OVER),-E '$(PASS_OVER)')
 
-# clang-format over all, clang-tidy 16 over src with the headers that it uses, shellcheck over the scripts.
+# clang-format on all C++ files, clang-tidy 16 on src and the headers that it includes, shellcheck on the scripts.
 lint: lint-format lint-tidy lint-scripts
 
 lint-format:
@@ -33,15 +33,15 @@
 lint-scripts:
 	git ls-files '*.sh' .ci/run .ci/known-red | xargs shellcheck
 
-# The installed header's pages, in build-docs; a public name without a comment is an error.
+# API documentation of the installed header, in build-docs; an undocumented public name is an error.
 docs:
 	doxygen Doxyfile
 
-# Needs RELAY_CONFIG; DEPLOY=deploy/broker.json also opens the SIP front.
+# Needs RELAY_CONFIG; DEPLOY=deploy/broker.json also enables the SIP listener.
 run: build
 	$(BUILD)/graniterun $(if $(DEPLOY),--deploy $(DEPLOY))
 
-# Measurements: a line a figure, `name value unit`; they end with an error where an aim is missed.
+# Benchmarks print one figure per line, `name value unit`, and exit with an error if a figure misses its limit.
 bench:
 	cmake -S . -B build-bench -DCMAKE_BUILD_TYPE=Release -DGRANITERUN_BUILD_BENCH=ON > /dev/null
 	cmake --build build-bench -j4 > /dev/null
@@ -52,11 +52,12 @@
 bench-ops: bench
 	build-bench/graniterun_ops_bench build-bench/graniterun
 
-# From a caller's close to the CANCEL at the server: a figure counts only from a quiet machine.
+# Time from a caller's disconnect to the CANCEL at the server. Valid only on an otherwise idle machine.
 bench-close: bench
 	build-bench/graniterun_close_bench build-bench/graniterun
 
-# The time that a gatekeeper adds, paired, and lines of 3 and 9; what a long list of servers costs. 100 s each.
+# Latency added by one gatekeeper and by chains of 3 and 9, in paired measurements; and cost by the length of the
+# endpoint list. About 100 s each.
 bench-added: bench
 	timeout 120 build-bench/graniterun_added_bench build-bench/graniterun $(if $(QUICK),--quick)
 
@@ -73,12 +74,13 @@
 bench-fleet-sim: bench
 	build-bench/graniterun_fleet_sim_bench
 
-# Cold servers and the whole fleet, a hundred seeds a case.
+# Servers in slow start behind a fleet of senders, 100 seeds per case.
 bench-cold: bench
 	build-bench/graniterun_cold_bench
 
-# docs/CAPACITY.md: its tables out of the committed slopes; `capacity-check` ends with an error where they differ
-# (CI does that too). `measure-capacity` measures anew on this machine, within 8 minutes; ONLY="name..." some of it.
+# `capacity` generates the tables of docs/CAPACITY.md from the measured runs and slopes; `capacity-check` fails if the
+# page and the committed slopes differ (CI checks that too). `measure-capacity` repeats the measurements on this machine
+# within 8 minutes; ONLY="name..." selects some of them.
 CAPACITY = docs/CAPACITY.md docs/capacity/slopes.json docs/capacity/target.json
 
 capacity-tool:
@@ -96,13 +98,13 @@
 measure-capacity: bench
 	bench/measure_capacity.sh $(ONLY)
 
-# Configuration spread over hollow gatekeepers and real ones, at 100 to LARGEST (3,000) of them. SHORT=1: the same
-# faults on a small scale, under a minute, judged by the record's order and not by times.
+# Configuration distribution to 100 to LARGEST (default 3,000) lightweight and real gatekeepers. SHORT=1: the same
+# faults on a small scale, in under a minute, checked by the order of events and not by times.
 bench-scale: bench
 	build-bench/graniterun_scale_bench build-bench/graniterun build-bench/graniterun_distributor \
 	  build-bench/graniterun_hollow $(if $(SHORT),short,$(LARGEST))
 
-# Long: thousands of seeds of random faults, five minutes of bad weather for real programs and for simulated ones.
+# Long soak: thousands of seeds of random faults, and five minutes of faults each for real and simulated members.
 soak-fleet: bench
 	build-bench/graniterun_membership_model 3000
 	build-bench/graniterun_fleet_sim_bench 10
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -28,12 +28,12 @@
 
 // Writes atomically: into a temporary file, then renames it.
 void write(const std::string& path, const std::string& text) {
-  const std::string fresh = path + ".new";
-  std::ofstream file(fresh, std::ios::binary);
+  const std::string updated = path + ".new";
+  std::ofstream file(updated, std::ios::binary);
   file << text;
   file.close();
   if (!file) throw BadInput(path + " cannot be written");
-  std::filesystem::rename(fresh, path);
+  std::filesystem::rename(updated, path);
 }
 
 json read_json(const std::string& path) {
@@ -42,29 +42,31 @@
   return value;
 }
 
-int run(const std::vector<std::string>& words) {
-  if (words.size() >= 3 && words[0] == "take") {
-    const json listed = read_json((std::filesystem::path(words[1]).parent_path() / "figures.json").string());
+int run(const std::vector<std::string>& arguments) {
+  if (arguments.size() >= 3 && arguments[0] == "take") {
+    const json listed =
+        read_json((std::filesystem::path(arguments[1]).parent_path() / "figures.json").string());
     std::vector<Run> runs;
-    for (std::size_t i = 2; i < words.size(); ++i) runs.push_back(read_run(read(words[i]), words[i]));
-    write(words[1], to_json(collect_slopes(runs, listed)).dump(1) + "\n");
+    for (std::size_t i = 2; i < arguments.size(); ++i)
+      runs.push_back(read_run(read(arguments[i]), arguments[i]));
+    write(arguments[1], to_json(collect_slopes(runs, listed)).dump(1) + "\n");
     return 0;
   }
-  if (words.size() != 4 || (words[0] != "write" && words[0] != "check")) {
+  if (arguments.size() != 4 || (arguments[0] != "write" && arguments[0] != "check")) {
     std::cerr << "usage: graniterun_capacity take SLOPES.json RUN.txt... | write|check PAGE.md SLOPES.json "
                  "TARGET.json\n";
     return 2;
   }
-  const std::string page = read(words[1]);
-  const CapacityModel model(parse_slopes(read_json(words[2])), read_json(words[3]));
-  const std::string fresh = replace_tables(page, model.tables());
-  if (words[0] == "write") {
-    if (fresh != page) write(words[1], fresh);
+  const std::string page = read(arguments[1]);
+  const CapacityModel model(parse_slopes(read_json(arguments[2])), read_json(arguments[3]));
+  const std::string updated = replace_tables(page, model.tables());
+  if (arguments[0] == "write") {
+    if (updated != page) write(arguments[1], updated);
     return 0;
   }
-  const auto difference = first_difference(page, fresh);
+  const auto difference = first_difference(page, updated);
   if (!difference) return 0;
-  std::cerr << words[1] << " does not match its slopes (run make capacity): " << *difference << "\n";
+  std::cerr << arguments[1] << " does not match its slopes (run make capacity): " << *difference << "\n";
   return 1;
 }
 
--- a/bench/capacity/fit.cpp
+++ b/bench/capacity/fit.cpp
@@ -39,8 +39,8 @@
 }  // namespace
 
 std::string_view to_string(Law law) {
-  constexpr std::string_view kWords[] = {"constant", "log n", "n"};
-  return kWords[static_cast<std::size_t>(law)];
+  constexpr std::string_view kLawNames[] = {"constant", "log n", "n"};
+  return kLawNames[static_cast<std::size_t>(law)];
 }
 
 double median(std::vector<double> values) {
--- a/bench/capacity/slopes.cpp
+++ b/bench/capacity/slopes.cpp
@@ -50,11 +50,11 @@
     if (line.starts_with(kCommand)) run.command = line.substr(kCommand.size());
     if (line.starts_with(kRevision)) run.revision = line.substr(kRevision.size());
     if (line.starts_with('#')) continue;
-    std::istringstream words(line);
+    std::istringstream fields(line);
     std::string name;
     std::string value;
     std::string unit;
-    if (!(words >> name >> value >> unit)) continue;
+    if (!(fields >> name >> value >> unit)) continue;
     const auto figure = number_of(value);
     if (!figure) continue;
     Run::Line read;
--- a/bench/close_bench.cpp
+++ b/bench/close_bench.cpp
@@ -156,9 +156,9 @@
   print_figure("close_to_cancel_median" + name, lab::percentile(delays, 0.5), "ms", true);
   const double p99 = lab::percentile(delays, 0.99);
   print_figure("close_to_cancel_p99_ms" + name, p99, "ms", !delays.empty() && p99 < kMaxCancelDelayMs);
-  const double longest = lab::percentile(delays, 1.0);
-  print_figure("close_to_cancel_longest" + name, longest, "ms",
-               !delays.empty() && longest < kMaxCancelDelayMs);
+  const double max_delay = lab::percentile(delays, 1.0);
+  print_figure("close_to_cancel_longest" + name, max_delay, "ms",
+               !delays.empty() && max_delay < kMaxCancelDelayMs);
   print_figure("closes_without_cancel" + name, without_cancel, "calls", without_cancel == 0);
   print_figure("calls_that_never_began" + name, without_invite, "calls", without_invite < kDisconnects / 10);
 }
--- a/bench/fleet_sim_bench.cpp
+++ b/bench/fleet_sim_bench.cpp
@@ -42,17 +42,18 @@
   return fleet::encode(datagram, "trail", key).size();
 }
 
-// Time until every running member but `of` has observed the event; none if not all did within `most`.
-std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, MemberEventKind what, Duration most) {
+// Time until every running member but `of` has observed the event; none if not all did within `timeout`.
+std::optional<Duration> known_everywhere(FleetSim& sim, std::size_t of, MemberEventKind kind,
+                                         Duration timeout) {
   const std::string name = FleetSim::name_of(of);
   std::set<std::size_t> by;
   std::size_t next_event = sim.found().size();
   std::size_t observers = 0;
   for (std::size_t i = 0; i < sim.size(); ++i) observers += i != of && sim.up(i) ? 1 : 0;
-  return sim.until(most, [&] {
+  return sim.until(timeout, [&] {
     for (; next_event < sim.found().size(); ++next_event) {
       const auto& f = sim.found()[next_event];
-      if (f.what.kind == what && f.what.record.name == name && f.by != of) by.insert(f.by);
+      if (f.what.kind == kind && f.what.record.name == name && f.by != of) by.insert(f.by);
     }
     return by.size() >= observers;
   });
--- a/bench/measure_capacity.sh
+++ b/bench/measure_capacity.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Raw outputs for docs/CAPACITY.md: runs the commands that measure its slopes, three times each, and keeps what
-# they print under docs/capacity/runs with a head. Then: make capacity.
-#   bench/measure_capacity.sh [NAME...]      names of the list below; without any: those marked 'all'
-# Bounded: each run is ended after its limit, and none begins that could end later than MOST seconds (480) after
-# the start. A command's earlier runs go when its first new one is whole.
+# Measures the raw data of docs/CAPACITY.md: runs the commands that measure its slopes, three times each, and stores
+# their output with a header in docs/capacity/runs. Run `make capacity` afterwards.
+#   bench/measure_capacity.sh [NAME...]      names from the list below; without any: those marked 'all'
+# Each run is killed at its time limit, and no run starts that could end more than MOST seconds (default 480) after the
+# start. The earlier runs of a command are deleted once its first new run is complete.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=${BIN:-build-bench}
@@ -12,8 +12,7 @@
 most_seconds=${MOST:-480}
 
 # name | when | limit of a run in seconds | program | arguments; @name: a program among them
-# Those marked 'alone' take their time by the clock or longer than the rest: by their names, one at a time; scale
-# with MOST=1500.
+# Entries marked 'alone' measure wall-clock time or take long: run them by name, one at a time; scale with MOST=1500.
 list='
 control    | all   | 60  | graniterun_control_bench | discovery gaps announcer configuration figures
 load       | all   | 60  | graniterun_load_bench    | @graniterun
@@ -26,10 +25,10 @@
 trim() { sed 's/^ *//; s/ *$//' <<<"$1"; }
 wanted=" $* "
 for name in "$@"; do
-  grep -q "^$name " <<<"$list" || { echo "measure_capacity: there is no '$name' in its list" >&2; exit 2; }
+  grep -q "^$name " <<<"$list" || { echo "measure_capacity: unknown name '$name'" >&2; exit 2; }
 done
 
-# What was measured: the revision, and + where a source is not as it was committed.
+# Revision that was measured, followed by + if a source file differs from the commit.
 revision=$(git rev-parse --short HEAD)
 git diff --quiet HEAD -- src bench lab include CMakeLists.txt || revision="$revision+"
 began=$SECONDS
@@ -43,12 +42,12 @@
     [[ "$wanted" == *" $name "* ]] || continue
   fi
   if [ ! -x "$bin/$program" ]; then
-    echo "$name: $program is not built, left out"
+    echo "$name: skipped, $program is not built"
     continue
   fi
   for run in $(seq "$runs"); do
     if [ $((SECONDS - began + limit)) -gt "$most_seconds" ]; then
-      echo "$name: run $run is left out, its time is over" >&2
+      echo "$name: run $run skipped, it could exceed the total time limit" >&2
       exit 1
     fi
     file=$out/$name.$run.txt
@@ -62,11 +61,11 @@
       cat "$file.new"
     } >"$file"
     rm -f "$file.new"
-    # All runs of a command are of one sitting and one revision.
+    # All runs of a command must come from one invocation and one revision.
     if [ "$run" -eq 1 ]; then find "$out" -name "$name.*.txt" ! -name "$name.1.txt" -delete; fi
     echo "$name: run $run, status $status, $((SECONDS - began)) s since the start"
     if [ "$status" -eq 124 ]; then
-      echo "$name: was ended after $limit s; its runs are no use" >&2
+      echo "$name: killed after $limit s; its runs were deleted" >&2
       rm -f "$out/$name".*.txt
       exit 1
     fi
--- a/bench/ops_bench.cpp
+++ b/bench/ops_bench.cpp
@@ -84,7 +84,7 @@
   const int management = free_port();
   const auto program = site.start(binary, management);
   lab::Load load(site.plan(2000, 6s));
-  double longest = 0.0;
+  double max_duration = 0.0;
   std::thread operators([&] {
     std::this_thread::sleep_for(4500ms);
     std::vector<test::Socket> silent;
@@ -98,13 +98,13 @@
       }
       double duration = 0.0;
       send_command(management, i % 2 == 0 ? "telemetry" : "readyz", &duration);
-      longest = std::max(longest, duration);
+      max_duration = std::max(max_duration, duration);
       std::this_thread::sleep_for(40ms);
     }
   });
   load.run();
   operators.join();
-  print_figure("management_longest_with_200_silent", longest, "ms", longest < 100.0);
+  print_figure("management_longest_with_200_silent", max_duration, "ms", max_duration < 100.0);
   const CallOutcomes outcomes = count_outcomes(load);
   const std::string text = send_command(management, "telemetry");
   const double ok = value_of(text, "ok.voice");
@@ -164,7 +164,7 @@
   std::vector<std::unique_ptr<test::Program>> programs;
   programs.push_back(site.start(binary, management));
   lab::Load load(site.plan(500, 14s));
-  double longest_start = 0.0;
+  double max_start = 0.0;
   std::thread operators([&] {
     std::this_thread::sleep_for(2s);
     for (int i = 0; i < 20; ++i) {
@@ -172,8 +172,8 @@
       management = free_port();
       programs.push_back(site.start(binary, management));
       while (!send_command(management, "readyz").starts_with("OK")) std::this_thread::sleep_for(5ms);
-      longest_start =
-          std::max(longest_start, std::chrono::duration<double, std::milli>(Clock::now() - began).count());
+      max_start =
+          std::max(max_start, std::chrono::duration<double, std::milli>(Clock::now() - began).count());
       programs[programs.size() - 2]->signal(SIGTERM);
       std::this_thread::sleep_for(500ms);
     }
@@ -184,7 +184,7 @@
   int failed_exits = 0;
   for (std::size_t i = 0; i + 1 < programs.size(); ++i)
     failed_exits += programs[i]->exit_status() == 0 ? 0 : 1;
-  print_figure("upgrade_longest_until_ready", longest_start, "ms", longest_start < 6000.0);
+  print_figure("upgrade_longest_until_ready", max_start, "ms", max_start < 6000.0);
   print_figure("upgrade_set_ups_sent_once_more", static_cast<double>(load.resent()), "calls", true);
   print_figure("upgrade_ended_at_the_door", static_cast<double>(outcomes.unanswered), "calls",
                outcomes.unanswered == 0);
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -1,10 +1,11 @@
-// Configuration at the fleet's scale: real distributors, hollow gatekeepers (lab/hollow.h) beside real ones
-// that serve calls, at sizes up to the largest that the machine bears. Each fault of the design is put in,
-// and the record of who had which version in force when is judged.
+// Measures configuration distribution at the fleet's scale: real distributors, lightweight gatekeepers
+// (lab/hollow.h) and real gatekeepers that serve calls, at sizes up to the largest that the machine supports.
+// It injects each fault of the design and checks which gatekeeper had which version active at what time.
 //
 // Usage: graniterun_scale_bench GATEKEEPER DISTRIBUTOR HOLLOW [LARGEST [only] | short]
-// A line a figure, `name_at_N value unit`, N gatekeepers; SHORT where an aim is missed, and then exit code 1.
-// `short`: one small size, judged by the order of the record and by the faults that took hold; never by time.
+// Prints one figure per line, `name_at_N value unit` for N gatekeepers, followed by SHORT if it misses its
+// limit; the exit code is then 1. `short` runs one small size and checks the order of the record and that the
+// faults took effect, never times.
 #include <sys/resource.h>
 
 #include <cmath>
@@ -31,15 +32,15 @@
 
 namespace {
 
-constexpr double kAimMs = 6000.0;
-bool good = true;
-bool timed = true;  // times are judged
+constexpr double kMaxActivationMs = 6000.0;  // until a change is active everywhere
+bool passed = true;
+bool timed = true;  // whether times are checked against their limits
 std::map<std::string, std::map<std::size_t, double>> slopes;
 
-void figure(const std::string& name, double value, const char* unit, bool holds = true) {
-  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, holds ? "" : " SHORT");
+void print_figure(const std::string& name, double value, const char* unit, bool within_limit = true) {
+  std::printf("%s %.2f %s%s\n", name.c_str(), value, unit, within_limit ? "" : " SHORT");
   std::fflush(stdout);
-  good = good && holds;
+  passed = passed && within_limit;
 }
 
 double ms(Nanos ns) { return static_cast<double>(ns) / 1e6; }
@@ -62,8 +63,8 @@
   return count;
 }
 
-// Of the counters that a program prints when it is told to by SIGUSR1.
-class Bytes {
+// Reads the byte counters that a program prints on SIGUSR1.
+class ByteCounters {
  public:
   static std::uint64_t of(const std::function<std::string()>& log, int pid) {
     const std::size_t before = log().size();
@@ -86,7 +87,8 @@
   }
 };
 
-// A document of two kilobytes, the usual size, that holds its serial number at both ends.
+// Service configuration of two kilobytes, the usual size, with its serial number at both ends to reveal mixed
+// versions.
 std::string content_of(const std::string& service, std::uint64_t serial) {
   json mark = {{"first", serial}, {"pad", std::string(1900, 'x')}, {"second", serial}};
   json settings = {{"marks", {{service, mark}}}};
@@ -94,64 +96,66 @@
   return json{{"settings", settings}}.dump();
 }
 
-// No gatekeeper takes it.
+// Service configuration that every gatekeeper rejects.
 std::string bad_content(std::uint64_t serial) {
   return json{{"settings", {{"limits", {{"maxAttempts", "many"}}}, {"serial", serial}}}}.dump();
 }
 
-class Scale {
+class ScaleRun {
  public:
-  Scale(ConfigPlan plan, bool is_short) : short_(is_short), rig_(std::move(plan)) {}
+  ScaleRun(ConfigPlan plan, bool is_short) : short_(is_short), rig_(std::move(plan)) {}
 
   bool run() {
     if (!start()) return false;
-    if (!short_) quiet();
-    if (!short_) calls(4s, calls_before_);
+    if (!short_) measure_quiet_cost();
+    if (!short_) place_calls(4s, calls_before_);
     std::thread load;
     const bool with_calls = true;
-    if (with_calls) load = std::thread([this] { calls(short_ ? 5s : 20s, calls_during_); });
-    one_at_a_time();
-    ten_in_a_second();
-    distributor_killed();
-    distributor_stopped();
+    if (with_calls) load = std::thread([this] { place_calls(short_ ? 5s : 20s, calls_during_); });
+    publish_one_at_a_time();
+    publish_ten_in_a_second();
+    kill_distributor();
+    stop_distributor();
     if (load.joinable()) load.join();
-    gatekeepers_restarted();
-    third_cut_off();
-    all_distributors_restarted();
-    refused_by_all();
-    if (!short_) files_and_hangups();
-    if (!short_) judge_calls();
-    return ends();
+    restart_gatekeepers();
+    partition_a_third();
+    restart_all_distributors();
+    publish_rejected_by_all();
+    if (!short_) measure_files_and_hangups();
+    if (!short_) check_calls();
+    return check_final_state();
   }
 
  private:
   std::string at(const std::string& name) const { return name + "_at_" + std::to_string(rig_.size()); }
-  void tell(const std::string& name, double value, const char* unit, bool holds = true) {
-    figure(at(name), value, unit, holds);
+  void print_at_size(const std::string& name, double value, const char* unit, bool within_limit = true) {
+    print_figure(at(name), value, unit, within_limit);
     static const std::set<std::string> kMeasured{"ms", "us", "us/s", "B", "B/s", "KiB", "MiB", "sockets"};
     if (kMeasured.contains(unit) && name.find("reckoned") == std::string::npos)
       slopes[name][rig_.size()] = value;
   }
-  void tell_time(const std::string& name, double value) {
-    tell(name, value, "ms", value >= 0.0 && (!timed || value < kAimMs));
+  void print_time(const std::string& name, double value) {
+    print_at_size(name, value, "ms", value >= 0.0 && (!timed || value < kMaxActivationMs));
   }
-  std::size_t some_distributor() { return up_.at(turn_++ % up_.size()); }
-  std::chrono::milliseconds patience() const { return 25s; }
+  std::size_t next_distributor() {
+    return running_distributors_.at(next_index_++ % running_distributors_.size());
+  }
+  std::chrono::milliseconds activation_timeout() const { return 25s; }
 
   struct Change {
     std::string service;
     std::uint64_t version = 0;
     Nanos began = 0;
   };
-  // Published, and noted as the newest of its service.
+  // Publishes a change and records it as the newest of its service; retries up to five times.
   std::optional<Change> publish(const std::string& service, std::optional<std::size_t> by = {},
                                 std::optional<std::string> content = {}) {
-    std::string trouble;
+    std::string error;
     for (int tries = 0; tries < 5; ++tries) {
       Change change{service, 0, lab::steady_now()};
-      const std::size_t i = by ? *by : some_distributor();
+      const std::size_t i = by ? *by : next_distributor();
       const auto version =
-          rig_.publish(i, service, content ? *content : content_of(service, ++serial_), &trouble);
+          rig_.publish(i, service, content ? *content : content_of(service, ++serial_), &error);
       if (version) {
         change.version = *version;
         if (!content) newest_[service] = std::max(newest_[service], *version);
@@ -159,39 +163,40 @@
       }
       std::this_thread::sleep_for(200ms);
     }
-    std::fprintf(stderr, "%s is not published: %s\n", service.c_str(), trouble.c_str());
+    std::fprintf(stderr, "publishing %s failed: %s\n", service.c_str(), error.c_str());
     ++unpublished_;
     return std::nullopt;
   }
-  bool everywhere(const std::string& service, std::uint64_t version) const {
+  bool active_everywhere(const std::string& service, std::uint64_t version) const {
     return rig_.force(service, version).now >= rig_.spread().subscribers(service);
   }
-  // Milliseconds until it is in force at all; -1: it never was.
-  double until_everywhere(const std::optional<Change>& change) {
-    if (!change ||
-        !ConfigRig::until(patience(), [&] { return everywhere(change->service, change->version); })) {
+  // Milliseconds until the change is active at all subscribers; -1 if it does not get there in time.
+  double wait_until_active(const std::optional<Change>& change) {
+    if (!change || !ConfigRig::until(activation_timeout(),
+                                     [&] { return active_everywhere(change->service, change->version); })) {
       if (change) {
         const auto f = rig_.force(change->service, change->version);
-        std::fprintf(stderr, "%s %llu is in force at %zu of %zu\n", change->service.c_str(),
-                     static_cast<unsigned long long>(change->version), f.now,
+        std::fprintf(stderr, "%s version %llu is active at only %zu of %zu gatekeepers\n",
+                     change->service.c_str(), static_cast<unsigned long long>(change->version), f.now,
                      rig_.spread().subscribers(change->service));
       }
-      ++never_;
+      ++never_active_;
       return -1.0;
     }
-    const double took = ms(rig_.force(change->service, change->version).last - change->began);
-    if (took >= kAimMs) std::fprintf(stderr, "%s took %.0f ms\n", change->service.c_str(), took);
-    return took;
+    const double duration = ms(rig_.force(change->service, change->version).last - change->began);
+    if (duration >= kMaxActivationMs)
+      std::fprintf(stderr, "%s took %.0f ms\n", change->service.c_str(), duration);
+    return duration;
   }
   bool all_equal() const {
     for (const auto& [service, version] : newest_) {
-      if (!everywhere(service, version)) return false;
+      if (!active_everywhere(service, version)) return false;
     }
     return true;
   }
 
   bool start() {
-    for (std::size_t i = 0; i < rig_.plan().distributors; ++i) up_.push_back(i);
+    for (std::size_t i = 0; i < rig_.plan().distributors; ++i) running_distributors_.push_back(i);
     const Nanos began = lab::steady_now();
     rig_.start_all();
     const bool up = ConfigRig::until(60s, [&] {
@@ -200,12 +205,13 @@
       for (std::size_t i = 0; i < rig_.plan().real; ++i) ready += rig_.real_ready(i) ? 1 : 0;
       return t.ready == rig_.plan().light && ready == rig_.plan().real;
     });
-    tell("start_to_ready", ms(lab::steady_now() - began), "ms", up);
-    // The distributors begin where all are new; then every service of some size has a first document.
-    const bool votes = ConfigRig::until(
+    print_at_size("start_to_ready", ms(lab::steady_now() - began), "ms", up);
+    // The distributors initialize because all start without state; then the shared services and a small one
+    // get a first version.
+    const bool committed = ConfigRig::until(
         30s, [&] { return rig_.publish(0, "all", content_of("all", ++serial_)).has_value(); });
-    tell("start_to_first_commit", ms(lab::steady_now() - began), "ms", votes);
-    if (!up || !votes) {
+    print_at_size("start_to_first_commit", ms(lab::steady_now() - began), "ms", committed);
+    if (!up || !committed) {
       const auto t = rig_.totals();
       std::fprintf(stderr, "%zu of %zu are up, %zu ready\n", t.up, rig_.plan().light, t.ready);
       for (std::size_t i = 0; i < rig_.plan().real; ++i) {
@@ -216,9 +222,9 @@
       }
       return false;
     }
-    small_ = "s" + std::to_string(std::max<std::size_t>(1, rig_.spread().services() / 100) + 1);
-    for (const char* common : {"all", "region-0", "region-1", "region-2"}) until_everywhere(publish(common));
-    until_everywhere(publish(small_));
+    small_service_ = "s" + std::to_string(std::max<std::size_t>(1, rig_.spread().services() / 100) + 1);
+    for (const char* common : {"all", "region-0", "region-1", "region-2"}) wait_until_active(publish(common));
+    wait_until_active(publish(small_service_));
     return true;
   }
 
@@ -234,23 +240,25 @@
     std::uint64_t plain_real_bytes = 0;
     std::uint64_t bare_real_cpu = 0;
     std::uint64_t bare_real_bytes = 0;
-    std::uint64_t distributor_cpu = 0;  // of all
+    std::uint64_t distributor_cpu = 0;  // of all distributors
     std::uint64_t distributor_bytes = 0;
   };
   Usage usage() {
     Usage u;
     const auto& plan = rig_.plan();
     for (std::size_t i = 0; i < plan.real; ++i)
-      u.real_bytes += Bytes::of([&] { return rig_.real(i).log(); }, rig_.real_pid(i));
+      u.real_bytes += ByteCounters::of([&] { return rig_.real(i).log(); }, rig_.real_pid(i));
     for (std::size_t i = 0; i < 2 * plan.bare_real; ++i)
       (i < plan.bare_real ? u.plain_real_bytes : u.bare_real_bytes) +=
-          Bytes::of([&] { return rig_.bare_real(i).log(); }, rig_.bare_real(i).pid());
-    for (const std::size_t i : up_)
-      u.distributor_bytes += Bytes::of([&] { return rig_.distributor_log(i); }, rig_.distributor_pid(i));
+          ByteCounters::of([&] { return rig_.bare_real(i).log(); }, rig_.bare_real(i).pid());
+    for (const std::size_t i : running_distributors_)
+      u.distributor_bytes +=
+          ByteCounters::of([&] { return rig_.distributor_log(i); }, rig_.distributor_pid(i));
     for (std::size_t i = 0; i < plan.real; ++i) u.real_cpu += lab::cpu_ns(rig_.real_pid(i));
     for (std::size_t i = 0; i < 2 * plan.bare_real; ++i)
       (i < plan.bare_real ? u.plain_real_cpu : u.bare_real_cpu) += lab::cpu_ns(rig_.bare_real(i).pid());
-    for (const std::size_t i : up_) u.distributor_cpu += lab::cpu_ns(rig_.distributor_pid(i));
+    for (const std::size_t i : running_distributors_)
+      u.distributor_cpu += lab::cpu_ns(rig_.distributor_pid(i));
     u.at = lab::steady_now();
     const auto t = rig_.totals();
     u.light_cpu = t.cpu_ns;
@@ -261,15 +269,15 @@
     return u;
   }
 
-  // What control costs while nothing changes, and what a change for all costs. The real ones have their setup
-  // servers, and no calls; nobody asks them anything.
-  void quiet() {
+  // Measures the cost of control while nothing changes, and of a change for all. The real gatekeepers have
+  // their setup servers but no calls, and are not queried.
+  void measure_quiet_cost() {
     const auto& plan = rig_.plan();
     rig_.ask_real_ones(false);
-    std::thread servers([&] { calls(15s, nothing_, 0.001); });
+    std::thread servers([&] { place_calls(15s, ignored_latencies_, 0.001); });
     std::this_thread::sleep_for(2s);
     const Usage a = usage();
-    std::this_thread::sleep_for(10s);  // two beats of each distributor
+    std::this_thread::sleep_for(10s);  // two heartbeats of each distributor
     const Usage b = usage();
     const int changes = 3;
     for (int i = 0; i < changes; ++i) {
@@ -284,157 +292,165 @@
     const auto rate = [span](std::uint64_t from, std::uint64_t to, std::size_t of) {
       return of == 0 ? 0.0 : static_cast<double>(to - from) / span / static_cast<double>(of);
     };
-    // Above the quiet rate, of a change.
-    const auto of_change = [&](std::uint64_t x, std::uint64_t y, std::uint64_t z, std::size_t of) {
+    // Cost per change above the quiet rate.
+    const auto cost_per_change = [&](std::uint64_t x, std::uint64_t y, std::uint64_t z, std::size_t of) {
       const double quietly = static_cast<double>(y - x) / span * changing;
       return (static_cast<double>(z - y) - quietly) / changes /
              static_cast<double>(std::max<std::size_t>(1, of));
     };
     const double light_cpu = rate(a.light_cpu, b.light_cpu, plan.light) / 1e3;
     const double light_bytes = rate(a.light_bytes, b.light_bytes, plan.light);
-    tell("gatekeeper_cpu_quiet", light_cpu, "us/s", light_cpu < 16'000.0);
-    tell("gatekeeper_bytes_quiet", light_bytes, "B/s", light_bytes < 3000.0);
-    tell("gatekeeper_cpu_of_a_change", of_change(a.light_cpu, b.light_cpu, c.light_cpu, plan.light) / 1e3,
-         "us");
-    tell("gatekeeper_bytes_of_a_change", of_change(a.light_bytes, b.light_bytes, c.light_bytes, plan.light),
-         "B");
+    print_at_size("gatekeeper_cpu_quiet", light_cpu, "us/s", light_cpu < 16'000.0);
+    print_at_size("gatekeeper_bytes_quiet", light_bytes, "B/s", light_bytes < 3000.0);
+    print_at_size("gatekeeper_cpu_of_a_change",
+                  cost_per_change(a.light_cpu, b.light_cpu, c.light_cpu, plan.light) / 1e3, "us");
+    print_at_size("gatekeeper_bytes_of_a_change",
+                  cost_per_change(a.light_bytes, b.light_bytes, c.light_bytes, plan.light), "B");
     const auto t = rig_.totals();
-    tell("gatekeeper_memory", static_cast<double>(t.memory) / static_cast<double>(plan.light) / 1024.0,
-         "KiB");
-    double most = 0.0;
+    print_at_size("gatekeeper_memory",
+                  static_cast<double>(t.memory) / static_cast<double>(plan.light) / 1024.0, "KiB");
+    double max_memory = 0.0;
     for (std::size_t i = 0; i < plan.real; ++i)
-      most = std::max(most, static_cast<double>(resident(rig_.real_pid(i))) / 1048576.0);
-    tell("real_gatekeeper_memory_most", most, "MiB", most < 128.0);
+      max_memory = std::max(max_memory, static_cast<double>(resident(rig_.real_pid(i))) / 1048576.0);
+    print_at_size("real_gatekeeper_memory_most", max_memory, "MiB", max_memory < 128.0);
 
-    // Control's part: what those with it cost above those without, hollow and real. These real
-    // ones have no setup servers: what is said to them comes every 10 s and is more than control says.
+    // Control's share is the difference between gatekeepers with and without it, lightweight and real. The
+    // real ones compared here have no setup servers, because the messages to those, every 10 s, outweigh
+    // those of control.
     const double light_part = light_cpu - rate(a.bare_light_cpu, b.bare_light_cpu, plan.bare_light) / 1e3;
     const double real_part = (rate(a.plain_real_cpu, b.plain_real_cpu, plan.bare_real) -
                               rate(a.bare_real_cpu, b.bare_real_cpu, plan.bare_real)) /
                              1e3;
-    tell("real_gatekeeper_cpu_quiet", rate(a.real_cpu, b.real_cpu, plan.real) / 1e3, "us/s");
-    tell("control_cpu_hollow", light_part, "us/s");
-    tell("control_cpu_real", real_part, "us/s");
+    print_at_size("real_gatekeeper_cpu_quiet", rate(a.real_cpu, b.real_cpu, plan.real) / 1e3, "us/s");
+    print_at_size("control_cpu_hollow", light_part, "us/s");
+    print_at_size("control_cpu_real", real_part, "us/s");
     const double cpu_ratio = light_part / std::max(1e-9, real_part);
-    tell("control_cpu_hollow_by_real", cpu_ratio, "times", std::abs(cpu_ratio - 1.0) <= 0.2);
+    print_at_size("control_cpu_hollow_by_real", cpu_ratio, "times", std::abs(cpu_ratio - 1.0) <= 0.2);
     const double light_bytes_part =
         light_bytes - rate(a.bare_light_bytes, b.bare_light_bytes, plan.bare_light);
     const double real_bytes_part = rate(a.plain_real_bytes, b.plain_real_bytes, plan.bare_real) -
                                    rate(a.bare_real_bytes, b.bare_real_bytes, plan.bare_real);
-    tell("control_bytes_hollow", light_bytes_part, "B/s");
-    tell("control_bytes_real", real_bytes_part, "B/s");
+    print_at_size("control_bytes_hollow", light_bytes_part, "B/s");
+    print_at_size("control_bytes_real", real_bytes_part, "B/s");
     const double bytes_ratio = light_bytes_part / std::max(1e-9, real_bytes_part);
-    tell("control_bytes_hollow_by_real", bytes_ratio, "times", std::abs(bytes_ratio - 1.0) <= 0.2);
-
-    const std::size_t d = up_.size();
-    tell("distributor_connections", static_cast<double>(sockets_of(rig_.distributor_pid(0))), "sockets");
-    tell("distributor_cpu_quiet", rate(a.distributor_cpu, b.distributor_cpu, d) / 1e3, "us/s");
-    tell("distributor_bytes_quiet", rate(a.distributor_bytes, b.distributor_bytes, d), "B/s");
-    tell("distributor_cpu_of_a_change",
-         of_change(a.distributor_cpu, b.distributor_cpu, c.distributor_cpu, d) / 1e3, "us");
-    tell("distributor_bytes_of_a_change",
-         of_change(a.distributor_bytes, b.distributor_bytes, c.distributor_bytes, d), "B");
-    tell("distributor_memory", static_cast<double>(resident(rig_.distributor_pid(0))) / 1048576.0, "MiB");
-    polling();
-  }
-
-  // Reckoned: the same news by asking every 3 s with the versions held, in bytes of the lines as they are.
-  void polling() {
+    print_at_size("control_bytes_hollow_by_real", bytes_ratio, "times", std::abs(bytes_ratio - 1.0) <= 0.2);
+
+    const std::size_t d = running_distributors_.size();
+    print_at_size("distributor_connections", static_cast<double>(sockets_of(rig_.distributor_pid(0))),
+                  "sockets");
+    print_at_size("distributor_cpu_quiet", rate(a.distributor_cpu, b.distributor_cpu, d) / 1e3, "us/s");
+    print_at_size("distributor_bytes_quiet", rate(a.distributor_bytes, b.distributor_bytes, d), "B/s");
+    print_at_size("distributor_cpu_of_a_change",
+                  cost_per_change(a.distributor_cpu, b.distributor_cpu, c.distributor_cpu, d) / 1e3, "us");
+    print_at_size("distributor_bytes_of_a_change",
+                  cost_per_change(a.distributor_bytes, b.distributor_bytes, c.distributor_bytes, d), "B");
+    print_at_size("distributor_memory", static_cast<double>(resident(rig_.distributor_pid(0))) / 1048576.0,
+                  "MiB");
+    estimate_polling();
+  }
+
+  // Estimates the cost of polling every 3 s with the versions held instead, from the size of the actual
+  // lines.
+  void estimate_polling() {
     using namespace distribution;
-    std::vector<VersionsNotified::Entry> held;
-    for (const std::string& service : rig_.spread().of(0)) held.push_back({service, {1'790'000'000'000, {}}});
-    const double question = static_cast<double>(control::subscribe_line("g0", held, true).dump().size() + 1);
-    const double answer = static_cast<double>(control::versions_line(NotifyVersions{}).dump().size() + 1);
-    tell("polling_bytes_reckoned", (question + answer) / 3.0, "B/s");
-    tell("polling_questions_of_a_distributor_reckoned",
-         static_cast<double>(rig_.size()) / 3.0 / static_cast<double>(up_.size()), "1/s");
-    tell("polling_last_reckoned", 3000.0, "ms");
-  }
-
-  void one_at_a_time() {
+    std::vector<VersionsNotified::Entry> held_versions;
+    for (const std::string& service : rig_.spread().of(0))
+      held_versions.push_back({service, {1'790'000'000'000, {}}});
+    const double request =
+        static_cast<double>(control::subscribe_line("g0", held_versions, true).dump().size() + 1);
+    const double response = static_cast<double>(control::versions_line(NotifyVersions{}).dump().size() + 1);
+    print_at_size("polling_bytes_reckoned", (request + response) / 3.0, "B/s");
+    print_at_size("polling_questions_of_a_distributor_reckoned",
+                  static_cast<double>(rig_.size()) / 3.0 / static_cast<double>(running_distributors_.size()),
+                  "1/s");
+    print_at_size("polling_last_reckoned", 3000.0, "ms");
+  }
+
+  void publish_one_at_a_time() {
     for (const bool for_all : {false, true}) {
-      std::vector<double> took;
+      std::vector<double> durations;
       for (int i = 0; i < (short_ ? 2 : 10); ++i)
-        took.push_back(until_everywhere(publish(for_all ? "all" : small_)));
+        durations.push_back(wait_until_active(publish(for_all ? "all" : small_service_)));
       const std::string name = for_all ? "change_for_all" : "change_of_a_small_service";
-      const bool whole = std::find(took.begin(), took.end(), -1.0) == took.end();
-      tell_time(name + "_median", whole ? lab::percentile(took, 0.5) : -1.0);
-      tell_time(name + "_last", whole ? *std::max_element(took.begin(), took.end()) : -1.0);
+      const bool complete = std::find(durations.begin(), durations.end(), -1.0) == durations.end();
+      print_time(name + "_median", complete ? lab::percentile(durations, 0.5) : -1.0);
+      print_time(name + "_last", complete ? *std::max_element(durations.begin(), durations.end()) : -1.0);
     }
-    tell("subscribers_of_the_small_service", static_cast<double>(rig_.spread().subscribers(small_)),
-         "gatekeepers");
+    print_at_size("subscribers_of_the_small_service",
+                  static_cast<double>(rig_.spread().subscribers(small_service_)), "gatekeepers");
   }
 
-  void ten_in_a_second() {
+  void publish_ten_in_a_second() {
     std::optional<Change> last;
     const auto began = Steady::now();
     for (int i = 0; i < 10; ++i) {
       std::this_thread::sleep_until(began + 100ms * i);
       last = publish("all");
     }
-    tell_time("ten_in_a_second_last", until_everywhere(last));
+    print_time("ten_in_a_second_last", wait_until_active(last));
   }
 
-  void distributor_killed() {
-    const std::size_t victim = up_.size() - 1;
+  void kill_distributor() {
+    const std::size_t distributor = running_distributors_.size() - 1;
     double longest = 0.0;
-    bool whole = true;
+    bool complete = true;
     std::vector<Change> changes;
     for (int i = 0; i < 4; ++i) {
       if (i == 2) {
-        rig_.kill_distributor(victim);  // with the second one on its way
-        up_.pop_back();
+        rig_.kill_distributor(distributor);  // while the second change is in flight
+        running_distributors_.pop_back();
       }
       const auto change = publish("all", 0);
-      whole = whole && change.has_value();
+      complete = complete && change.has_value();
       if (!change) continue;
       changes.push_back(*change);
       if (i == 1) continue;
-      const double took = until_everywhere(change);
-      whole = whole && took >= 0.0;
-      longest = std::max(longest, took);
+      const double duration = wait_until_active(change);
+      complete = complete && duration >= 0.0;
+      longest = std::max(longest, duration);
     }
-    tell_time("distributor_killed_last", whole ? longest : -1.0);
-    rig_.start_distributor(victim);
-    up_.push_back(victim);
-    // Back with its files: it has a vote, and its gatekeepers come back to it.
+    print_time("distributor_killed_last", complete ? longest : -1.0);
+    rig_.start_distributor(distributor);
+    running_distributors_.push_back(distributor);
+    // It restarts with its files, so it keeps its vote; its gatekeepers reconnect to it.
     std::this_thread::sleep_for(1s);
     ++faults_["distributors_killed"];
   }
 
-  // What one had sent waits in the network; it is stopped, the others go on, and it wakes with old news.
-  void distributor_stopped() {
-    const std::size_t victim = up_.size() > 1 ? 1 : 0;
+  // Holds back what one distributor sends, stops it while the others go on, and resumes it with outdated
+  // versions.
+  void stop_distributor() {
+    const std::size_t distributor = running_distributors_.size() > 1 ? 1 : 0;
     const auto before = rig_.totals();
     const auto held_before = rig_.relay().counts().held_back.load();
-    rig_.relay().hold(victim, lab::StreamRelay::back, true);
-    // One that is slower than its gatekeepers hears from them what they have, and has nothing to tell: so a
-    // few times.
+    rig_.relay().hold(distributor, lab::StreamRelay::back, true);
+    // A distributor slower than its gatekeepers learns the version from them and sends no notification of its
+    // own, so several changes are published.
     for (int i = 0; i < 5; ++i) {
-      until_everywhere(publish("all", 0));
+      wait_until_active(publish("all", 0));
       std::this_thread::sleep_for(100ms);
     }
-    rig_.signal_distributor(victim, SIGSTOP);
+    rig_.signal_distributor(distributor, SIGSTOP);
     double longest = 0.0;
-    bool whole = true;
+    bool complete = true;
     for (int i = 0; i < 3; ++i) {
-      const double took = until_everywhere(publish("all", 0));
-      whole = whole && took >= 0.0;
-      longest = std::max(longest, took);
+      const double duration = wait_until_active(publish("all", 0));
+      complete = complete && duration >= 0.0;
+      longest = std::max(longest, duration);
     }
-    rig_.signal_distributor(victim, SIGCONT);
-    rig_.relay().hold(victim, lab::StreamRelay::back, false);
-    tell_time("distributor_stopped_last", whole ? longest : -1.0);
-    const bool refused = ConfigRig::until(5s, [&] { return rig_.totals().stale > before.stale; });
-    tell("stale_after_waking", static_cast<double>(rig_.totals().stale - before.stale), "versions refused",
-         refused);
-    tell("held_back", static_cast<double>(rig_.relay().counts().held_back - held_before), "times",
-         rig_.relay().counts().held_back > held_before);
-    tell_time("after_waking_last", until_everywhere(publish("all")));
+    rig_.signal_distributor(distributor, SIGCONT);
+    rig_.relay().hold(distributor, lab::StreamRelay::back, false);
+    print_time("distributor_stopped_last", complete ? longest : -1.0);
+    const bool rejected = ConfigRig::until(5s, [&] { return rig_.totals().stale > before.stale; });
+    print_at_size("stale_after_waking", static_cast<double>(rig_.totals().stale - before.stale),
+                  "versions refused", rejected);
+    print_at_size("held_back", static_cast<double>(rig_.relay().counts().held_back - held_before), "times",
+                  rig_.relay().counts().held_back > held_before);
+    print_time("after_waking_last", wait_until_active(publish("all")));
     ++faults_["distributors_stopped"];
   }
 
-  void gatekeepers_restarted() {
+  void restart_gatekeepers() {
     const auto before = rig_.totals();
     std::size_t wanted = 0;
     const Nanos began = lab::steady_now();
@@ -448,17 +464,17 @@
       rig_.kill_real(i);
       rig_.start_real(i);
     }
-    const bool began_anew =
+    const bool restarted =
         ConfigRig::until(10s, [&] { return rig_.totals().restarts >= before.restarts + wanted; });
-    const bool back = began_anew && ConfigRig::until(patience(), [&] { return all_equal(); });
-    tell_time("tenth_restarted_until_all_equal", back ? ms(lab::steady_now() - began) : -1.0);
-    tell("restarted", static_cast<double>(rig_.totals().restarts - before.restarts + killed), "gatekeepers",
-         began_anew);
-    tell_time("after_restarts_last", until_everywhere(publish("all")));
+    const bool back = restarted && ConfigRig::until(activation_timeout(), [&] { return all_equal(); });
+    print_time("tenth_restarted_until_all_equal", back ? ms(lab::steady_now() - began) : -1.0);
+    print_at_size("restarted", static_cast<double>(rig_.totals().restarts - before.restarts + killed),
+                  "gatekeepers", restarted);
+    print_time("after_restarts_last", wait_until_active(publish("all")));
   }
 
-  // Those behind the relay hear nothing and are not heard while many changes are published.
-  void third_cut_off() {
+  // Partitions the gatekeepers behind the relay while many changes are published.
+  void partition_a_third() {
     const std::size_t changes = short_ ? 20 : 500;
     const auto cut_before = rig_.relay().counts().cut.load();
     rig_.relay().cut_all();
@@ -467,11 +483,11 @@
     std::vector<std::thread> publishers;
     std::mutex mutex;
     std::atomic<std::size_t> published{0};
-    const std::size_t lanes = std::min<std::size_t>(4, up_.size());
+    const std::size_t lanes = std::min<std::size_t>(4, running_distributors_.size());
     for (std::size_t lane = 0; lane < lanes; ++lane) {
       publishers.emplace_back([&, lane] {
         for (std::size_t i = lane; i < changes; i += lanes) {
-          // Each service is published by one of them only.
+          // Each service is published from one thread only.
           const std::string& service =
               names[lane + lanes * ((i / lanes) % std::max<std::size_t>(1, names.size() / lanes))];
           std::uint64_t serial = 0;
@@ -479,12 +495,14 @@
             const std::lock_guard lock(mutex);
             serial = ++serial_;
           }
-          std::string trouble;
-          const auto version = rig_.publish(up_[lane], service, content_of(service, serial), &trouble);
+          std::string error;
+          const auto version =
+              rig_.publish(running_distributors_[lane], service, content_of(service, serial), &error);
           const std::lock_guard lock(mutex);
           if (!version) {
             ++unpublished_;
-            std::fprintf(stderr, "%s is not published in the cut: %s\n", service.c_str(), trouble.c_str());
+            std::fprintf(stderr, "publishing %s during the partition failed: %s\n", service.c_str(),
+                         error.c_str());
             continue;
           }
           ++published;
@@ -493,64 +511,64 @@
       });
     }
     for (std::thread& t : publishers) t.join();
-    const double took = static_cast<double>(lab::steady_now() - began) / 1e9;
-    tell("published_in_the_cut", static_cast<double>(published), "changes", published == changes);
-    tell("published_a_second", static_cast<double>(published) / took, "1/s");
+    const double duration = static_cast<double>(lab::steady_now() - began) / 1e9;
+    print_at_size("published_in_the_cut", static_cast<double>(published), "changes", published == changes);
+    print_at_size("published_a_second", static_cast<double>(published) / duration, "1/s");
     std::this_thread::sleep_for(300ms);
     const Nanos healed = lab::steady_now();
     rig_.relay().heal();
     double peak = 0.0;
-    std::uint64_t passed = rig_.relay().counts().passed;
-    const std::uint64_t all_before = passed;
-    Nanos looked = healed;
-    bool quiet = false;
-    while (!quiet && lab::steady_now() - healed < 30'000'000'000) {
+    std::uint64_t bytes_passed = rig_.relay().counts().passed;
+    const std::uint64_t all_before = bytes_passed;
+    Nanos last_sample_at = healed;
+    bool settled = false;
+    while (!settled && lab::steady_now() - healed < 30'000'000'000) {
       std::this_thread::sleep_for(50ms);
       const Nanos now = lab::steady_now();
-      const std::uint64_t then = std::exchange(passed, rig_.relay().counts().passed.load());
-      peak = std::max(peak, static_cast<double>(passed - then) * 1e9 /
-                                static_cast<double>(now - std::exchange(looked, now)));
-      quiet = all_equal();
+      const std::uint64_t previous = std::exchange(bytes_passed, rig_.relay().counts().passed.load());
+      peak = std::max(peak, static_cast<double>(bytes_passed - previous) * 1e9 /
+                                static_cast<double>(now - std::exchange(last_sample_at, now)));
+      settled = all_equal();
     }
-    if (!quiet) ++never_;
-    tell_time("heal_to_quiet", quiet ? ms(lab::steady_now() - healed) : -1.0);
-    tell("heal_bytes_peak", peak / 1024.0, "KiB/s");
-    tell("heal_bytes", static_cast<double>(passed - all_before) / 1024.0, "KiB");
+    if (!settled) ++never_active_;
+    print_time("heal_to_quiet", settled ? ms(lab::steady_now() - healed) : -1.0);
+    print_at_size("heal_bytes_peak", peak / 1024.0, "KiB/s");
+    print_at_size("heal_bytes", static_cast<double>(bytes_passed - all_before) / 1024.0, "KiB");
     const auto& counts = rig_.relay().counts();
-    tell("bytes_cut", static_cast<double>(counts.cut - cut_before), "B", counts.cut > cut_before);
-    tell("connections_cut", static_cast<double>(counts.cut_off), "connections", counts.cut_off > 0);
+    print_at_size("bytes_cut", static_cast<double>(counts.cut - cut_before), "B", counts.cut > cut_before);
+    print_at_size("connections_cut", static_cast<double>(counts.cut_off), "connections", counts.cut_off > 0);
   }
 
-  void all_distributors_restarted() {
+  void restart_all_distributors() {
     const Nanos began = lab::steady_now();
-    for (const std::size_t i : up_) rig_.kill_distributor(i);
-    for (const std::size_t i : up_) rig_.start_distributor(i);
+    for (const std::size_t i : running_distributors_) rig_.kill_distributor(i);
+    for (const std::size_t i : running_distributors_) rig_.start_distributor(i);
     std::optional<Change> change;
-    ConfigRig::until(patience(), [&] {
+    ConfigRig::until(activation_timeout(), [&] {
       change = publish("all");
       return change.has_value();
     });
-    const double took = until_everywhere(change);
-    tell_time("all_distributors_restarted_last",
-              took < 0.0 ? -1.0 : ms(rig_.force("all", change->version).last - began));
+    const double duration = wait_until_active(change);
+    print_time("all_distributors_restarted_last",
+               duration < 0.0 ? -1.0 : ms(rig_.force("all", change->version).last - began));
     ++faults_["all_distributors_restarted"];
   }
 
-  void refused_by_all() {
+  void publish_rejected_by_all() {
     const auto bad = publish("all", {}, bad_content(++serial_));
-    const bool refused = bad && ConfigRig::until(patience(), [&] {
-                           return rig_.refused("all", bad->version) >= rig_.spread().subscribers("all");
-                         });
-    tell_time("refused_by_all_told", refused ? ms(lab::steady_now() - bad->began) : -1.0);
-    // What was in force stayed, but for the bad one's number; a good one goes above it.
+    const bool rejected = bad && ConfigRig::until(activation_timeout(), [&] {
+                            return rig_.refused("all", bad->version) >= rig_.spread().subscribers("all");
+                          });
+    print_time("refused_by_all_told", rejected ? ms(lab::steady_now() - bad->began) : -1.0);
+    // The active version stays; the rejected one uses up its version number, and a good one follows above it.
     const std::uint64_t before = newest_["all"];
-    tell("kept_what_was_in_force", static_cast<double>(rig_.force("all", before).now), "gatekeepers",
-         everywhere("all", before));
-    tell_time("after_a_refused_one_last", until_everywhere(publish("all")));
+    print_at_size("kept_what_was_in_force", static_cast<double>(rig_.force("all", before).now), "gatekeepers",
+                  active_everywhere("all", before));
+    print_time("after_a_refused_one_last", wait_until_active(publish("all")));
   }
 
-  // As it was done before: a file at each gatekeeper and a SIGHUP to it.
-  void files_and_hangups() {
+  // For comparison: the configuration method without distributors, a file at each gatekeeper and a SIGHUP.
+  void measure_files_and_hangups() {
     const Nanos began = lab::steady_now();
     bool all = true;
     for (std::size_t i = 0; i < rig_.plan().real; ++i) {
@@ -565,13 +583,13 @@
     }
     const double each =
         ms(lab::steady_now() - began) / static_cast<double>(std::max<std::size_t>(1, rig_.plan().real));
-    tell("file_and_hangup_of_one", each, "ms", all);
-    // One after the other: linear, and reckoned, not measured, at this size.
-    tell("file_and_hangup_of_all_reckoned", each * static_cast<double>(rig_.size()), "ms");
+    print_at_size("file_and_hangup_of_one", each, "ms", all);
+    // Gatekeepers are reconfigured one after the other, so this is extrapolated linearly, not measured.
+    print_at_size("file_and_hangup_of_all_reckoned", each * static_cast<double>(rig_.size()), "ms");
   }
 
-  // Calls to the real gatekeepers but the last tenth, which are killed.
-  void calls(Duration lasts, std::vector<double>& waits, double per_second = 300.0) {
+  // Places calls at the real gatekeepers except the last tenth, which are killed.
+  void place_calls(Duration lasts, std::vector<double>& latencies, double per_second = 300.0) {
     lab::Plan plan;
     const std::size_t killed = std::max<std::size_t>(1, rig_.plan().real / 10);
     for (std::size_t i = 0; i + killed < rig_.plan().real; ++i)
@@ -580,66 +598,71 @@
     plan.flows.emplace_back();
     plan.flows[0].per_second = short_ ? 30.0 : per_second;
     plan.lasts = lasts;
-    plan.seed = 1 + waits.size();
+    plan.seed = 1 + latencies.size();
     lab::Load load(plan);
     load.run();
     for (const lab::CallRecord& c : load.calls()) {
       if (c.finals == 1)
-        waits.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
+        latencies.push_back(std::chrono::duration<double, std::micro>(c.answered - c.sent).count());
       unanswered_ += c.finals == 0 ? 1 : 0;
-      twice_ += c.finals > 1 ? 1 : 0;
+      answered_twice_ += c.finals > 1 ? 1 : 0;
     }
   }
-  void judge_calls() {
+  void check_calls() {
     const double before = lab::percentile(calls_before_, 0.99);
     const double during = lab::percentile(calls_during_, 0.99);
-    tell("answer_p99_without_changes", before, "us");
-    tell("answer_p99_with_changes", during, "us");
-    tell("answer_p99_with_by_without", during / std::max(1.0, before), "times", during <= 1.05 * before);
+    print_at_size("answer_p99_without_changes", before, "us");
+    print_at_size("answer_p99_with_changes", during, "us");
+    print_at_size("answer_p99_with_by_without", during / std::max(1.0, before), "times",
+                  during <= 1.05 * before);
     const std::size_t answered = std::min(calls_before_.size(), calls_during_.size());
-    tell("calls_of_the_smaller_part", static_cast<double>(answered), "calls", answered > 500);
-    tell("calls_unanswered", static_cast<double>(unanswered_), "calls", unanswered_ == 0);
-    tell("calls_answered_twice", static_cast<double>(twice_), "calls", twice_ == 0);
+    print_at_size("calls_of_the_smaller_part", static_cast<double>(answered), "calls", answered > 500);
+    print_at_size("calls_unanswered", static_cast<double>(unanswered_), "calls", unanswered_ == 0);
+    print_at_size("calls_answered_twice", static_cast<double>(answered_twice_), "calls",
+                  answered_twice_ == 0);
   }
 
-  bool ends() {
-    const bool equal = ConfigRig::until(patience(), [&] { return all_equal(); });
+  bool check_final_state() {
+    const bool equal = ConfigRig::until(activation_timeout(), [&] { return all_equal(); });
     std::this_thread::sleep_for(std::chrono::milliseconds(3 * rig_.plan().interval_ms));
     const auto t = rig_.totals();
-    tell("all_equal_at_the_end", equal ? 1.0 : 0.0, "", equal);
-    tell("services_published", static_cast<double>(newest_.size()), "services");
-    tell("never_in_force_everywhere", static_cast<double>(never_), "changes", never_ == 0);
-    tell("not_published", static_cast<double>(unpublished_), "changes", unpublished_ == 0);
-    tell("versions_that_went_back", static_cast<double>(t.back), "versions", t.back == 0);
-    tell("versions_mixed", static_cast<double>(t.mixed), "versions", t.mixed == 0);
-    tell("conflicts", static_cast<double>(t.conflict), "versions", t.conflict == 0);
-    tell("unsound", static_cast<double>(t.unsound), "documents", t.unsound == 0);
-    tell("stale_refused", static_cast<double>(t.stale), "versions", t.stale > 0);
-    tell("lists_of_servers_taken", static_cast<double>(t.lists), "lists", t.lists >= rig_.plan().light);
+    print_at_size("all_equal_at_the_end", equal ? 1.0 : 0.0, "", equal);
+    print_at_size("services_published", static_cast<double>(newest_.size()), "services");
+    print_at_size("never_in_force_everywhere", static_cast<double>(never_active_), "changes",
+                  never_active_ == 0);
+    print_at_size("not_published", static_cast<double>(unpublished_), "changes", unpublished_ == 0);
+    print_at_size("versions_that_went_back", static_cast<double>(t.back), "versions", t.back == 0);
+    print_at_size("versions_mixed", static_cast<double>(t.mixed), "versions", t.mixed == 0);
+    print_at_size("conflicts", static_cast<double>(t.conflict), "versions", t.conflict == 0);
+    print_at_size("unsound", static_cast<double>(t.unsound), "documents", t.unsound == 0);
+    print_at_size("stale_refused", static_cast<double>(t.stale), "versions", t.stale > 0);
+    print_at_size("lists_of_servers_taken", static_cast<double>(t.lists), "lists",
+                  t.lists >= rig_.plan().light);
     if (short_)
-      tell("calls_answered", static_cast<double>(calls_during_.size()), "calls", !calls_during_.empty());
-    for (const auto& [name, count] : faults_) tell(name, count, "times", count > 0);
+      print_at_size("calls_answered", static_cast<double>(calls_during_.size()), "calls",
+                    !calls_during_.empty());
+    for (const auto& [name, count] : faults_) print_at_size(name, count, "times", count > 0);
     return true;
   }
 
   bool short_;
   ConfigRig rig_;
-  std::vector<std::size_t> up_;  // distributors
-  std::size_t turn_ = 0;
+  std::vector<std::size_t> running_distributors_;
+  std::size_t next_index_ = 0;
   std::uint64_t serial_ = 0;
-  std::string small_;
+  std::string small_service_;
   std::map<std::string, std::uint64_t> newest_;
   std::map<std::string, int> faults_;
   std::vector<double> calls_before_;
   std::vector<double> calls_during_;
-  std::vector<double> nothing_;
+  std::vector<double> ignored_latencies_;
   std::size_t unanswered_ = 0;
-  std::size_t twice_ = 0;
-  std::size_t never_ = 0;
+  std::size_t answered_twice_ = 0;
+  std::size_t never_active_ = 0;
   std::atomic<std::size_t> unpublished_{0};
 };
 
-// ---- where sockets end: the same reducers under the test clock
+// ---- beyond the sizes that sockets allow: the same reducers under the test clock
 
 #ifdef GRANITERUN_HAS_CONFIG_SIM
 double processor_ms() {
@@ -649,7 +672,7 @@
          static_cast<double>(r.ru_utime.tv_usec + r.ru_stime.tv_usec) / 1e3;
 }
 
-void simulated(std::size_t n) {
+void simulate(std::size_t n) {
   constexpr std::size_t kDistributors = 16;
   lab::ConfigSimSettings settings;
   settings.distributors = kDistributors;
@@ -658,33 +681,35 @@
   settings.services_each = 1;
   settings.seed = n;
   lab::ConfigSim sim(settings);
-  const auto tell = [n](const std::string& name, double value, const char* unit, bool holds = true) {
-    figure(name + "_simulated_at_" + std::to_string(n), value, unit, holds);
+  const auto print_at_size = [n](const std::string& name, double value, const char* unit,
+                                 bool within_limit = true) {
+    print_figure(name + "_simulated_at_" + std::to_string(n), value, unit, within_limit);
     if (*unit != '\0') slopes[name + "_simulated"][n] = value;
   };
   sim.start_all(false);
-  bool votes = false;
-  for (int i = 0; i < 150 && !(votes = sim.all_vote()); ++i) sim.run(100ms);
+  bool all_voting = false;
+  for (int i = 0; i < 150 && !(all_voting = sim.all_vote()); ++i) sim.run(100ms);
   sim.run(2s);
   const auto bytes = [&sim, n] {
-    std::pair<double, double> mean{};  // of a gatekeeper, of a distributor
+    std::pair<double, double> mean{};  // per gatekeeper, per distributor
     for (std::size_t i = 0; i < kDistributors + n; ++i)
       (i < kDistributors ? mean.second : mean.first) +=
           static_cast<double>(sim.bytes_to(i) + sim.bytes_from(i));
     return std::pair{mean.first / static_cast<double>(n), mean.second / kDistributors};
   };
-  // Quiet: beats and ticks.
+  // While nothing changes there are only heartbeats and ticks.
   const auto b0 = bytes();
   const auto lines0 = sim.counts().lines;
   const double cpu0 = processor_ms();
   sim.run(5s);
   const auto b1 = bytes();
-  tell("gatekeeper_bytes_quiet", (b1.first - b0.first) / 5.0, "B/s", (b1.first - b0.first) / 5.0 < 3000.0);
-  tell("distributor_bytes_quiet", (b1.second - b0.second) / 5.0, "B/s");
-  tell("messages_quiet", static_cast<double>(sim.counts().lines - lines0) / 5.0, "1/s");
+  print_at_size("gatekeeper_bytes_quiet", (b1.first - b0.first) / 5.0, "B/s",
+                (b1.first - b0.first) / 5.0 < 3000.0);
+  print_at_size("distributor_bytes_quiet", (b1.second - b0.second) / 5.0, "B/s");
+  print_at_size("messages_quiet", static_cast<double>(sim.counts().lines - lines0) / 5.0, "1/s");
   const double quiet_ms = (processor_ms() - cpu0) / 5.0;
-  tell("processor_quiet_of_all", quiet_ms, "ms/s");
-  // A change a second, each of a service of its own.
+  print_at_size("processor_quiet_of_all", quiet_ms, "ms/s");
+  // One change per second, each for another service.
   const auto b2 = bytes();
   const auto lines2 = sim.counts().lines;
   const double cpu2 = processor_ms();
@@ -712,21 +737,21 @@
   }
   const auto b3 = bytes();
   const double changes = static_cast<double>(kChanges);
-  tell("change_last", last, "ms", votes && taken > 0 && last < kAimMs);
-  tell("gatekeepers_of_a_change", static_cast<double>(taken) / changes, "gatekeepers", taken > 0);
-  tell("messages_of_a_change",
-       (static_cast<double>(sim.counts().lines - lines2) -
-        static_cast<double>(lines2 - lines0) / 5.0 * changes) /
-           changes,
-       "messages");
-  tell("distributor_bytes_of_a_change",
-       (b3.second - b2.second - (b1.second - b0.second) / 5.0 * changes) / changes, "B");
-  tell("processor_changing_of_all", (processor_ms() - cpu2) / changes, "ms/s");
-  tell("all_equal", sim.all_equal() ? 1.0 : 0.0, "", sim.all_equal());
+  print_at_size("change_last", last, "ms", all_voting && taken > 0 && last < kMaxActivationMs);
+  print_at_size("gatekeepers_of_a_change", static_cast<double>(taken) / changes, "gatekeepers", taken > 0);
+  print_at_size("messages_of_a_change",
+                (static_cast<double>(sim.counts().lines - lines2) -
+                 static_cast<double>(lines2 - lines0) / 5.0 * changes) /
+                    changes,
+                "messages");
+  print_at_size("distributor_bytes_of_a_change",
+                (b3.second - b2.second - (b1.second - b0.second) / 5.0 * changes) / changes, "B");
+  print_at_size("processor_changing_of_all", (processor_ms() - cpu2) / changes, "ms/s");
+  print_at_size("all_equal", sim.all_equal() ? 1.0 : 0.0, "", sim.all_equal());
 }
 #endif
 
-// ---- the laws
+// ---- laws of growth
 
 struct Law {
   const char* name;
@@ -736,11 +761,11 @@
                          {"log_n", [](double n) { return std::log(n); }},
                          {"n", [](double n) { return n; }}};
 
-// y = a + b f(n) by least squares, all sizes but the largest.
+// Least-squares fit of y = a + b f(n); the caller leaves out the largest size.
 struct Fit {
   double a = 0.0;
   double b = 0.0;
-  double error = 0.0;  // root of the mean square, of the sizes fitted
+  double error = 0.0;  // root mean square over the fitted sizes
 };
 Fit fit(const Law& law, const std::vector<std::pair<double, double>>& points) {
   double sx = 0, sy = 0, sxx = 0, sxy = 0;
@@ -755,18 +780,18 @@
   f.a = (sy - f.b * sx) / k;
   double squares = 0.0;
   for (const auto& [n, y] : points) squares += std::pow(y - f.a - f.b * law.of(n), 2.0);
-  // Each constant that was fitted takes a point away.
+  // Degrees of freedom: each fitted constant removes one.
   const double free = k - (law.of(2.0) == 0.0 ? 1.0 : 2.0);
   f.error = std::sqrt(squares / std::max(1.0, free));
   return f;
 }
 
-void tell_laws() {
+void print_laws() {
   for (const auto& [name, sizes] : slopes) {
     if (sizes.size() < 3) continue;
     std::vector<std::pair<double, double>> points;
     for (const auto& [n, y] : sizes) points.emplace_back(static_cast<double>(n), y);
-    const auto [largest, told] = points.back();
+    const auto [largest, measured] = points.back();
     points.pop_back();
     const Law* best = nullptr;
     Fit of_best;
@@ -778,7 +803,7 @@
       }
     }
     const double expected = of_best.a + of_best.b * best->of(largest);
-    const double error = told == 0.0 ? 0.0 : 100.0 * (expected - told) / std::abs(told);
+    const double error = measured == 0.0 ? 0.0 : 100.0 * (expected - measured) / std::abs(measured);
     std::printf("law_of_%s %s a=%.3f b=%.6f error_at_%.0f %.1f %%\n", name.c_str(), best->name, of_best.a,
                 of_best.b, largest, error);
   }
@@ -808,8 +833,8 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   const std::string last = argc > 4 ? argv[4] : "";
-  const bool only = argc > 5 && std::string(argv[5]) == "only";  // the largest size, and no smaller one
-  // A run ends by itself, whatever hangs; with it end all programs that it started.
+  const bool only = argc > 5 && std::string(argv[5]) == "only";  // only the largest size
+  // Bounds the run even if something hangs; the programs that it started end with it.
   ::alarm(last == "short" ? 110 : 900);
   if (last == "short") {
     timed = false;
@@ -821,8 +846,8 @@
     plan.behind_relay = 1;
     plan.bare_light = plan.bare_real = 0;
     plan.lasts_s = 110;
-    good = Scale(plan, true).run() && good;
-    return good ? 0 : 1;
+    passed = ScaleRun(plan, true).run() && passed;
+    return passed ? 0 : 1;
   }
   const std::size_t largest = last.empty() ? 3000 : static_cast<std::size_t>(std::atol(last.c_str()));
   std::vector<std::size_t> sizes;
@@ -830,10 +855,10 @@
     if (n < largest && !only) sizes.push_back(n);
   }
   sizes.push_back(largest);
-  for (const std::size_t n : sizes) good = Scale(plan_of(argv, n), false).run() && good;
+  for (const std::size_t n : sizes) passed = ScaleRun(plan_of(argv, n), false).run() && passed;
 #ifdef GRANITERUN_HAS_CONFIG_SIM
-  for (const std::size_t n : {300UL, 1000UL, 3000UL, 13'000UL}) simulated(n);
+  for (const std::size_t n : {300UL, 1000UL, 3000UL, 13'000UL}) simulate(n);
 #endif
-  tell_laws();
-  return good ? 0 : 1;
+  print_laws();
+  return passed ? 0 : 1;
 }
