--- a/bench/capacity/slopes.h
+++ b/bench/capacity/slopes.h
@@ -39,8 +39,8 @@
 Run read_run(std::string_view text, const std::string& file);
 
 struct Slope {
-  std::string
-      per{};  // quantity that `size` counts: member, server, service, change, connection, gap, call, ...
+  // Quantity that `size` counts: member, server, service, change, connection, gap, call, ...
+  std::string per{};
   std::string unit{};
   std::string command{};
   std::string revision{};
--- a/bench/capacity/sums.cpp
+++ b/bench/capacity/sums.cpp
@@ -204,7 +204,7 @@
   return {estimate, estimate, estimate, {}, slope(ids.front(), size).missing};
 }
 
-LimitCheck CapacityModel::bound(const std::string& name) const {
+LimitCheck CapacityModel::check_named_bound(const std::string& name) const {
   for (const json& b : target_.at("bounds")) {
     if (b.at("name") == name) return check_bound(given(b.at("needs")), b.at("value"), name);
   }
@@ -213,7 +213,7 @@
 
 // ---- rows
 
-std::vector<CapacityModel::Row> CapacityModel::gatekeeper() const {
+std::vector<CapacityModel::Row> CapacityModel::gatekeeper_rows() const {
   const double n = given("gatekeepers");
   const auto limits = [this](Row& row) {
     row.checks.insert(row.checks.begin(), {check_limit(row.cpu, given("cpu"), "processor for control"),
@@ -248,11 +248,11 @@
             slope("discovery_change_cpu", listed) * (changes / 1000.0);
     limits(r);
     r.family = "servers listed";
-    r.checks.push_back(
-        bound(large ? "a quarter of limits.sockets" : "a quarter of limits.sockets, three to each"));
+    r.checks.push_back(check_named_bound(large ? "a quarter of limits.sockets"
+                                               : "a quarter of limits.sockets, three to each"));
     if (large) {
       r.alternative = true;
-      r.checks.push_back(bound("http::kEventBound"));
+      r.checks.push_back(check_named_bound("http::kEventBound"));
     }
     rows.push_back(r);
   }
@@ -304,7 +304,7 @@
         slope("control_cpu_hollow", n) * 0.001 + slope("gatekeeper_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
     limits(r);
-    r.checks.push_back(bound("distribution::kMaxSubscribedServices"));
+    r.checks.push_back(check_named_bound("distribution::kMaxSubscribedServices"));
     rows.push_back(r);
   }
   {
@@ -316,7 +316,7 @@
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
     limits(r);
-    r.checks.push_back(bound("kMaxMembers"));
+    r.checks.push_back(check_named_bound("kMaxMembers"));
     r.family = "membership";
     rows.push_back(r);
   }
@@ -331,7 +331,7 @@
     r.cpu =
         slope("control_quiet_cpu", n) * 0.001 + slope("gap_change_cpu", given("gaps")) * (changes / 1000.0);
     limits(r);
-    r.checks.push_back(bound("gaps.fleet_size"));
+    r.checks.push_back(check_named_bound("gaps.fleet_size"));
     r.family = "the announcer's fleet";
     rows.push_back(r);
   }
@@ -344,7 +344,7 @@
     r.bytes = slope("announcer_dealt_bytes", n) * given("dealt");
     r.cpu = slope("control_dealt_cpu", n) * 0.001;
     limits(r);
-    r.checks.push_back(bound("control::kMaxLineBytes"));
+    r.checks.push_back(check_named_bound("control::kMaxLineBytes"));
     r.family = "slots dealt by demand";
     r.alternative = true;
     rows.push_back(r);
@@ -382,7 +382,7 @@
   return rows;
 }
 
-std::vector<CapacityModel::Row> CapacityModel::machines() const {
+std::vector<CapacityModel::Row> CapacityModel::machine_rows() const {
   const double n = given("gatekeepers");
   std::vector<Row> rows;
   {
@@ -427,7 +427,7 @@
     r.cpu = slope("distributor_cpu_quiet", n) * 0.001 +
             slope("distributor_cpu_of_a_change", n) * (changes / 1000.0);
     r.family = "configuration, distributed";
-    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("distribution::kMaxClients")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), check_named_bound("distribution::kMaxClients")};
     rows.push_back(r);
   }
   {
@@ -438,7 +438,7 @@
     r.messages = slope("announcer_quiet_messages", n) * (2.0 * n);
     r.bytes = slope("announcer_quiet_bytes", n) * n;
     r.cpu = slope("announcer_quiet_cpu", n) * (n / 1000.0);
-    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("descriptors of a process")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), check_named_bound("descriptors of a process")};
     r.family = "the announcer's fleet";
     rows.push_back(r);
     r.part = "the announcer, " + describe(given("dealt")) + " gap called everywhere";
@@ -446,7 +446,7 @@
     r.messages = exact((given("demands_told") * given("dealt") + given("reports")) * n);
     r.bytes = slope("announcer_dealt_bytes", n) * n;
     r.cpu = slope("announcer_dealt_cpu", n) * (n / 1000.0);
-    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("control::kMaxLineBytes")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), check_named_bound("control::kMaxLineBytes")};
     r.family = "slots dealt by demand";
     r.alternative = true;
     rows.push_back(r);
@@ -468,7 +468,7 @@
     r.messages = slope("membership_datagrams", n) * 2.0;
     r.bytes = slope("membership_bytes", n) * 2.0;
     r.cpu = slope("membership_cpu", n) * 0.001;
-    r.checks = {check_limit(r.cpu, given("core"), "core"), bound("kMaxMembers")};
+    r.checks = {check_limit(r.cpu, given("core"), "core"), check_named_bound("kMaxMembers")};
     r.family = "membership";
     r.alternative = true;
     rows.push_back(r);
@@ -496,7 +496,7 @@
     r.messages = exact(2.0 * n);
     r.bytes = slope("command_bytes", n);
     r.cpu = slope("command_cpu", n);
-    r.checks = {bound("descriptors of a process")};
+    r.checks = {check_named_bound("descriptors of a process")};
     r.family = "the operator's command";
     r.alternative = true;
     rows.push_back(r);
@@ -545,7 +545,7 @@
 std::string CapacityModel::gatekeeper_total() const {
   std::string text;
   for (const bool traces : {false, true}) {
-    const Row sum = total_of(gatekeeper(), traces);
+    const Row sum = total_of(gatekeeper_rows(), traces);
     const auto part = [&](const Figure& f, const char* limit, double unit, const char* name) {
       return describe(f * unit) + " of " + describe(given(limit) * unit) + " " + name + " (" +
              check_limit(f, given(limit), "budget").text + ")";
@@ -568,7 +568,7 @@
   Figure cpu = exact(0.0);
   Figure bytes = exact(0.0);
   Figure state = exact(0.0);
-  for (const Row& r : machines()) {
+  for (const Row& r : machine_rows()) {
     const bool distributor = r.part.starts_with("a distributor");
     if (!distributor && !r.part.starts_with("the announcer of gaps")) continue;
     const double times = distributor ? given("machines") : 1.0;
@@ -591,7 +591,7 @@
 
 // ---- moments
 
-std::string CapacityModel::moments() const {
+std::string CapacityModel::moments_table() const {
   const double n = given("gatekeepers");
   const double machines = given("machines");
   const double notices = given("sources") * 3.0;  // notification, its receipt, report
@@ -657,7 +657,7 @@
 
 // ---- readings
 
-std::string CapacityModel::readings() const {
+std::string CapacityModel::readings_table() const {
   std::string text =
       "| calls at each gatekeeper | processor a call, us | share of a core | added, 99th percentile, us: one "
       "gatekeeper "
@@ -721,7 +721,7 @@
 
 // ---- the rest
 
-std::string CapacityModel::bounds() const {
+std::string CapacityModel::bounds_table() const {
   std::string text =
       "| bound | value | where | needed at the target | verdict | beyond it |\n| --- | --- | --- | --- | --- "
       "| --- |\n";
@@ -740,7 +740,7 @@
   return text;
 }
 
-std::string CapacityModel::missing() const {
+std::string CapacityModel::shortfall_table() const {
   struct Shortfall {
     std::string family{};
     std::string part{};
@@ -752,7 +752,7 @@
   std::size_t no = 0;
   std::size_t unknown = 0;
   std::size_t rows = 0;
-  for (const std::vector<Row>& table : {gatekeeper(), machines()}) {
+  for (const std::vector<Row>& table : {gatekeeper_rows(), machine_rows()}) {
     for (const Row& r : table) {
       ++rows;
       const LimitCheck v = worst(r.checks);
@@ -837,17 +837,17 @@
       "second | verdict | from |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n";
   Tables all;
   std::string gatekeepers = kHead;
-  for (const Row& r : gatekeeper()) gatekeepers += cells(r);
+  for (const Row& r : gatekeeper_rows()) gatekeepers += cells(r);
   std::string others = kHead;
-  for (const Row& r : machines()) others += cells(r);
+  for (const Row& r : machine_rows()) others += cells(r);
   all["gatekeeper"] = gatekeepers;
   all["machines"] = others;
   all["sum-gatekeeper"] = gatekeeper_total();
   all["sum-machines"] = machines_total();
-  all["moments"] = moments();
-  all["readings"] = readings();
-  all["bounds"] = bounds();
-  all["missing"] = missing();
+  all["moments"] = moments_table();
+  all["readings"] = readings_table();
+  all["bounds"] = bounds_table();
+  all["missing"] = shortfall_table();
   all["membership-note"] = membership_note();
   all["slopes"] = slopes_table();
   all["target"] = given_table("target");
--- a/bench/capacity/sums.h
+++ b/bench/capacity/sums.h
@@ -83,13 +83,13 @@
     bool alternative = false;  // other load of a part already in the total: left out of it
   };
   std::string cells(const Row& row) const;
-  std::vector<Row> gatekeeper() const;
-  std::vector<Row> machines() const;
+  std::vector<Row> gatekeeper_rows() const;
+  std::vector<Row> machine_rows() const;
   Row total_of(const std::vector<Row>& rows, bool traces) const;
-  std::string moments() const;
-  std::string readings() const;
-  std::string bounds() const;
-  std::string missing() const;
+  std::string moments_table() const;
+  std::string readings_table() const;
+  std::string bounds_table() const;
+  std::string shortfall_table() const;
   Figure cpu_per_call(double calls) const;
   std::string membership_note() const;
   std::string slopes_table() const;
@@ -97,7 +97,7 @@
   std::string derived_table() const;
   std::string gatekeeper_total() const;
   std::string machines_total() const;
-  LimitCheck bound(const std::string& name) const;
+  LimitCheck check_named_bound(const std::string& name) const;
 
   Slopes slopes_;
   nlohmann::json target_;
--- a/bench/cold_bench.cpp
+++ b/bench/cold_bench.cpp
@@ -65,7 +65,7 @@
     hard.lost = 0.1;
     hard.load = 1.5;
     hard.idle_until = std::chrono::milliseconds(4000);
-    hard.warm_after = std::chrono::hours(1);  // as little as the rules allow
+    hard.warm_after = std::chrono::hours(1);  // keeps the capacity at the least that the rules allow
     all.push_back({n + "_all_at_once", hard});
   }
   return all;
