--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -11,7 +11,7 @@
 
 using namespace graniterun;
 using namespace std::chrono_literals;
-using lab::Rig;
+using lab::ClusterFixture;
 using lab::Steady;
 
 namespace {
@@ -28,10 +28,11 @@
 
 // Milliseconds from `began` until the last of the other members has reported the event; -1 if not all did
 // within 10 s.
-double known_everywhere(Rig& rig, std::size_t subject, const std::string& kind, Steady::time_point began) {
+double known_everywhere(ClusterFixture& rig, std::size_t subject, const std::string& kind,
+                        Steady::time_point began) {
   const std::string name = "n" + std::to_string(subject);
   double last = -1.0;
-  const bool all = Rig::wait_until(10s, [&] {
+  const bool all = ClusterFixture::wait_until(10s, [&] {
     std::map<std::size_t, Steady::time_point> by;
     for (const lab::FleetEvent& e : rig.events()) {
       if (e.kind == kind && e.member == name && e.reported_by != subject && e.at >= began)
@@ -52,10 +53,10 @@
 }
 
 void measure_fleet(const std::string& binary, int fault_seconds) {
-  Rig rig(binary, kFleet, 1);
+  ClusterFixture rig(binary, kFleet, 1);
   rig.start_all();
   const auto began = Steady::now();
-  const bool agreed = Rig::wait_until(10s, [&] { return rig.agree(); });
+  const bool agreed = ClusterFixture::wait_until(10s, [&] { return rig.agree(); });
   print_figure("all_agree_after_start", ms(Steady::now() - began), "ms", agreed);
 
   std::vector<double> killed;
@@ -76,22 +77,23 @@
     rig.program(i).exit_status();
     rig.kill(i);
     rig.start(i);
-    Rig::wait_until(10s, [&] { return rig.state((i + 1) % kFleet, "n" + std::to_string(i)) == "alive"; });
+    ClusterFixture::wait_until(
+        10s, [&] { return rig.state((i + 1) % kFleet, "n" + std::to_string(i)) == "alive"; });
   }
   print_percentiles("killed_known_everywhere", killed, 1500);
   print_percentiles("start_to_joined_everywhere", joined, 500);
   print_percentiles("left_known_everywhere", left, 300);
 
-  Rig::wait_until(10s, [&] { return rig.agree(); });
+  ClusterFixture::wait_until(10s, [&] { return rig.agree(); });
   rig.relay().cut({0, 3, 6, 9});
-  const bool partitioned = Rig::wait_until(15s, [&] {  // until each side considers the other dead
+  const bool partitioned = ClusterFixture::wait_until(15s, [&] {  // until each side considers the other dead
     return rig.query_fleet(0, "view")["size"] == 4 && rig.query_fleet(1, "view")["size"] == 8;
   });
   print_figure("cut_datagrams", static_cast<double>(rig.relay().counts().cut), "datagrams",
                rig.relay().counts().cut > 0);
   const auto healed = Steady::now();
   rig.relay().heal();
-  const bool agreed_again = Rig::wait_until(10s, [&] { return rig.agree(); });
+  const bool agreed_again = ClusterFixture::wait_until(10s, [&] { return rig.agree(); });
   print_figure("agree_after_heal", ms(Steady::now() - healed), "ms",
                partitioned && agreed_again && Steady::now() - healed < 2s);
 
--- a/lab/stream_relay.cpp
+++ b/lab/stream_relay.cpp
@@ -61,14 +61,14 @@
   [[maybe_unused]] const auto written = ::write(wake_, &one, sizeof one);
 }
 
-void StreamRelay::set_hold(std::size_t i, Way way, bool on) {
+void StreamRelay::set_hold(std::size_t i, Direction way, bool on) {
   {
     const std::lock_guard lock(mutex_);
     servers_.at(i).held[way] = on;
   }
   wake_up();
 }
-void StreamRelay::set_cut(std::size_t i, Way way, bool on) {
+void StreamRelay::set_cut(std::size_t i, Direction way, bool on) {
   {
     const std::lock_guard lock(mutex_);
     servers_.at(i).cut[way] = on;
@@ -166,7 +166,7 @@
 }
 
 // Forwards bytes of one direction; false if the connection is to be closed.
-bool StreamRelay::forward(Connection& connection, Way way) {
+bool StreamRelay::forward(Connection& connection, Direction way) {
   const int from = connection.fds[way == to_server ? 0 : 1];
   const int to = connection.fds[way == to_server ? 1 : 0];
   const RelayedServer& server = servers_[connection.server_index];
@@ -214,8 +214,8 @@
 void StreamRelay::update_epoll(std::uint64_t id, Connection& connection, bool is_new) {
   for (std::size_t i = 0; i < 2; ++i) {
     if (connection.fds[i] < 0) continue;
-    const Way in = i == 0 ? to_server : to_client;
-    const Way out = i == 0 ? to_client : to_server;
+    const Direction in = i == 0 ? to_server : to_client;
+    const Direction out = i == 0 ? to_client : to_server;
     std::uint32_t events = 0;
     if (!connection.ended[in] && connection.pending[in].size() < kMaxPendingBytes) events |= EPOLLIN;
     const bool held = servers_[connection.server_index].held[out];
--- a/lab/stream_relay.h
+++ b/lab/stream_relay.h
@@ -34,9 +34,9 @@
 
   int port(std::size_t i) const { return servers_[i].relay_port; }
   // Holds back the bytes of one direction, up to the sockets' buffers; none are lost.
-  void set_hold(std::size_t i, Way way, bool on);
+  void set_hold(std::size_t i, Direction way, bool on);
   // Drops the bytes of one direction; new connections to the server hang.
-  void set_cut(std::size_t i, Way way, bool on);
+  void set_cut(std::size_t i, Direction way, bool on);
   void cut_all();
   // Ends all holds and cuts, and resets the connections that lost bytes.
   void heal();
@@ -62,7 +62,7 @@
   void run();
   void accept(std::size_t server_index);
   void process(std::uint64_t id, Connection& connection);
-  bool forward(Connection& connection, Way way);
+  bool forward(Connection& connection, Direction way);
   void update_epoll(std::uint64_t id, Connection& connection, bool is_new);
   void close_connection(std::uint64_t id, bool reset);
   void wake_up();
--- a/src/call_gapping/hot_numbers.cpp
+++ b/src/call_gapping/hot_numbers.cpp
@@ -95,24 +95,24 @@
 
 void HotNumbers::update_state(Time now, const std::string& number, Entry& entry,
                               std::vector<Change>& changes) {
-  const auto add = [&](Change::What what) { changes.push_back({what, describe(now, number, entry)}); };
+  const auto add = [&](Change::Kind kind) { changes.push_back({kind, describe(now, number, entry)}); };
   if (!entry.hot && entry.above_since && now - *entry.above_since >= settings_.hot_duration) {
     entry.hot = true;
-    add(Change::What::hot);
+    add(Change::Kind::hot);
   }
   if (entry.hot && !entry.gapped && !entry.below_since && gapped_ < settings_.max_gaps) {
     entry.gapped = true;
     ++gapped_;
-    add(Change::What::gap);
+    add(Change::Kind::gap);
   }
   if (!entry.hot || !entry.below_since || now - *entry.below_since < settings_.cool_duration) return;
   if (entry.gapped) {
     --gapped_;
-    add(Change::What::lift);
+    add(Change::Kind::lift);
   }
   entry.hot = entry.gapped = false;
   entry.above_since.reset();
-  add(Change::What::cool);
+  add(Change::Kind::cool);
 }
 
 std::vector<HotNumber> HotNumbers::hot(Time now) const {
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -358,7 +358,7 @@
 
 void Control::check_hot_numbers(Time now, Outbox& out) {
   hot_checked_at_ = now;
-  using Kind = HotNumbers::Change::What;
+  using Kind = HotNumbers::Change::Kind;
   for (const HotNumbers::Change& change : hot_numbers_->update(now)) {
     const HotNumber& hot_number = change.number;
     if (change.kind == Kind::hot || change.kind == Kind::cool) {
--- a/src/core/broker.h
+++ b/src/core/broker.h
@@ -26,11 +26,11 @@
 // Each front end numbers its own calls. The top 8 bits of a CallId identify the front end.
 enum class FrontEnd : std::uint8_t { platform = 0, sip = 1 };
 constexpr int kFrontEndShift = 56;
-constexpr CallId call_id(Front front_end, std::uint64_t number) {
+constexpr CallId call_id(FrontEnd front_end, std::uint64_t number) {
   return CallId{static_cast<std::uint64_t>(front_end) << kFrontEndShift | number};
 }
-constexpr Front front_end_of(CallId call) {
-  return static_cast<Front>(static_cast<std::uint64_t>(call) >> kFrontEndShift);
+constexpr FrontEnd front_end_of(CallId call) {
+  return static_cast<FrontEnd>(static_cast<std::uint64_t>(call) >> kFrontEndShift);
 }
 
 // A client's request for a call.
--- a/src/downstream/platform.cpp
+++ b/src/downstream/platform.cpp
@@ -236,7 +236,7 @@
   core::Request request;
   const std::string error = read_request(now, message, request);
   if (!error.empty()) return reject_malformed(now, conn, message.id, error, out);
-  request.call = core::call_id(core::Front::platform, ++last_call_);
+  request.call = core::call_id(core::FrontEnd::platform, ++last_call_);
   calls_.emplace(request.call, Call{message.id, conn, identity_of(message)});
   by_id_.emplace(message.id, request.call);
   connections_[conn].waiting.insert(request.call);
--- a/src/downstream/sip.cpp
+++ b/src/downstream/sip.cpp
@@ -312,7 +312,7 @@
     response.add("Retry-After", retry_after(kNotReadyRetryAfter));
     return transactions_.respond(now, key, response, out);
   }
-  request.call = core::call_id(core::Front::sip, ++last_call_);
+  request.call = core::call_id(core::FrontEnd::sip, ++last_call_);
   Call call;
   call.invite = key;
   call.offer = message.body;
@@ -441,9 +441,9 @@
     return make_room(now, out);
   }
   for (const sip::TimerExpiry& expiry : transactions_.handle_timer(now, event.key.number, out)) {
-    if (expiry.kind == sip::TimerExpiry::What::no_answer)
+    if (expiry.kind == sip::TimerExpiry::Kind::no_answer)
       load_control_.handle_request_timeout(now, expiry.key);
-    if (expiry.kind != sip::TimerExpiry::What::no_ack) continue;
+    if (expiry.kind != sip::TimerExpiry::Kind::no_ack) continue;
     const auto it = by_invite_.find(expiry.key);
     if (it == by_invite_.end()) continue;
     Call* call = find(it->second);
--- a/src/gatekeeper/gatekeeper.cpp
+++ b/src/gatekeeper/gatekeeper.cpp
@@ -313,7 +313,7 @@
                    exporter_.record_request(now, e, [this](ServerId id) { return name_of(id); });
                  },
                  [&](const auto& e) {  // to the caller, through the front end that received the request
-                   if (core::front_end_of(e.call) == core::Front::sip) {
+                   if (core::front_end_of(e.call) == core::FrontEnd::sip) {
                      sip_.apply(now, e, out);
                    } else if constexpr (std::is_same_v<std::decay_t<decltype(e)>, core::ReleaseCaller>) {
                      platform_.apply(now, e, out);
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -140,7 +140,7 @@
   std::optional<int> inherited_socket{};  // descriptor of a listening socket passed to this process, used
                                           // instead of a new one
   std::size_t reserved_connections =
-      0;  // maximum connections, outside RuntimeLimits::connections; 0: they count against that limit
+      0;  // maximum connections, outside RuntimeLimits::max_connections; 0: they count against that limit
   bool required = true;  // false: the program continues if listening fails
 };
 // Accepts no more connections. Other processes that share the socket can still accept.
--- a/src/sip/transactions.cpp
+++ b/src/sip/transactions.cpp
@@ -156,7 +156,7 @@
   }
   servers_.erase(found);  // timers H, I, J, L
   if (timer.kind != Kind::timeout) return std::nullopt;
-  return TimerExpiry{TimerExpiry::What::no_ack, timer.key};  // timer H
+  return TimerExpiry{TimerExpiry::Kind::no_ack, timer.key};  // timer H
 }
 
 std::optional<TimerExpiry> Transactions::client_timer_fired(Time now, std::uint64_t number,
@@ -172,7 +172,7 @@
   if (timer.kind == Kind::timeout) {  // timers B and F
     if (!waiting) return std::nullopt;
     clients_.erase(found);
-    return TimerExpiry{TimerExpiry::What::no_answer, timer.key};
+    return TimerExpiry{TimerExpiry::Kind::no_answer, timer.key};
   }
   clients_.erase(found);  // timers D, K and M
   return std::nullopt;
--- a/src/upstream/sip_trunk.cpp
+++ b/src/upstream/sip_trunk.cpp
@@ -175,7 +175,7 @@
 void SipTrunk::on(Time now, const net::TimerFired& event, Outbox& out) {
   if (event.key.number != kTickTimer) {
     for (const sip::TimerExpiry& expiry : transactions_.handle_timer(now, event.key.number, out)) {
-      if (expiry.kind != sip::TimerExpiry::What::no_answer) continue;
+      if (expiry.kind != sip::TimerExpiry::Kind::no_answer) continue;
       const auto invite = by_transaction_.find(expiry.key);  // timer B
       if (invite == by_transaction_.end()) continue;
       if (UpstreamAttempt* attempt = find_attempt(invite->second))
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -18,7 +18,7 @@
 
 core::RequestReceived request(std::uint64_t number, Time deadline, const std::string& team = {}) {
   core::RequestReceived e;
-  e.request.call = core::call_id(core::Front::platform, number);
+  e.request.call = core::call_id(core::FrontEnd::platform, number);
   e.request.correlation_id = std::to_string(number);
   e.request.team = team;
   e.request.deadline = deadline;
@@ -43,7 +43,7 @@
     const auto decide_randomly = [&](Time, const Event&, std::vector<Action>& actions) {
       for (std::uint32_t i = 0; i < random() % 3; ++i) {
         const CallId call =
-            core::call_id(core::Front::platform, last - std::min<std::uint64_t>(last, random() % 6));
+            core::call_id(core::FrontEnd::platform, last - std::min<std::uint64_t>(last, random() % 6));
         switch (random() % 8) {
           case 0:
             actions.push_back(Reject{call, 1s});
@@ -118,7 +118,7 @@
           CHECK(!calls.at(t->call).cancelled && now <= calls.at(t->call).deadline);
         } else if (const auto* p = std::get_if<core::ForwardRelease>(&effect)) {
           // A forwarded release is a final answer, so it must not be sent for an open call.
-          const auto it = calls.find(core::call_id(core::Front::platform, std::stoull(p->correlation_id)));
+          const auto it = calls.find(core::call_id(core::FrontEnd::platform, std::stoull(p->correlation_id)));
           CHECK(it == calls.end() || it->second.final_answers == 1 || it->second.cancelled);
         } else if (const auto* al = std::get_if<core::ArmTimer>(&effect)) {
           timers.emplace(al->at, al->timer);
@@ -157,7 +157,7 @@
       }
       if (random() % 8 == 0) {  // a release that belongs to no open attempt
         const std::uint64_t number = last - std::min<std::uint64_t>(last, random() % 8);
-        const auto it = calls.find(core::call_id(core::Front::platform, number));
+        const auto it = calls.find(core::call_id(core::FrontEnd::platform, number));
         const bool open = it != calls.end() && it->second.final_answers == 0 && !it->second.cancelled;
         const bool outstanding = open && it->second.outstanding.has_value();
         step_broker(core::ServerReleased{std::to_string(number), 16, random() % 2 == 0});
@@ -167,7 +167,7 @@
       const std::uint32_t pick = random() % 10;
       if (pick < 4) {
         const Time deadline = now + std::chrono::milliseconds(1 + random() % 2000);
-        calls[core::call_id(core::Front::platform, ++last)].deadline = deadline;
+        calls[core::call_id(core::FrontEnd::platform, ++last)].deadline = deadline;
         step_broker(request(last, deadline));
       } else if (pick == 4) {
         const ServerId id{static_cast<std::uint32_t>(random() % 3)};
@@ -221,7 +221,7 @@
   broker.step(kStart, servers({server(0, ServerState::in_service)}), effects);
   broker.step(kStart, request(1, kStart + 5s), effects);
   core::AttemptFinished finished;
-  finished.call = core::call_id(core::Front::platform, 1);
+  finished.call = core::call_id(core::FrontEnd::platform, 1);
   finished.outcome = Outcome::full;
   finished.reason = FullReason::processor;
   finished.retry_after = 2900ms;
@@ -254,7 +254,7 @@
       ++sent;
       if (!answers) continue;
       core::Effects ignored;
-      broker.step(now + 20ms, core::AttemptEstablished{core::call_id(core::Front::platform, call), 0, "a"},
+      broker.step(now + 20ms, core::AttemptEstablished{core::call_id(core::FrontEnd::platform, call), 0, "a"},
                   ignored);
     }
     return sent;
--- a/tests/configuration_process_test.cpp
+++ b/tests/configuration_process_test.cpp
@@ -481,7 +481,7 @@
 
   static std::size_t side(std::size_t g, std::size_t d) { return g * kDistributors + d; }
   static std::size_t peer_side(std::size_t d) { return kMaxGatekeepers * kDistributors + d; }
-  void hold(std::size_t g, StreamRelay::Way way, bool on) {
+  void hold(std::size_t g, StreamRelay::Direction way, bool on) {
     for (std::size_t d = 0; d < kDistributors; ++d) relay_->set_hold(side(g, d), way, on);
   }
   void cut(std::size_t g, bool on) {
--- a/tests/fleet_process_test.cpp
+++ b/tests/fleet_process_test.cpp
@@ -8,8 +8,8 @@
 
 using namespace graniterun;
 using namespace graniterun::test;
+using graniterun::lab::ClusterFixture;
 using graniterun::lab::RelayLink;
-using graniterun::lab::Rig;
 using nlohmann::json;
 using namespace std::chrono_literals;
 
@@ -19,30 +19,30 @@
 std::string gatekeeper;
 std::string ctl;
 
-void expect_agreement(Rig& rig) {
-  if (Rig::wait_until(kConvergenceTimeout, [&] { return rig.agree(); })) return;
+void expect_agreement(ClusterFixture& rig) {
+  if (ClusterFixture::wait_until(kConvergenceTimeout, [&] { return rig.agree(); })) return;
   for (std::size_t i = 0; i < rig.size(); ++i) {
     if (rig.up(i)) std::cerr << rig.query_fleet(i, "members").dump() << '\n' << rig.program(i).log() << '\n';
   }
   CHECK(false);
 }
 // Whether all other running processes report the member in that state.
-bool all_report(const Rig& rig, std::size_t subject, const std::string& state) {
+bool all_report(const ClusterFixture& rig, std::size_t subject, const std::string& state) {
   for (std::size_t i = 0; i < rig.size(); ++i) {
     if (i != subject && rig.up(i) && rig.state(i, "n" + std::to_string(subject)) != state) return false;
   }
   return true;
 }
-void expect_all_report(const Rig& rig, std::size_t subject, const std::string& state) {
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return all_report(rig, subject, state); }));
+void expect_all_report(const ClusterFixture& rig, std::size_t subject, const std::string& state) {
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] { return all_report(rig, subject, state); }));
 }
-std::size_t count_deaths(const Rig& rig, const std::set<std::string>& excluded = {}) {
+std::size_t count_deaths(const ClusterFixture& rig, const std::set<std::string>& excluded = {}) {
   std::size_t count = 0;
   for (const lab::FleetEvent& e : rig.events())
     count += e.kind == "died" && !excluded.contains(e.member) ? 1 : 0;
   return count;
 }
-std::uint64_t incarnation_of(const Rig& rig, std::size_t i) {
+std::uint64_t incarnation_of(const ClusterFixture& rig, std::size_t i) {
   const json view = rig.query_fleet(i, "members");
   for (const json& m : view["members"]) {
     if (m["self"] == true) return m["life"].get<std::uint64_t>();
@@ -56,7 +56,7 @@
 // an hour behind.
 void killed_process_rejoins_after_restart() {
   std::int64_t offset = 0;
-  Rig rig(gatekeeper, 6, 1, [&](std::size_t i, json& deploy) {
+  ClusterFixture rig(gatekeeper, 6, 1, [&](std::size_t i, json& deploy) {
     if (i == 4) deploy["fleet"]["clock_offset_ms"] = offset;
   });
   for (std::size_t i = rig.size(); i-- > 0;) rig.start(i);
@@ -86,7 +86,7 @@
 }
 
 void paused_process_rejoins() {
-  Rig rig(gatekeeper, 6, 2, shorten_suspicion);
+  ClusterFixture rig(gatekeeper, 6, 2, shorten_suspicion);
   rig.start_all();
   expect_agreement(rig);
   rig.clear_events();
@@ -109,7 +109,7 @@
 }
 
 void pause_of_half_the_fleet_causes_no_death() {
-  Rig rig(gatekeeper, 6, 3);
+  ClusterFixture rig(gatekeeper, 6, 3);
   rig.start_all();
   expect_agreement(rig);
   rig.clear_events();
@@ -123,21 +123,21 @@
 
 // All datagrams from 1 to 4 are dropped: 4 stays alive for all, and 1 reaches it only through others.
 void one_way_cut_leaves_member_alive() {
-  Rig rig(gatekeeper, 6, 4, shorten_suspicion);
+  ClusterFixture rig(gatekeeper, 6, 4, shorten_suspicion);
   rig.start_all();
   expect_agreement(rig);
   rig.clear_events();
   RelayLink cut;
   cut.cut = true;
   rig.relay().set_link(1, 4, cut);
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] {
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] {
     const json view = rig.query_fleet(1, "members");
     for (const json& m : view["members"]) {
       if (m["name"] == "n4") return m["reach"] == "through-others" && m["state"] == "alive";
     }
     return false;
   }));
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.relay().counts().cut >= 10; }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] { return rig.relay().counts().cut >= 10; }));
   CHECK_EQ(count_deaths(rig), 0U);
   CHECK(all_report(rig, 4, "alive"));
 }
@@ -145,7 +145,7 @@
 // A member that can only receive, then one that can only send: the fleet declares it dead, the others are not
 // affected, and it rejoins after the cut heals.
 void member_cut_off_in_one_direction_is_declared_dead() {
-  Rig rig(gatekeeper, 6, 5, shorten_suspicion);
+  ClusterFixture rig(gatekeeper, 6, 5, shorten_suspicion);
   rig.start_all();
   for (const bool outwards : {true, false}) {
     expect_agreement(rig);
@@ -164,11 +164,11 @@
 }
 
 void partitioned_third_rejoins_over_lossy_links() {
-  Rig rig(gatekeeper, 9, 6, shorten_suspicion);
+  ClusterFixture rig(gatekeeper, 9, 6, shorten_suspicion);
   rig.start_all();
   expect_agreement(rig);
   rig.relay().cut({0, 4, 8});
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] {
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] {
     return rig.query_fleet(0, "view")["size"] == 3 && rig.query_fleet(1, "view")["size"] == 6 &&
            rig.query_fleet(0, "view")["settled"] == true;
   }));
@@ -184,7 +184,7 @@
 
 // 2,000 datagrams of random bytes are sent to a member's port.
 void flood_of_foreign_datagrams_is_dropped() {
-  Rig rig(gatekeeper, 3, 7);
+  ClusterFixture rig(gatekeeper, 3, 7);
   rig.start_all();
   expect_agreement(rig);
   rig.clear_events();
@@ -197,7 +197,8 @@
     if (i % 50 == 0) std::this_thread::sleep_for(20ms);
   }
   CHECK(rig.relay().counts().unknown > 0);
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout,
+                                   [&] { return rig.counter(1, "fleet.refused.tag") > 100; }));
   expect_agreement(rig);
   CHECK_EQ(count_deaths(rig), 0U);
   // The warning is limited to one line a second.
@@ -211,12 +212,12 @@
 // A second process is started under a taken name: both report the conflict, the first stays a member, and the
 // name does not change hands until the first is killed.
 void second_process_of_a_name_stands_down() {
-  Rig rig(gatekeeper, 5, 8, [](std::size_t i, json& deploy) {
+  ClusterFixture rig(gatekeeper, 5, 8, [](std::size_t i, json& deploy) {
     if (i == 4) deploy["name_for_tests"] = "n1";
   });
   for (std::size_t i = 0; i < 4; ++i) rig.start(i);
   const std::set<std::string> four{"n0", "n1", "n2", "n3"};
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
   const std::uint64_t incarnation = incarnation_of(rig, 1);
   rig.start(4);
   rig.program(4).wait_for_log("yielded");
@@ -225,8 +226,9 @@
   CHECK_EQ(incarnation_of(rig, 1), incarnation);
   CHECK_EQ(count_deaths(rig), 0U);
   rig.kill(1);
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.query_fleet(4, "view")["member"] == true; }));
-  CHECK(Rig::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout,
+                                   [&] { return rig.query_fleet(4, "view")["member"] == true; }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout, [&] { return rig.members_agree(four); }));
 }
 
 json run_ctl(const std::string& arguments, int& status) {
@@ -240,7 +242,7 @@
 }
 
 void fleet_commands_report_members() {
-  Rig rig(gatekeeper, 3, 9);
+  ClusterFixture rig(gatekeeper, 3, 9);
   rig.start_all();
   expect_agreement(rig);
   std::string to = "--to ";
@@ -263,7 +265,7 @@
 // A new process takes over from the one that holds the callers' socket and the fleet port. The other members
 // see one gatekeeper throughout.
 void upgrade_keeps_one_member() {
-  Rig rig(gatekeeper, 4, 10);
+  ClusterFixture rig(gatekeeper, 4, 10);
   rig.start_all();
   expect_agreement(rig);
   rig.restart_with_held_socket(3);
@@ -271,8 +273,8 @@
   const std::uint64_t incarnation = incarnation_of(rig, 3);
   rig.clear_events();
   rig.start_successor(3);
-  CHECK(Rig::wait_until(kConvergenceTimeout,
-                        [&] { return rig.agree() && incarnation_of(rig, 3) > incarnation; }));
+  CHECK(ClusterFixture::wait_until(kConvergenceTimeout,
+                                   [&] { return rig.agree() && incarnation_of(rig, 3) > incarnation; }));
   for (const lab::FleetEvent& e : rig.events())
     CHECK(e.kind != "left" && (e.kind != "died" || e.incarnation == incarnation));
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -513,13 +513,13 @@
 void gap_client_sessions() {
   const Time now(1'000'000s);
   const auto make_client = [](const GapClientSettings& settings) { return GapClient(settings); };
-  using What = GapClientSettings::Command;
+  using Command = GapClientSettings::Command;
   GapClientSettings settings;
   settings.addresses = {"127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"};
   settings.announcement = announcement_of(gap_object(now, "g", 1, {{"numbers", {"4711"}}}));
   std::string text;
 
-  settings.command = What::announce;
+  settings.command = Command::announce;
   const json taken = {{"re", "announce"}, {"ok", true}, {"result", "taken"}, {"id", "g"}, {"version", 1}};
   const json refused = {
       {"re", "announce"}, {"ok", false}, {"result", "refused"}, {"trouble", "it's \"bad\""}, {"id", "g"}};
@@ -539,7 +539,7 @@
   text += both_forms("announce, answered with what can't be read", settings, make_client,
                      {{named("p0", {{"re", "announce"}, {"ok", true}, {"gatekeepers", "two"}})}});
 
-  settings.command = What::list;
+  settings.command = Command::list;
   const auto page = [&](const json& gaps, bool more, const std::string& digest) {
     return json{{"re", "list"}, {"ok", true},   {"digest", digest},
                 {"held", 2},    {"gaps", gaps}, {"more", more}};
@@ -562,7 +562,7 @@
   text += both_forms("list, a bad answer and no answer", settings, make_client,
                      {{named("n0", {{"re", "list"}})}, {named("n1", {{"re", "other"}})}});
 
-  settings.command = What::watch;
+  settings.command = Command::watch;
   text += both_forms(
       "watch", settings, make_client,
       {{named("n0", {{"re", "watch"}, {"ok", true}}), named("n0", {{"event", "gap"}, {"gap", in_force}}),
@@ -570,7 +570,7 @@
         named("n0", {{"event", "conflict"}, {"id", "g"}, {"version", 4}}),
         named("n0", {{"event", "fleet"}, {"member", "n3"}, {"what", "died"}, {"evidence", "refused"}})}});
 
-  settings.command = What::members;
+  settings.command = Command::members;
   json member = {{"name", "n3"},      {"state", "suspect"},       {"since_ms", 12},
                  {"reach", "direct"}, {"address", "127.0.0.1:3"}, {"life", 5},
                  {"incarnation", 2},  {"evidence", "silent"},     {"accuser", "n4"}};
@@ -593,10 +593,10 @@
                      {{named("n0", first_page), named("n0", second_page)},
                       {named("n1", unsettled)},
                       {named("n2", no_fleet)}});
-  settings.command = What::view;
+  settings.command = Command::view;
   text += both_forms("view", settings, make_client,
                      {{named("n0", view)}, {named("n1", view)}, {named("n2", view)}});
-  settings.command = What::leave;
+  settings.command = Command::leave;
   text += both_forms("leave", settings, make_client, {{named("n0", view)}, {named("n1", no_fleet)}});
   check_golden("gap_client_sessions.txt", text);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -501,7 +501,7 @@
   settings.max_gaps = 1;
   HotNumbers hot_numbers(settings);
   std::mt19937 random(3);
-  std::map<HotNumbers::Change::What, std::vector<std::string>> seen;
+  std::map<HotNumbers::Change::Kind, std::vector<std::string>> seen;
   Time hot_since{};
   for (Time now = kStart; now < kStart + 120s; now += 5ms) {
     hot_numbers.record_call(now, std::to_string(random() % 100'000));  // 200 per second to random numbers
@@ -511,7 +511,7 @@
     if ((now - kStart) % 200ms != 0ms) continue;
     for (const auto& change : hot_numbers.update(now)) {
       seen[change.kind].push_back(change.number.number);
-      if (change.kind == HotNumbers::Change::What::hot && change.number.number == "4711") hot_since = now;
+      if (change.kind == HotNumbers::Change::Kind::hot && change.number.number == "4711") hot_since = now;
     }
     if (now == kStart + 30s) {
       const auto hot = hot_numbers.hot(now);
@@ -519,12 +519,12 @@
       CHECK(hot[0].number == "4711" && hot[0].rate > 35 && hot[0].rate < 65);
     }
   }
-  using What = HotNumbers::Change::What;
-  CHECK_EQ(seen[What::hot].size(), 2U);
+  using Kind = HotNumbers::Change::Kind;
+  CHECK_EQ(seen[Kind::hot].size(), 2U);
   CHECK(hot_since > kStart + 12s && hot_since < kStart + 18s);
-  CHECK_EQ(seen[What::gap].size(), 1U);  // limited by max_gaps
-  CHECK_EQ(seen[What::lift].size(), 1U);
-  CHECK_EQ(seen[What::cool].size(), 2U);
+  CHECK_EQ(seen[Kind::gap].size(), 1U);  // limited by max_gaps
+  CHECK_EQ(seen[Kind::lift].size(), 1U);
+  CHECK_EQ(seen[Kind::cool].size(), 2U);
   CHECK(hot_numbers.hot(kStart + 120s).empty() && hot_numbers.size() <= HotNumbers::kMaxEntries);
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -179,7 +179,7 @@
 }
 std::size_t count_events(const FleetSim& sim, MemberEventKind kind) {
   return static_cast<std::size_t>(std::count_if(sim.reported_events().begin(), sim.reported_events().end(),
-                                                [&](const auto& f) { return f.what.kind == kind; }));
+                                                [&](const auto& f) { return f.event.kind == kind; }));
 }
 void expect_agreement_within(FleetSim& sim, Duration timeout) {
   CHECK(sim.run_until_true(timeout, [&] { return sim.all_agree(); }).has_value());
