--- a/src/net/events.h
+++ b/src/net/events.h
@@ -150,8 +150,8 @@
 struct Bind {  // UDP
   Concern concern{};
   std::string address;
-  // The port is not shared (no SO_REUSEADDR), and Unreachable events are reported. The result is Bound or
-  // BindFailed; a failure does not end the program.
+  // The port is not shared (no SO_REUSEADDR), and Unreachable events are reported. The result is
+  // BindSucceeded or BindFailed; a failure does not end the program.
   bool exclusive = false;
 };
 // Closes the UDP sockets of the concern, which frees their ports.
