--- a/src/call_gapping/slot_failover.h
+++ b/src/call_gapping/slot_failover.h
@@ -7,16 +7,13 @@
 // because:
 //   - a refusal proves that at some moment between probe and answer no process held the port;
 //   - the slots that the ended process used, or ceded ahead, start before kTakeoverDelay after the first
-//   refusal;
+//     refusal;
 //   - a process that acquires the port uses no slot for kMaxCedeAhead, so a process that started and ended
-//   between
-//     two refusals at most kMaxProbeGap apart has used none;
+//     between two refusals at most kMaxProbeGap apart has used none;
 //   - a successor uses a slot only within kProbeValidity of sending a refused probe, which is before a
-//   process
-//     started since then may use any;
-//   - a successor takes over only if all gatekeepers from the owner to itself have ended, by the same rule.
-//   Slots
-//     that were taken over are not ceded.
+//     process started since then may use any;
+//   - a successor takes over only if all gatekeepers from the owner to itself have ended, by the same rule;
+//     slots that were taken over are not ceded.
 // A process that is stopped or partitioned, or whose machine has failed, refuses nothing, so its slots stay
 // unused.
 #pragma once
--- a/tests/outer_names.sh
+++ b/tests/outer_names.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Checks that each name of docs/outer-names.txt still stands, letter for letter, in a string of src, include or deploy:
-# a rename inside the code must not change a message, a setting, a stored file, a flag or a metric.
-# outer_names.sh SOURCE_DIR
+# Checks that each name of docs/outer-names.txt occurs unchanged in a string of src, include or deploy: a rename inside
+# the code must not change a message, a setting, a stored file, a flag or a metric.
+# Usage: outer_names.sh SOURCE_DIR
 set -euo pipefail
 cd "$1"
 
-# missing_names LIST: the names of LIST that no string holds. A name is a whole word of a string or a key of a deploy
-# file; after `#literal` it is any part of a string. Other lines that begin with # are comments.
+# missing_names LIST: prints the names of LIST that occur in no string. A name matches a whole word of a string or a key
+# of a deploy file; after `#literal` it matches any part of a string. Other lines that begin with # are comments.
 # shellcheck disable=SC2016 # the single quotes hold an awk program
 missing_names() {
   find src include deploy -name '*.cpp' -o -name '*.h' -o -name '*.toml' -o -name '*.json' | LC_ALL=C sort |
@@ -41,15 +41,15 @@
 }
 
 missing=$(missing_names docs/outer-names.txt)
-[ "$(grep -vc '^#' docs/outer-names.txt)" -gt 800 ] || { echo "docs/outer-names.txt: the list is cut short"; exit 1; }
+[ "$(grep -vc '^#' docs/outer-names.txt)" -gt 800 ] || { echo "docs/outer-names.txt: fewer names than expected"; exit 1; }
 if [ -n "$missing" ]; then
-  echo "names that leave the process, in no string any more:"
+  echo "names that leave the process and occur in no string:"
   echo "$missing"
   exit 1
 fi
 
-# The check itself: names that stand nowhere are reported.
+# Tests the check itself: names that occur nowhere must be reported.
 probe=$(mktemp)
 trap 'rm -f "$probe"' EXIT
 printf '%s\n' 'deadlineNs' 'deadlineNsOld' '#literal /known' '#literal /knownOld' >"$probe"
-[ "$(missing_names "$probe")" = $'deadlineNsOld\n/knownOld' ] || { echo "a name that stands nowhere is not reported"; exit 1; }
+[ "$(missing_names "$probe")" = $'deadlineNsOld\n/knownOld' ] || { echo "a name that occurs nowhere is not reported"; exit 1; }
